--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -19,7 +19,7 @@
 use sorrelturn_fleet::{Digest, DigestReply, Report};
 use sorrelturn_policy::LeavingCause;
 use sorrelturn_protocol::{CrashNews, Incarnation, MemberRecord};
-use sorrelturn_quota::{Draw, Drawn};
+use sorrelturn_quota::{AcquireReply, AcquireRequest};
 use sorrelturn_telemetry::{EventRecord, Field, events};
 use std::sync::Arc;
 use tarpc::{
@@ -50,7 +50,7 @@
         /// The sender has this version in force; answers with the version here.
         async fn announce(from: String, version: u64) -> u64;
         /// Lends shares of quotas, and draws from one.
-        async fn draw(draw: Draw) -> Drawn;
+        async fn draw(draw: AcquireRequest) -> AcquireReply;
         /// What the sender knows of crashes of backend servers.
         async fn crashes(news: CrashNews);
         /// The manifest in force.
@@ -115,7 +115,7 @@
         lock(&self.node.spread).in_force()
     }
 
-    async fn draw(self, _: context::Context, draw: Draw) -> Drawn {
+    async fn draw(self, _: context::Context, draw: AcquireRequest) -> AcquireReply {
         quota::answer(&self.node, &draw)
     }
 
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -13,7 +13,8 @@
 use sorrelturn_policy::Now;
 use sorrelturn_protocol::{CallerId, Incarnation, MemberRecord, MemberState, Refusal, RequestId};
 use sorrelturn_quota::{
-    Accountant, Bound, Draw, Drawn, Entry, Limit, Outcome, Shard, Target, Terms, preferred,
+    Accountant, AcquireReply, AcquireRequest, Bound, Entry, Limit, Outcome, Shard, Target, Terms,
+    preferred_accountant,
 };
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -64,12 +65,12 @@
 
     /// For how long shares are lent at a time.
     fn lease(&self) -> Duration {
-        lock(&self.entry).lease()
+        lock(&self.entry).lease_duration()
     }
 
     /// The part of this daemon's shares that it lends.
     pub(crate) fn part_lent(&self, now: Now) -> f64 {
-        lock(&self.entry).part_lent(now)
+        lock(&self.entry).leased_fraction(now)
     }
 }
 
@@ -109,10 +110,10 @@
     {
         let mut entry = lock(&node.quota.entry);
         let now = node.now();
-        if entry.take(now, workspace.id) {
+        if entry.use_grant(now, workspace.id) {
             return Ok(());
         }
-        if let Some(room_in) = entry.is_over(now, workspace.id) {
+        if let Some(room_in) = entry.retry_after(now, workspace.id) {
             return Err(Refused::UsedUp(room_in));
         }
     }
@@ -123,12 +124,12 @@
             break;
         };
         let Some(drawn) = ask(node, target, Some(workspace.id)).await else {
-            lock(&node.quota.entry).no_answer(node.now(), target.accountant);
+            lock(&node.quota.entry).mark_unresponsive(node.now(), target.accountant);
             look(node);
             continue;
         };
         let now = node.now();
-        if lock(&node.quota.entry).drawn(now, sent, workspace.id, &drawn) {
+        if lock(&node.quota.entry).accept_reply(now, sent, workspace.id, &drawn) {
             return Ok(());
         }
         return match drawn.outcome {
@@ -172,7 +173,7 @@
         }
         drop(in_force);
         look(&node);
-        let due = lock(&node.quota.entry).due(node.now());
+        let due = lock(&node.quota.entry).due_renewals(node.now());
         for shard in due {
             let target = lock(&node.quota.entry).target(node.now(), shard);
             if let Some(target) = target {
@@ -190,8 +191,8 @@
 
 async fn renew(node: &Arc<Node>, target: Target) {
     match ask(node, target, None).await {
-        Some(drawn) => lock(&node.quota.entry).heard(node.now(), drawn.stamp),
-        None => lock(&node.quota.entry).no_answer(node.now(), target.accountant),
+        Some(drawn) => lock(&node.quota.entry).record_reading(node.now(), drawn.clock_reading),
+        None => lock(&node.quota.entry).mark_unresponsive(node.now(), target.accountant),
     }
 }
 
@@ -203,16 +204,16 @@
     let live: Vec<&MemberRecord> = membership
         .present()
         .filter(|record| record.state == MemberState::Live)
-        .filter(|record| !entry.is_silent(now, record.incarnation))
+        .filter(|record| !entry.is_unresponsive(now, record.incarnation))
         .collect();
     let of_shard = |shard| {
         let named = live.iter();
-        preferred(
+        preferred_accountant(
             shard,
             named.map(|record| (record.instance.as_str(), record.incarnation)),
         )
     };
-    entry.prefer(members(&membership), of_shard);
+    entry.set_preferred(members(&membership), of_shard);
     let accountants = Shard::all().filter_map(of_shard);
     let mut known = lock(&node.quota.accountants);
     // One that is not preferred any more may still hold a loan.
@@ -226,9 +227,13 @@
 }
 
 /// Asks an accountant; `None` if it doesn't answer in time.
-async fn ask(node: &Arc<Node>, target: Target, workspace: Option<CallerId>) -> Option<Drawn> {
+async fn ask(
+    node: &Arc<Node>,
+    target: Target,
+    workspace: Option<CallerId>,
+) -> Option<AcquireReply> {
     let members = members(&lock(&node.membership));
-    let draw = lock(&node.quota.entry).draw(target, members, workspace);
+    let draw = lock(&node.quota.entry).acquire_request(target, members, workspace);
     if target.accountant == node.incarnation {
         return Some(answer(node, &draw));
     }
@@ -253,7 +258,7 @@
 }
 
 /// Answers a daemon that lends its shares or draws.
-pub(crate) fn answer(node: &Node, draw: &Draw) -> Drawn {
+pub(crate) fn answer(node: &Node, draw: &AcquireRequest) -> AcquireReply {
     let in_force = node.in_force.load();
     let workspace = draw.workspace.and_then(|id| {
         let bundle = &in_force.as_ref()?.bundle;
@@ -262,5 +267,5 @@
     let quota = workspace.and_then(|workspace| workspace.quota);
     let limit = quota.map(|quota| node.quota.bucket(quota));
     let members = members(&lock(&node.membership));
-    lock(&node.quota.accountant).draw(node.now(), draw, limit, members)
+    lock(&node.quota.accountant).acquire(node.now(), draw, limit, members)
 }
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/accountant.rs
@@ -1,28 +1,30 @@
 //! The accountant's side: what it may grant from the shares that are lent to it.
 
-use crate::{Draw, Drawn, Limit, Now, Outcome, SHARDS, Shard, Stamp, Terms};
+use crate::{
+    AcquireReply, AcquireRequest, ClockReading, Limit, Now, Outcome, SHARDS, Shard, Terms,
+};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
 /// The most workspaces whose pools are kept; beyond it, those that are full are forgotten first.
-const MOST_POOLS: usize = 20_000;
+const MAX_POOLS: usize = 20_000;
 /// A caller that is over its quota is told to come back after this at least.
-const LEAST_WAIT: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// The longest time that such a caller is told.
-const MOST_WAIT: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Those who were refused come back over about this time, or not at all.
-const BACKLOG_TIME: Duration = Duration::from_secs(5);
+const BACKLOG_DECAY_TIME: Duration = Duration::from_secs(5);
 
 /// One daemon's loans of all shards.
 #[derive(Clone, Debug)]
-struct Lender {
+struct Lessor {
     members: u32,
-    loans: [Span; SHARDS],
+    leases: [LeasePeriod; SHARDS],
 }
 
 /// From when to when a share is lent.
 #[derive(Clone, Copy, Debug, Default)]
-struct Span {
+struct LeasePeriod {
     since: Now,
     until: Now,
 }
@@ -32,178 +34,191 @@
 struct Pool {
     tokens: f64,
     /// How much of the shard had been lent when the tokens were counted.
-    counted: f64,
+    counted_until: f64,
     /// Those who were refused and may come back.
     backlog: f64,
-    refused: Now,
+    last_refusal: Now,
 }
 
 /// Grants what may run of the workspaces of its shards.
 #[derive(Clone, Debug)]
 pub struct Accountant {
-    run: Incarnation,
+    incarnation: Incarnation,
     terms: Terms,
-    lenders: BTreeMap<Incarnation, Lender>,
+    lessors: BTreeMap<Incarnation, Lessor>,
     /// Among how many members the quotas are divided, and until when this can't fall.
     members: (u32, Now),
     /// The sum over all loans of a shard of share times time, in seconds.
-    lent: [f64; SHARDS],
+    leased: [f64; SHARDS],
     /// The part of all shares that is lent now.
-    part: [f64; SHARDS],
+    leased_fraction: [f64; SHARDS],
     /// Up to when both are counted.
-    counted: Now,
+    counted_until: Now,
     pools: BTreeMap<CallerId, Pool>,
 }
 
 impl Accountant {
     /// An accountant that nobody has lent anything yet.
-    pub fn new(run: Incarnation, terms: Terms, now: Now) -> Self {
+    pub fn new(incarnation: Incarnation, terms: Terms, now: Now) -> Self {
         Self {
-            run,
+            incarnation,
             terms,
-            lenders: BTreeMap::new(),
+            lessors: BTreeMap::new(),
             members: (1, now),
-            lent: [0.0; SHARDS],
-            part: [0.0; SHARDS],
-            counted: now,
+            leased: [0.0; SHARDS],
+            leased_fraction: [0.0; SHARDS],
+            counted_until: now,
             pools: BTreeMap::new(),
         }
     }
 
     /// Answers a daemon. `limit` is that of the workspace that it asks for, absent if none is known here; `members`
     /// is among how many this accountant believes the quotas to be divided.
-    pub fn draw(&mut self, now: Now, draw: &Draw, limit: Option<Limit>, members: u32) -> Drawn {
-        let now = self.in_order(now);
-        self.take_loan(now, draw, members);
-        let outcome = match (draw.workspace, limit) {
-            (Some(workspace), Some(limit)) => self.grant(now, workspace, limit, draw.wanted),
+    pub fn acquire(
+        &mut self,
+        now: Now,
+        req: &AcquireRequest,
+        limit: Option<Limit>,
+        members: u32,
+    ) -> AcquireReply {
+        let now = self.monotonic(now);
+        self.accept_lease(now, req, members);
+        let outcome = match (req.workspace, limit) {
+            (Some(workspace), Some(limit)) => self.grant(now, workspace, limit, req.requested),
             _ => Outcome::Nothing,
         };
-        let stamp = Stamp {
-            run: self.run,
+        let clock_reading = ClockReading {
+            incarnation: self.incarnation,
             at: now,
         };
-        Drawn { stamp, outcome }
+        AcquireReply {
+            clock_reading,
+            outcome,
+        }
     }
 
     /// The part of a shard's shares that is lent to this accountant.
-    pub fn part_lent(&mut self, now: Now, shard: Shard, members: u32) -> f64 {
-        let now = self.in_order(now);
-        self.count(now, members);
-        self.part[shard.at()]
+    pub fn leased_fraction(&mut self, now: Now, shard: Shard, members: u32) -> f64 {
+        let now = self.monotonic(now);
+        self.count_leased(now, members);
+        self.leased_fraction[shard.index()]
     }
 
     fn lease(&self, members: u32) -> Duration {
-        self.terms.lease_among(members.max(self.members.0))
+        self.terms.lease_duration(members.max(self.members.0))
     }
 
     /// A thread may be held up after it read the clock: what was counted already must not be counted again.
-    fn in_order(&self, now: Now) -> Now {
-        now.max(self.counted)
+    fn monotonic(&self, now: Now) -> Now {
+        now.max(self.counted_until)
     }
 
-    fn take_loan(&mut self, now: Now, draw: &Draw, members: u32) {
-        self.count(now, members);
-        let Some(loan) = draw.loan.filter(|loan| loan.stamp.run == self.run) else {
+    fn accept_lease(&mut self, now: Now, req: &AcquireRequest, members: u32) {
+        self.count_leased(now, members);
+        let Some(lease) = req
+            .lease
+            .filter(|lease| lease.clock_reading.incarnation == self.incarnation)
+        else {
             return;
         };
         // Where the two have other settings, it is over for both when it is for one.
-        let until = loan.stamp.at + self.lease(members).min(loan.lasts);
+        let until = lease.clock_reading.at + self.lease(members).min(lease.duration);
         if until <= now {
             return;
         }
-        let lender = self.lenders.entry(draw.from).or_insert(Lender {
-            members: draw.members,
-            loans: [Span::default(); SHARDS],
+        let lessor = self.lessors.entry(req.from).or_insert(Lessor {
+            members: req.members,
+            leases: [LeasePeriod::default(); SHARDS],
         });
-        lender.members = draw.members;
-        for shard in loan.shards.iter() {
-            let span = &mut lender.loans[shard.at()];
-            if span.until <= now {
-                span.since = now;
+        lessor.members = req.members;
+        for shard in lease.shards.iter() {
+            let period = &mut lessor.leases[shard.index()];
+            if period.until <= now {
+                period.since = now;
             }
-            span.until = span.until.max(until);
+            period.until = period.until.max(until);
         }
     }
 
     /// Counts what was lent up to now.
-    fn count(&mut self, now: Now, members: u32) {
-        let before = self.counted;
-        let share = 1.0 / f64::from(self.divided_among(now, members));
-        self.part = [0.0; SHARDS];
-        for lender in self.lenders.values() {
-            for (at, span) in lender.loans.iter().enumerate() {
-                let from = span.since.max(before);
-                let lent = span.until.min(now).saturating_sub(from);
-                self.lent[at] += share * lent.as_secs_f64();
-                if span.until > now {
-                    self.part[at] += share;
+    fn count_leased(&mut self, now: Now, members: u32) {
+        let before = self.counted_until;
+        let share = 1.0 / f64::from(self.quota_divisor(now, members));
+        self.leased_fraction = [0.0; SHARDS];
+        for lessor in self.lessors.values() {
+            for (index, period) in lessor.leases.iter().enumerate() {
+                let from = period.since.max(before);
+                let leased = period.until.min(now).saturating_sub(from);
+                self.leased[index] += share * leased.as_secs_f64();
+                if period.until > now {
+                    self.leased_fraction[index] += share;
                 }
             }
         }
-        self.counted = now;
-        let lends = |lender: &Lender| lender.loans.iter().any(|span| span.until > now);
-        self.lenders.retain(|_, lender| lends(lender));
+        self.counted_until = now;
+        let has_lease = |lessor: &Lessor| lessor.leases.iter().any(|period| period.until > now);
+        self.lessors.retain(|_, lessor| has_lease(lessor));
     }
 
     /// Among how many members the quotas are divided, as far as anybody knows. What a member that has gone had lent
     /// holds for a lease longer, and until then its share isn't the others'.
-    fn divided_among(&mut self, now: Now, members: u32) -> u32 {
-        let told = self.lenders.values().map(|lender| lender.members).max();
-        let members = told.unwrap_or(1).max(members).max(1);
-        let (before, holds_until) = self.members;
-        if members >= before || now >= holds_until {
+    fn quota_divisor(&mut self, now: Now, members: u32) -> u32 {
+        let reported = self.lessors.values().map(|lessor| lessor.members).max();
+        let members = reported.unwrap_or(1).max(members).max(1);
+        let (before, locked_until) = self.members;
+        if members >= before || now >= locked_until {
             self.members = (members, now + self.lease(members.max(before)));
         }
         self.members.0
     }
 
-    fn grant(&mut self, now: Now, workspace: CallerId, limit: Limit, wanted: u32) -> Outcome {
-        self.make_room();
-        let at = Shard::of(workspace).at();
-        let (lent, part) = (self.lent[at], self.part[at]);
+    fn grant(&mut self, now: Now, workspace: CallerId, limit: Limit, requested: u32) -> Outcome {
+        self.evict_idle_pools();
+        let index = Shard::of(workspace).index();
+        let (leased, leased_fraction) = (self.leased[index], self.leased_fraction[index]);
         // Of a workspace that nobody asked for before, nothing was granted since this run began.
         let pool = self.pools.entry(workspace).or_insert(Pool {
             tokens: 0.0,
-            counted: 0.0,
+            counted_until: 0.0,
             backlog: 0.0,
-            refused: now,
+            last_refusal: now,
         });
-        let earned = limit.rate * (lent - pool.counted);
+        let earned = limit.rate * (leased - pool.counted_until);
         // However small the part is, a request fits in: else a fragment of the fleet would serve nobody.
-        pool.tokens = (pool.tokens + earned).min((limit.burst * part).max(1.0));
-        pool.counted = lent;
-        let granted = (pool.tokens.max(0.0) as u32).min(wanted);
+        pool.tokens = (pool.tokens + earned).min((limit.burst * leased_fraction).max(1.0));
+        pool.counted_until = leased;
+        let granted = (pool.tokens.max(0.0) as u32).min(requested);
         if granted > 0 {
             pool.tokens -= f64::from(granted);
             return Outcome::Granted(granted);
         }
-        Outcome::UsedUp(pool.refuse(now, limit.rate * part))
+        Outcome::UsedUp(pool.record_refusal(now, limit.rate * leased_fraction))
     }
 
-    fn make_room(&mut self) {
-        if self.pools.len() < MOST_POOLS {
+    fn evict_idle_pools(&mut self) {
+        if self.pools.len() < MAX_POOLS {
             return;
         }
         // One that is gone starts as if nothing had been granted, which is true only of those that are full.
-        let lent = self.lent;
-        let rested = |workspace: &CallerId, pool: &Pool| {
-            lent[Shard::of(*workspace).at()] - pool.counted > BACKLOG_TIME.as_secs_f64()
+        let leased = self.leased;
+        let is_idle = |workspace: &CallerId, pool: &Pool| {
+            leased[Shard::of(*workspace).index()] - pool.counted_until
+                > BACKLOG_DECAY_TIME.as_secs_f64()
         };
         self.pools
-            .retain(|workspace, pool| !rested(workspace, pool));
+            .retain(|workspace, pool| !is_idle(workspace, pool));
     }
 }
 
 impl Pool {
     /// Counts one who is refused; returns when there is probably room, after all those who were refused before.
-    fn refuse(&mut self, now: Now, rate: f64) -> Duration {
-        let passed = now.saturating_sub(self.refused).as_secs_f64();
-        self.backlog = self.backlog * (-passed / BACKLOG_TIME.as_secs_f64()).exp() + 1.0;
-        self.refused = now;
-        let wait = self.backlog / rate.max(f64::MIN_POSITIVE);
-        Duration::try_from_secs_f64(wait)
-            .unwrap_or(MOST_WAIT)
-            .clamp(LEAST_WAIT, MOST_WAIT)
+    fn record_refusal(&mut self, now: Now, rate: f64) -> Duration {
+        let elapsed = now.saturating_sub(self.last_refusal).as_secs_f64();
+        self.backlog = self.backlog * (-elapsed / BACKLOG_DECAY_TIME.as_secs_f64()).exp() + 1.0;
+        self.last_refusal = now;
+        let retry_after = self.backlog / rate.max(f64::MIN_POSITIVE);
+        Duration::try_from_secs_f64(retry_after)
+            .unwrap_or(MAX_RETRY_AFTER)
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 /// The part of the slack that the bucket uses; each fragment of a fleet may hold one request of the rest.
-const SLACK_USED: f64 = 0.5;
+const SLACK_FRACTION: f64 = 0.5;
 /// The least part of the burst that may be let in at once, where the bound leaves little beside the rate.
-const LEAST_OF_BURST: f64 = 0.25;
+const MIN_BURST_FRACTION: f64 = 0.25;
 
 /// How a quota is counted: in every window, no more than rate times window and the burst, and a little over.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -27,13 +27,14 @@
     pub fn bucket(&self, quota: Limit, grant: Duration) -> Limit {
         let window = self.window.as_secs_f64();
         let in_window = (quota.rate * window + quota.burst) * (1.0 + self.overage);
-        let most = in_window + self.slack * SLACK_USED;
-        let spent_within = window + grant.as_secs_f64();
-        let least_burst = (quota.burst * LEAST_OF_BURST).max(1.0);
-        let rate = (quota.rate + quota.burst / window).min((most - least_burst) / spent_within);
+        let max_in_window = in_window + self.slack * SLACK_FRACTION;
+        let spending_seconds = window + grant.as_secs_f64();
+        let min_burst = (quota.burst * MIN_BURST_FRACTION).max(1.0);
+        let rate =
+            (quota.rate + quota.burst / window).min((max_in_window - min_burst) / spending_seconds);
         Limit {
             rate: rate.max(0.0),
-            burst: most - rate.max(0.0) * spent_within,
+            burst: max_in_window - rate.max(0.0) * spending_seconds,
         }
     }
 }
--- a/crates/sorrelturn-quota/src/lib.rs
+++ b/crates/sorrelturn-quota/src/lib.rs
@@ -8,9 +8,9 @@
 
 pub use accountant::Accountant;
 pub use bound::Bound;
-pub use entry::{Entry, RENEW_AFTER_PART, Target};
-pub use messages::{Draw, Drawn, Loan, Outcome, Stamp};
-pub use shard::{SHARDS, Shard, ShardSet, preferred};
+pub use entry::{Entry, RENEW_AFTER_FRACTION, Target};
+pub use messages::{AcquireReply, AcquireRequest, ClockReading, Lease, Outcome};
+pub use shard::{SHARDS, Shard, ShardSet, preferred_accountant};
 
 /// A point in time: what has passed since the process started, the time included that its VM was suspended.
 pub type Now = std::time::Duration;
@@ -26,12 +26,12 @@
 
 /// So much of a lease there is for each member at least: an accountant then answers some 800 renewals a second, 3 % of a
 /// core, however large the fleet is.
-const LEAST_LEASE_OF_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
+const MIN_LEASE_PER_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
 
 impl Terms {
     /// For how long a share is lent in a fleet of so many members.
-    pub fn lease_among(&self, members: u32) -> std::time::Duration {
-        self.lease.max(LEAST_LEASE_OF_MEMBER * members)
+    pub fn lease_duration(&self, members: u32) -> std::time::Duration {
+        self.lease.max(MIN_LEASE_PER_MEMBER * members)
     }
 }
 
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -23,7 +23,7 @@
         (0..SHARDS as u8).map(Self)
     }
 
-    pub(crate) fn at(self) -> usize {
+    pub(crate) fn index(self) -> usize {
         usize::from(self.0)
     }
 }
@@ -66,7 +66,7 @@
 
 /// The member that all who know the same members take for a shard's accountant. When one comes or goes, only the
 /// shards that fall to it or were its own move.
-pub fn preferred<'a>(
+pub fn preferred_accountant<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
 ) -> Option<Incarnation> {
@@ -75,6 +75,6 @@
         (shard.0, instance).hash(&mut hasher);
         hasher.finish()
     };
-    let weighed = members.map(|(instance, run)| (weight(instance), run));
-    weighed.max().map(|(_, run)| run)
+    let weighted = members.map(|(instance, incarnation)| (weight(instance), incarnation));
+    weighted.max().map(|(_, incarnation)| incarnation)
 }
--- a/crates/sorrelturn-quota/tests/accountant.rs
+++ b/crates/sorrelturn-quota/tests/accountant.rs
@@ -2,7 +2,7 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Accountant, Draw, Limit, Loan, Now, Outcome, Shard, ShardSet, Stamp, Terms,
+    Accountant, AcquireRequest, ClockReading, Lease, Limit, Now, Outcome, Shard, ShardSet, Terms,
 };
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     lease: Duration::from_secs(1),
     grant: Duration::from_millis(300),
 };
-const RUN: Incarnation = Incarnation(9);
+const INCARNATION: Incarnation = Incarnation(9);
 const LIMIT: Limit = Limit {
     rate: 100.0,
     burst: 50.0,
@@ -22,19 +22,22 @@
 }
 
 /// A draw that lends the share of the workspace's shard, with a stamp of this moment.
-fn draw(from: u64, now: Now, wanted: u32) -> Draw {
+fn request(from: u64, now: Now, requested: u32) -> AcquireRequest {
     let shards: ShardSet = [Shard::of(WORKSPACE)].into_iter().collect();
-    let stamp = Stamp { run: RUN, at: now };
-    Draw {
+    let clock_reading = ClockReading {
+        incarnation: INCARNATION,
+        at: now,
+    };
+    AcquireRequest {
         from: Incarnation(from),
-        loan: Some(Loan {
-            stamp,
+        lease: Some(Lease {
+            clock_reading,
             shards,
-            lasts: TERMS.lease,
+            duration: TERMS.lease,
         }),
         members: 1,
         workspace: Some(WORKSPACE),
-        wanted,
+        requested,
     }
 }
 
@@ -46,7 +49,7 @@
 }
 
 /// All of `lenders` draw as much as there is in each step of 10 ms; returns how much ran.
-fn press(
+fn acquire_in_steps(
     accountant: &mut Accountant,
     lenders: &[u64],
     members: u32,
@@ -56,13 +59,13 @@
     steps
         .flat_map(|ms| lenders.iter().map(move |lender| (ms, *lender)))
         .map(|(ms, lender)| {
-            let draw = Draw {
+            let request = AcquireRequest {
                 members,
-                ..draw(lender, at_ms(ms), 100)
+                ..request(lender, at_ms(ms), 100)
             };
             granted(
                 accountant
-                    .draw(at_ms(ms), &draw, Some(LIMIT), members)
+                    .acquire(at_ms(ms), &request, Some(LIMIT), members)
                     .outcome,
             )
         })
@@ -72,35 +75,35 @@
 #[test]
 fn it_grants_as_much_of_the_rate_as_is_lent() {
     for (lenders, part) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
-        let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
-        let ran = press(&mut accountant, lenders, 4, 0..5_000);
-        let wanted = LIMIT.rate * 5.0 * part;
+        let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+        let ran = acquire_in_steps(&mut accountant, lenders, 4, 0..5_000);
+        let requested = LIMIT.rate * 5.0 * part;
         assert!(
-            (f64::from(ran) - wanted).abs() <= 0.02 * wanted + 1.0,
-            "{ran} {wanted}"
+            (f64::from(ran) - requested).abs() <= 0.02 * requested + 1.0,
+            "{ran} {requested}"
         );
     }
 }
 
 #[test]
 fn the_share_of_a_member_that_has_gone_is_not_the_others_before_its_loan_is_over() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
-    press(&mut accountant, &[1, 2, 3], 3, 0..2_000);
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    acquire_in_steps(&mut accountant, &[1, 2, 3], 3, 0..2_000);
     // The third has gone, and its share was lent up to 2,990 ms.
-    let ran = press(&mut accountant, &[1, 2], 2, 2_000..3_000);
+    let ran = acquire_in_steps(&mut accountant, &[1, 2], 2, 2_000..3_000);
     assert!(f64::from(ran) <= LIMIT.rate * 1.0 + 1.0, "{ran}");
-    let later = press(&mut accountant, &[1, 2], 2, 4_000..5_000);
+    let later = acquire_in_steps(&mut accountant, &[1, 2], 2, 4_000..5_000);
     assert!(f64::from(later) >= LIMIT.rate * 0.95, "{later}");
 }
 
 #[test]
 fn a_loan_that_arrives_late_counts_from_its_stamp() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
-    let late = draw(1, at_ms(0), 100);
-    let drawn = accountant.draw(at_ms(1_500), &late, Some(LIMIT), 1);
-    assert_eq!(granted(drawn.outcome), 0);
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let late_request = request(1, at_ms(0), 100);
+    let reply = accountant.acquire(at_ms(1_500), &late_request, Some(LIMIT), 1);
+    assert_eq!(granted(reply.outcome), 0);
     assert_eq!(
-        accountant.part_lent(at_ms(1_500), Shard::of(WORKSPACE), 1),
+        accountant.leased_fraction(at_ms(1_500), Shard::of(WORKSPACE), 1),
         0.0
     );
 }
@@ -108,61 +111,61 @@
 #[test]
 fn a_stamp_of_an_earlier_run_lends_nothing() {
     let mut accountant = Accountant::new(Incarnation(8), TERMS, Now::ZERO);
-    accountant.draw(at_ms(10), &draw(1, at_ms(10), 1), Some(LIMIT), 1);
+    accountant.acquire(at_ms(10), &request(1, at_ms(10), 1), Some(LIMIT), 1);
     assert_eq!(
-        accountant.part_lent(at_ms(10), Shard::of(WORKSPACE), 1),
+        accountant.leased_fraction(at_ms(10), Shard::of(WORKSPACE), 1),
         0.0
     );
 }
 
 #[test]
 fn whoever_presses_more_is_told_to_come_back_later() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
-    press(&mut accountant, &[1], 1, 0..1_000);
-    let wait = |accountant: &mut Accountant, ms| match accountant
-        .draw(at_ms(ms), &draw(1, at_ms(ms), 1), Some(LIMIT), 1)
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    acquire_in_steps(&mut accountant, &[1], 1, 0..1_000);
+    let retry_after = |accountant: &mut Accountant, ms| match accountant
+        .acquire(at_ms(ms), &request(1, at_ms(ms), 1), Some(LIMIT), 1)
         .outcome
     {
-        Outcome::UsedUp(wait) => wait,
+        Outcome::UsedUp(retry_after) => retry_after,
         other => panic!("{other:?}"),
     };
-    let first = wait(&mut accountant, 991);
+    let first = retry_after(&mut accountant, 991);
     for _ in 0..200 {
-        wait(&mut accountant, 992);
+        retry_after(&mut accountant, 992);
     }
-    assert!(wait(&mut accountant, 993) > 2 * first);
+    assert!(retry_after(&mut accountant, 993) > 2 * first);
 }
 
 #[test]
 fn a_lower_limit_takes_what_had_gathered() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     for ms in (0..2_000).step_by(100) {
-        let idle = Draw {
+        let idle = AcquireRequest {
             workspace: None,
-            ..draw(1, at_ms(ms), 0)
+            ..request(1, at_ms(ms), 0)
         };
-        accountant.draw(at_ms(ms), &idle, None, 1);
+        accountant.acquire(at_ms(ms), &idle, None, 1);
     }
     let lower = Limit {
         rate: 1.0,
         burst: 2.0,
     };
-    let drawn = accountant.draw(at_ms(2_000), &draw(1, at_ms(2_000), 100), Some(lower), 1);
-    assert_eq!(drawn.outcome, Outcome::Granted(2));
+    let reply = accountant.acquire(at_ms(2_000), &request(1, at_ms(2_000), 100), Some(lower), 1);
+    assert_eq!(reply.outcome, Outcome::Granted(2));
 }
 
 /// A thread may be held up between its reading of the clock and its turn at the accountant, for as long as a VM is frozen.
 #[test]
 fn a_reading_of_the_clock_that_comes_out_of_order_counts_no_time_twice() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     let mut ran = 0;
     for ms in (0..5_000u64).step_by(10) {
         for read in [ms, ms.saturating_sub(400)] {
-            let draw = draw(1, at_ms(read), 100);
-            let drawn = accountant.draw(at_ms(read), &draw, Some(LIMIT), 1);
-            ran += granted(drawn.outcome);
+            let request = request(1, at_ms(read), 100);
+            let reply = accountant.acquire(at_ms(read), &request, Some(LIMIT), 1);
+            ran += granted(reply.outcome);
         }
-        accountant.part_lent(at_ms(ms.saturating_sub(300)), Shard::of(WORKSPACE), 1);
+        accountant.leased_fraction(at_ms(ms.saturating_sub(300)), Shard::of(WORKSPACE), 1);
     }
     assert!(f64::from(ran) <= LIMIT.rate * 5.0 + 1.0, "{ran}");
 }
@@ -170,13 +173,13 @@
 /// While the settings of a fleet change, lenders and accountants may have different ones.
 #[test]
 fn a_loan_is_over_when_it_is_for_its_lender() {
-    let mut accountant = Accountant::new(RUN, TERMS, Now::ZERO);
-    let mut short = draw(1, at_ms(0), 1);
-    if let Some(loan) = &mut short.loan {
-        loan.lasts = Duration::from_millis(250);
+    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let mut short = request(1, at_ms(0), 1);
+    if let Some(lease) = &mut short.lease {
+        lease.duration = Duration::from_millis(250);
     }
-    accountant.draw(at_ms(0), &short, Some(LIMIT), 1);
-    let mut part = |ms| accountant.part_lent(at_ms(ms), Shard::of(WORKSPACE), 1);
+    accountant.acquire(at_ms(0), &short, Some(LIMIT), 1);
+    let mut part = |ms| accountant.leased_fraction(at_ms(ms), Shard::of(WORKSPACE), 1);
     assert_eq!(part(249), 1.0);
     assert_eq!(part(250), 0.0);
 }
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -4,7 +4,9 @@
 //! The search is breadth first and sees each state once, so a trace that it finds is a shortest one.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
-use sorrelturn_quota::{Accountant, Draw, Drawn, Entry, Limit, Now, Outcome, Shard, Target, Terms};
+use sorrelturn_quota::{
+    Accountant, AcquireReply, AcquireRequest, Entry, Limit, Now, Outcome, Shard, Target, Terms,
+};
 use std::{
     collections::{HashMap, VecDeque},
     fmt::Write,
@@ -26,44 +28,44 @@
     burst: 2.0,
 };
 /// The bound of the search: it has to hold a start, a loan that lapses, and one to somebody else.
-const MOST_TICKS: u32 = FIRST_TICK + 2;
+const MAX_TICKS: u32 = FIRST_TICK + 2;
 /// When the search begins, both daemons have lent their shares to the first of them for so long.
 const FIRST_TICK: u32 = 8;
-const MOST_MESSAGES: usize = 2;
-const MOST_RESTARTS: u32 = 1;
-const MOST_SWITCHES: u32 = 1;
+const MAX_MESSAGES: usize = 2;
+const MAX_RESTARTS: u32 = 1;
+const MAX_SWITCHES: u32 = 1;
 
 /// What a model does wrong, to show that the search would notice.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutation {
     None,
     /// An answer that is delivered twice is honoured twice.
-    HonoursTwice,
+    AcceptsReplyTwice,
     /// A run that starts anew lends at once.
-    SuccessorBeginsAtOnce,
+    LeasesAtOnceAfterRestart,
 }
 
 #[derive(Clone, Debug)]
 enum Message {
-    Asks {
+    Request {
         to: usize,
         sent: Now,
-        draw: Draw,
+        req: AcquireRequest,
     },
-    Answers {
+    Reply {
         to: usize,
-        run: Incarnation,
+        incarnation: Incarnation,
         sent: Now,
-        drawn: Drawn,
+        reply: AcquireReply,
     },
 }
 
 #[derive(Clone)]
 struct Daemon {
-    run: Incarnation,
+    incarnation: Incarnation,
     entry: Entry,
     accountant: Accountant,
-    prefers: usize,
+    preferred: usize,
 }
 
 #[derive(Clone)]
@@ -81,10 +83,10 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Tick,
-    Ask(usize),
+    Request(usize),
     Deliver(usize),
     DeliverAndKeep(usize),
-    Lose(usize),
+    Drop(usize),
     Prefer(usize),
     Restart(usize),
     LowerLimit,
@@ -102,11 +104,11 @@
             is_lowered: false,
             ran: Vec::new(),
         };
-        state.prefer_anew();
+        state.update_preferred();
         while state.ticks < FIRST_TICK {
             state.ticks += 1;
             for at in 0..DAEMONS {
-                state.ask_for(at, None);
+                state.send_request(at, None);
                 while let Some(message) = state.messages.pop() {
                     state.deliver(message);
                 }
@@ -120,43 +122,49 @@
     }
 
     fn limit(&self) -> Limit {
-        let part = if self.is_lowered { 0.5 } else { 1.0 };
+        let factor = if self.is_lowered { 0.5 } else { 1.0 };
         Limit {
-            rate: LIMIT.rate * part,
-            burst: LIMIT.burst * part,
+            rate: LIMIT.rate * factor,
+            burst: LIMIT.burst * factor,
         }
     }
 
     /// All daemons hear of changed preferences and of new runs.
-    fn prefer_anew(&mut self) {
-        let runs: Vec<Incarnation> = self.daemons.iter().map(|daemon| daemon.run).collect();
+    fn update_preferred(&mut self) {
+        let incarnations: Vec<Incarnation> = self
+            .daemons
+            .iter()
+            .map(|daemon| daemon.incarnation)
+            .collect();
         for daemon in &mut self.daemons {
-            let prefers = runs[daemon.prefers];
-            daemon.entry.prefer(DAEMONS as u32, |shard| {
-                (shard == Shard(0)).then_some(prefers)
+            let preferred = incarnations[daemon.preferred];
+            daemon.entry.set_preferred(DAEMONS as u32, |shard| {
+                (shard == Shard(0)).then_some(preferred)
             });
         }
     }
 
     fn steps(&self, mutation: Mutation) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.ticks < MOST_TICKS {
+        if self.ticks < MAX_TICKS {
             steps.push(Step::Tick);
         }
-        if self.messages.len() < MOST_MESSAGES {
-            steps.extend((0..DAEMONS).map(Step::Ask));
+        if self.messages.len() < MAX_MESSAGES {
+            steps.extend((0..DAEMONS).map(Step::Request));
         }
         for (at, message) in self.messages.iter().enumerate() {
-            steps.extend([Step::Deliver(at), Step::Lose(at)]);
-            let asks = matches!(message, Message::Asks { .. });
-            if (asks || mutation == Mutation::HonoursTwice) && self.messages.len() < MOST_MESSAGES {
+            steps.extend([Step::Deliver(at), Step::Drop(at)]);
+            let is_request = matches!(message, Message::Request { .. });
+            if (is_request || mutation == Mutation::AcceptsReplyTwice)
+                && self.messages.len() < MAX_MESSAGES
+            {
                 steps.push(Step::DeliverAndKeep(at));
             }
         }
-        if self.switches < MOST_SWITCHES {
+        if self.switches < MAX_SWITCHES {
             steps.extend((0..DAEMONS).map(Step::Prefer));
         }
-        if self.restarts < MOST_RESTARTS {
+        if self.restarts < MAX_RESTARTS {
             steps.extend((0..DAEMONS).map(Step::Restart));
         }
         if !self.is_lowered {
@@ -169,7 +177,7 @@
         let mut next = self.clone();
         match step {
             Step::Tick => next.ticks += 1,
-            Step::Ask(at) => next.ask(at),
+            Step::Request(at) => next.request(at),
             Step::Deliver(at) => {
                 let message = next.messages.remove(at);
                 next.deliver(message);
@@ -178,77 +186,79 @@
                 let message = next.messages[at].clone();
                 next.deliver(message);
             }
-            Step::Lose(at) => drop(next.messages.remove(at)),
+            Step::Drop(at) => drop(next.messages.remove(at)),
             Step::Prefer(at) => {
                 next.switches += 1;
-                next.daemons[at].prefers = 1 - next.daemons[at].prefers;
-                next.prefer_anew();
+                next.daemons[at].preferred = 1 - next.daemons[at].preferred;
+                next.update_preferred();
             }
             Step::Restart(at) => {
                 next.restarts += 1;
-                let run = next.daemons[at].run.0 + 10;
-                let prefers = next.daemons[at].prefers;
-                next.daemons[at] = Daemon::new(run, next.now(), mutation);
-                next.daemons[at].prefers = prefers;
-                next.prefer_anew();
+                let incarnation = next.daemons[at].incarnation.0 + 10;
+                let preferred = next.daemons[at].preferred;
+                next.daemons[at] = Daemon::new(incarnation, next.now(), mutation);
+                next.daemons[at].preferred = preferred;
+                next.update_preferred();
             }
             Step::LowerLimit => next.is_lowered = true,
         }
         next
     }
 
-    fn ask(&mut self, at: usize) {
-        self.ask_for(at, Some(WORKSPACE));
+    fn request(&mut self, at: usize) {
+        self.send_request(at, Some(WORKSPACE));
     }
 
-    fn ask_for(&mut self, at: usize, workspace: Option<CallerId>) {
+    fn send_request(&mut self, at: usize, workspace: Option<CallerId>) {
         let now = self.now();
         let entry = &mut self.daemons[at].entry;
         let Some(target) = entry.target(now, Shard(0)) else {
             return;
         };
-        let draw = entry.draw(target, DAEMONS as u32, workspace);
+        let req = entry.acquire_request(target, DAEMONS as u32, workspace);
         // An accountant whose run is over is asked for nothing.
-        if let Some(to) = self.at_run(target) {
+        if let Some(to) = self.position_of(target) {
             let sent = now;
-            self.messages.push(Message::Asks { to, sent, draw });
+            self.messages.push(Message::Request { to, sent, req });
         }
     }
 
-    fn at_run(&self, target: Target) -> Option<usize> {
+    fn position_of(&self, target: Target) -> Option<usize> {
         let mut daemons = self.daemons.iter();
-        daemons.position(|daemon| daemon.run == target.accountant)
+        daemons.position(|daemon| daemon.incarnation == target.accountant)
     }
 
     fn deliver(&mut self, message: Message) {
         let (now, limit) = (self.now(), self.limit());
         match message {
-            Message::Asks { to, sent, draw } => {
+            Message::Request { to, sent, req } => {
                 let accountant = &mut self.daemons[to].accountant;
-                let drawn = accountant.draw(now, &draw, Some(limit), DAEMONS as u32);
-                let asker = self
+                let reply = accountant.acquire(now, &req, Some(limit), DAEMONS as u32);
+                let requester = self
                     .daemons
                     .iter()
-                    .position(|daemon| daemon.run == draw.from);
-                if let Some(to) = asker {
-                    let run = draw.from;
-                    let answer = Message::Answers {
+                    .position(|daemon| daemon.incarnation == req.from);
+                if let Some(to) = requester {
+                    let incarnation = req.from;
+                    let reply_message = Message::Reply {
                         to,
-                        run,
+                        incarnation,
                         sent,
-                        drawn,
+                        reply,
                     };
-                    self.messages.push(answer);
+                    self.messages.push(reply_message);
                 }
             }
-            Message::Answers {
+            Message::Reply {
                 to,
-                run,
+                incarnation,
                 sent,
-                drawn,
+                reply,
             } => {
                 let daemon = &mut self.daemons[to];
-                if daemon.run == run && daemon.entry.drawn(now, sent, WORKSPACE, &drawn) {
+                if daemon.incarnation == incarnation
+                    && daemon.entry.accept_reply(now, sent, WORKSPACE, &reply)
+                {
                     self.ran.push(self.ticks);
                 }
             }
@@ -256,15 +266,19 @@
     }
 
     /// What must hold: no more than all shares are lent, and no window sees more requests than the limit allows.
-    fn broken(&self) -> Option<String> {
+    fn violation(&self) -> Option<String> {
         let now = self.now();
         let mut daemons = self.daemons.clone();
-        let lent: f64 = daemons
+        let leased: f64 = daemons
             .iter_mut()
-            .map(|daemon| daemon.accountant.part_lent(now, Shard(0), DAEMONS as u32))
+            .map(|daemon| {
+                daemon
+                    .accountant
+                    .leased_fraction(now, Shard(0), DAEMONS as u32)
+            })
             .sum();
-        if lent > 1.0 + f64::EPSILON {
-            return Some(format!("{lent} of the shares are lent"));
+        if leased > 1.0 + f64::EPSILON {
+            return Some(format!("{leased} of the shares are lent"));
         }
         for from in 0..=self.ticks {
             let ran = self.ran.iter().filter(|tick| **tick >= from).count();
@@ -285,7 +299,7 @@
             write!(
                 text,
                 "{:?}{:?}{}",
-                daemon.entry, daemon.accountant, daemon.prefers
+                daemon.entry, daemon.accountant, daemon.preferred
             )
             .expect("text");
         }
@@ -298,17 +312,17 @@
     }
 
     /// Whether both daemons are let in when messages pass and nothing else happens.
-    fn goes_on(&self) -> bool {
-        const ENOUGH_TICKS: u32 = 12;
+    fn makes_progress(&self) -> bool {
+        const MAX_PROGRESS_TICKS: u32 = 12;
         let mut state = self.clone();
         state.messages.clear();
         // Each by itself, so that the other one takes nothing.
         (0..DAEMONS).all(|at| {
             let mut state = state.clone();
             let before = state.ran.len();
-            (0..ENOUGH_TICKS).any(|_| {
+            (0..MAX_PROGRESS_TICKS).any(|_| {
                 state.ticks += 1;
-                state.ask(at);
+                state.request(at);
                 while let Some(message) = state.messages.pop() {
                     state.deliver(message);
                 }
@@ -319,105 +333,117 @@
 }
 
 impl Daemon {
-    fn new(run: u64, now: Now, mutation: Mutation) -> Self {
-        let run = Incarnation(run);
-        let entry_starts = match mutation {
-            Mutation::SuccessorBeginsAtOnce => now.saturating_sub(2 * TERMS.lease),
+    fn new(incarnation: u64, now: Now, mutation: Mutation) -> Self {
+        let incarnation = Incarnation(incarnation);
+        let entry_started = match mutation {
+            Mutation::LeasesAtOnceAfterRestart => now.saturating_sub(2 * TERMS.lease),
             _ => now,
         };
         Self {
-            run,
-            entry: Entry::new(run, TERMS, entry_starts),
-            accountant: Accountant::new(run, TERMS, now),
-            prefers: 0,
+            incarnation,
+            entry: Entry::new(incarnation, TERMS, entry_started),
+            accountant: Accountant::new(incarnation, TERMS, now),
+            preferred: 0,
         }
     }
 }
 
 /// What a search has come to.
-struct Found {
+struct SearchResult {
     states: usize,
     /// The shortest way to a state that is not allowed.
     trace: Option<(Vec<Step>, String)>,
 }
 
-fn search(mutation: Mutation, most_states: usize) -> Found {
+fn search(mutation: Mutation, max_states: usize) -> SearchResult {
     let start = State::new(mutation);
-    let mut ways: HashMap<u64, Option<(u64, Step)>> = HashMap::new();
-    ways.insert(start.key(), None);
-    let mut open = VecDeque::from([start]);
-    while let Some(state) = open.pop_front() {
+    let mut predecessors: HashMap<u64, Option<(u64, Step)>> = HashMap::new();
+    predecessors.insert(start.key(), None);
+    let mut queue = VecDeque::from([start]);
+    while let Some(state) = queue.pop_front() {
         let key = state.key();
-        if let Some(broken) = state.broken() {
-            let trace = Some((way_to(key, &ways), broken));
-            return Found {
-                states: ways.len(),
+        if let Some(violation) = state.violation() {
+            let trace = Some((trace_to(key, &predecessors), violation));
+            return SearchResult {
+                states: predecessors.len(),
                 trace,
             };
         }
         if mutation == Mutation::None {
-            assert!(state.goes_on(), "stuck after {:?}", way_to(key, &ways));
+            assert!(
+                state.makes_progress(),
+                "stuck after {:?}",
+                trace_to(key, &predecessors)
+            );
         }
-        if ways.len() >= most_states {
+        if predecessors.len() >= max_states {
             continue;
         }
         for step in state.steps(mutation) {
             let next = state.after(step, mutation);
-            if let std::collections::hash_map::Entry::Vacant(new) = ways.entry(next.key()) {
+            if let std::collections::hash_map::Entry::Vacant(new) = predecessors.entry(next.key()) {
                 new.insert(Some((key, step)));
-                open.push_back(next);
+                queue.push_back(next);
             }
         }
     }
-    Found {
-        states: ways.len(),
+    SearchResult {
+        states: predecessors.len(),
         trace: None,
     }
 }
 
-fn way_to(mut key: u64, ways: &HashMap<u64, Option<(u64, Step)>>) -> Vec<Step> {
-    let mut way = Vec::new();
-    while let Some((before, step)) = ways[&key] {
-        way.push(step);
+fn trace_to(mut key: u64, predecessors: &HashMap<u64, Option<(u64, Step)>>) -> Vec<Step> {
+    let mut trace = Vec::new();
+    while let Some((before, step)) = predecessors[&key] {
+        trace.push(step);
         key = before;
     }
-    way.reverse();
-    way
+    trace.reverse();
+    trace
 }
 
 /// The search ends here: as many as are seen in some ten seconds.
-const MOST_STATES: usize = 150_000;
+const MAX_STATES: usize = 150_000;
 
 #[test]
 fn model_check() {
-    let found = search(Mutation::None, MOST_STATES);
-    println!("{} states", found.states);
-    assert!(found.trace.is_none(), "{:?}", found.trace);
+    let result = search(Mutation::None, MAX_STATES);
+    println!("{} states", result.states);
+    assert!(result.trace.is_none(), "{:?}", result.trace);
 }
 
 #[test]
 fn a_grant_that_is_honoured_twice_is_found() {
-    let (trace, broken) = search(Mutation::HonoursTwice, MOST_STATES)
+    let (trace, violation) = search(Mutation::AcceptsReplyTwice, MAX_STATES)
         .trace
         .expect("it is found");
-    println!("{broken} after {trace:?}");
+    println!("{violation} after {trace:?}");
 }
 
 #[test]
 fn a_successor_that_begins_at_once_is_found() {
-    let found = search(Mutation::SuccessorBeginsAtOnce, MOST_STATES);
-    let (trace, broken) = found.trace.expect("it is found");
-    println!("{broken} after {trace:?}");
+    let result = search(Mutation::LeasesAtOnceAfterRestart, MAX_STATES);
+    let (trace, violation) = result.trace.expect("it is found");
+    println!("{violation} after {trace:?}");
 }
 
 #[test]
 fn what_is_granted_is_used_once() {
     let mut entry = Entry::new(Incarnation(1), TERMS, Now::ZERO);
-    let stamp = sorrelturn_quota::Stamp {
-        run: Incarnation(2),
+    let clock_reading = sorrelturn_quota::ClockReading {
+        incarnation: Incarnation(2),
         at: Now::ZERO,
     };
     let outcome = Outcome::Granted(1);
-    assert!(entry.drawn(Now::ZERO, Now::ZERO, WORKSPACE, &Drawn { stamp, outcome }));
-    assert!(!entry.take(Now::ZERO, WORKSPACE));
+    assert!(entry.accept_reply(
+        Now::ZERO,
+        Now::ZERO,
+        WORKSPACE,
+        &AcquireReply {
+            clock_reading,
+            outcome
+        }
+    ));
+    assert!(!entry.use_grant(Now::ZERO, WORKSPACE));
 }
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -7,7 +7,7 @@
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use sorrelturn_protocol::{CallerId, Incarnation};
-use sorrelturn_quota::{Accountant, Draw, Drawn, Entry, Limit, Now, Shard, Terms};
+use sorrelturn_quota::{Accountant, AcquireReply, AcquireRequest, Entry, Limit, Now, Shard, Terms};
 use std::time::Duration;
 
 const DAEMONS: u32 = 3;
@@ -24,20 +24,20 @@
 /// What runs is counted in windows of this length.
 const WINDOW: Duration = Duration::from_secs(1);
 /// By how much clocks run unevenly, in parts of a hundred; the lease's margin bears 5 between two of them.
-const UNEVEN_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
+const CLOCK_RATE_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
 /// Steps of one schedule: some ten leases.
 const STEPS: usize = 600;
 
 /// What happens next.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     /// So many requests at once.
-    Ask(usize, usize),
+    Request(usize, usize),
     Renew(usize),
     Deliver(Index),
     DeliverTwice(Index),
-    Lose(Index),
+    Drop(Index),
     Prefer(usize, usize),
     Restart(usize),
 }
@@ -56,13 +56,13 @@
     fn transitions(_: &()) -> BoxedStrategy<Step> {
         let daemon = || 0..DAEMONS as usize;
         prop_oneof![
-            10 => (1..40u64).prop_map(Step::Pass),
-            6 => (daemon(), 1..6usize).prop_map(|(at, requests)| Step::Ask(at, requests)),
+            10 => (1..40u64).prop_map(Step::Advance),
+            6 => (daemon(), 1..6usize).prop_map(|(at, requests)| Step::Request(at, requests)),
             24 => daemon().prop_map(Step::Renew),
             80 => any::<Index>().prop_map(Step::Deliver),
             2 => any::<Index>().prop_map(Step::DeliverTwice),
-            1 => any::<Index>().prop_map(Step::Lose),
-            1 => (daemon(), daemon()).prop_map(|(at, prefers)| Step::Prefer(at, prefers)),
+            1 => any::<Index>().prop_map(Step::Drop),
+            1 => (daemon(), daemon()).prop_map(|(at, preferred)| Step::Prefer(at, preferred)),
             1 => daemon().prop_map(Step::Restart),
         ]
         .boxed()
@@ -73,45 +73,45 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Asks {
+    Request {
         to: Incarnation,
         sent: Now,
-        draw: Draw,
+        req: AcquireRequest,
     },
-    Answers {
+    Reply {
         to: Incarnation,
         sent: Now,
-        drawn: Drawn,
+        reply: AcquireReply,
     },
 }
 
 struct Daemon {
-    run: Incarnation,
+    incarnation: Incarnation,
     entry: Entry,
     accountant: Accountant,
     /// Which daemon it takes for the accountant.
-    prefers: usize,
-    uneven_percent: u32,
+    preferred: usize,
+    clock_rate_percent: u32,
 }
 
 impl Daemon {
-    fn new(run: Incarnation, uneven_percent: u32, now: Duration) -> Self {
+    fn new(incarnation: Incarnation, clock_rate_percent: u32, now: Duration) -> Self {
         let mut daemon = Self {
-            run,
-            entry: Entry::new(run, TERMS, Now::ZERO),
-            accountant: Accountant::new(run, TERMS, Now::ZERO),
-            prefers: 0,
-            uneven_percent,
+            incarnation,
+            entry: Entry::new(incarnation, TERMS, Now::ZERO),
+            accountant: Accountant::new(incarnation, TERMS, Now::ZERO),
+            preferred: 0,
+            clock_rate_percent,
         };
-        let now = daemon.reads(now);
-        daemon.entry = Entry::new(run, TERMS, now);
-        daemon.accountant = Accountant::new(run, TERMS, now);
+        let now = daemon.clock_time(now);
+        daemon.entry = Entry::new(incarnation, TERMS, now);
+        daemon.accountant = Accountant::new(incarnation, TERMS, now);
         daemon
     }
 
     /// What its clock says.
-    fn reads(&self, now: Duration) -> Now {
-        now * self.uneven_percent / 100
+    fn clock_time(&self, now: Duration) -> Now {
+        now * self.clock_rate_percent / 100
     }
 }
 
@@ -119,55 +119,65 @@
     now: Duration,
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
-    last_run: u64,
+    last_incarnation: u64,
     /// When requests ran.
     ran: Vec<Duration>,
 }
 
 impl Fleet {
-    fn at_run(&self, run: Incarnation) -> Option<usize> {
-        self.daemons.iter().position(|daemon| daemon.run == run)
+    fn position_of(&self, incarnation: Incarnation) -> Option<usize> {
+        self.daemons
+            .iter()
+            .position(|daemon| daemon.incarnation == incarnation)
     }
 
-    fn prefer_anew(&mut self) {
-        let runs: Vec<Incarnation> = self.daemons.iter().map(|daemon| daemon.run).collect();
+    fn update_preferred(&mut self) {
+        let incarnations: Vec<Incarnation> = self
+            .daemons
+            .iter()
+            .map(|daemon| daemon.incarnation)
+            .collect();
         for daemon in &mut self.daemons {
-            let prefers = runs[daemon.prefers];
-            let of_shard = |shard| (shard == SHARD).then_some(prefers);
-            daemon.entry.prefer(DAEMONS, of_shard);
+            let preferred = incarnations[daemon.preferred];
+            let of_shard = |shard| (shard == SHARD).then_some(preferred);
+            daemon.entry.set_preferred(DAEMONS, of_shard);
         }
     }
 
-    fn ask(&mut self, at: usize, workspace: Option<CallerId>) {
+    fn request(&mut self, at: usize, workspace: Option<CallerId>) {
         let daemon = &mut self.daemons[at];
-        let sent = daemon.reads(self.now);
-        if workspace.is_some() && daemon.entry.take(sent, WORKSPACE) {
+        let sent = daemon.clock_time(self.now);
+        if workspace.is_some() && daemon.entry.use_grant(sent, WORKSPACE) {
             self.ran.push(self.now);
             return;
         }
         if let Some(target) = daemon.entry.target(sent, SHARD) {
-            let draw = daemon.entry.draw(target, DAEMONS, workspace);
+            let req = daemon.entry.acquire_request(target, DAEMONS, workspace);
             let to = target.accountant;
-            self.messages.push(Message::Asks { to, sent, draw });
+            self.messages.push(Message::Request { to, sent, req });
         }
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Asks { to, sent, draw } => {
+            Message::Request { to, sent, req } => {
                 // A run that is over answers nothing.
-                let Some(at) = self.at_run(to) else { return };
+                let Some(at) = self.position_of(to) else {
+                    return;
+                };
                 let daemon = &mut self.daemons[at];
-                let now = daemon.reads(self.now);
-                let drawn = daemon.accountant.draw(now, &draw, Some(LIMIT), DAEMONS);
-                let to = draw.from;
-                self.messages.push(Message::Answers { to, sent, drawn });
+                let now = daemon.clock_time(self.now);
+                let reply = daemon.accountant.acquire(now, &req, Some(LIMIT), DAEMONS);
+                let to = req.from;
+                self.messages.push(Message::Reply { to, sent, reply });
             }
-            Message::Answers { to, sent, drawn } => {
-                let Some(at) = self.at_run(to) else { return };
+            Message::Reply { to, sent, reply } => {
+                let Some(at) = self.position_of(to) else {
+                    return;
+                };
                 let daemon = &mut self.daemons[at];
-                let now = daemon.reads(self.now);
-                if daemon.entry.drawn(now, sent, WORKSPACE, &drawn) {
+                let now = daemon.clock_time(self.now);
+                if daemon.entry.accept_reply(now, sent, WORKSPACE, &reply) {
                     self.ran.push(self.now);
                 }
             }
@@ -184,26 +194,28 @@
     type Reference = AnySchedule;
 
     fn init_test(_: &()) -> Self {
-        let daemons = (1u64..).zip(UNEVEN_PERCENT);
-        let daemon = |(run, uneven)| Daemon::new(Incarnation(run), uneven, Duration::ZERO);
+        let daemons = (1u64..).zip(CLOCK_RATE_PERCENT);
+        let daemon = |(incarnation, clock_rate)| {
+            Daemon::new(Incarnation(incarnation), clock_rate, Duration::ZERO)
+        };
         let mut fleet = Self {
             now: Duration::ZERO,
             daemons: daemons.map(daemon).collect(),
             messages: Vec::new(),
-            last_run: DAEMONS.into(),
+            last_incarnation: DAEMONS.into(),
             ran: Vec::new(),
         };
-        fleet.prefer_anew();
+        fleet.update_preferred();
         fleet
     }
 
     fn apply(mut fleet: Self, _: &(), step: Step) -> Self {
         match step {
-            Step::Pass(ms) => fleet.now += Duration::from_millis(ms),
-            Step::Ask(at, requests) => {
-                (0..requests).for_each(|_| fleet.ask(at, Some(WORKSPACE)));
+            Step::Advance(ms) => fleet.now += Duration::from_millis(ms),
+            Step::Request(at, requests) => {
+                (0..requests).for_each(|_| fleet.request(at, Some(WORKSPACE)));
             }
-            Step::Renew(at) => fleet.ask(at, None),
+            Step::Renew(at) => fleet.request(at, None),
             Step::Deliver(index) => {
                 if let Some(at) = fleet.any_message(&index) {
                     let message = fleet.messages.remove(at);
@@ -213,46 +225,51 @@
             // An answer comes once: connections between daemons are streams.
             Step::DeliverTwice(index) => {
                 let message = fleet.any_message(&index).map(|at| &fleet.messages[at]);
-                if let Some(message @ Message::Asks { .. }) = message.cloned() {
+                if let Some(message @ Message::Request { .. }) = message.cloned() {
                     fleet.deliver(message);
                 }
             }
-            Step::Lose(index) => {
+            Step::Drop(index) => {
                 if let Some(at) = fleet.any_message(&index) {
                     fleet.messages.remove(at);
                 }
             }
-            Step::Prefer(at, prefers) => {
-                fleet.daemons[at].prefers = prefers;
-                fleet.prefer_anew();
+            Step::Prefer(at, preferred) => {
+                fleet.daemons[at].preferred = preferred;
+                fleet.update_preferred();
             }
             Step::Restart(at) => {
-                fleet.last_run += 1;
-                let (run, before) = (Incarnation(fleet.last_run), &fleet.daemons[at]);
-                let mut daemon = Daemon::new(run, before.uneven_percent, fleet.now);
-                daemon.prefers = before.prefers;
+                fleet.last_incarnation += 1;
+                let (incarnation, before) =
+                    (Incarnation(fleet.last_incarnation), &fleet.daemons[at]);
+                let mut daemon = Daemon::new(incarnation, before.clock_rate_percent, fleet.now);
+                daemon.preferred = before.preferred;
                 fleet.daemons[at] = daemon;
-                fleet.prefer_anew();
+                fleet.update_preferred();
             }
         }
         fleet
     }
 
     fn check_invariants(fleet: &Self, _: &()) {
-        let lent = |daemon: &Daemon| {
+        let leased = |daemon: &Daemon| {
             let mut accountant = daemon.accountant.clone();
-            accountant.part_lent(daemon.reads(fleet.now), SHARD, DAEMONS)
+            accountant.leased_fraction(daemon.clock_time(fleet.now), SHARD, DAEMONS)
         };
-        let lent: f64 = fleet.daemons.iter().map(lent).sum();
-        assert!(lent <= 1.0 + 1e-9, "{lent} of the shares are lent");
+        let leased: f64 = fleet.daemons.iter().map(leased).sum();
+        assert!(leased <= 1.0 + 1e-9, "{leased} of the shares are lent");
 
         let ran = fleet.ran.iter().rev();
         let in_window = ran.take_while(|at| fleet.now - **at <= WINDOW).count();
-        let most_uneven = f64::from(UNEVEN_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
-        let earned = LIMIT.rate * most_uneven * (WINDOW + TERMS.grant).as_secs_f64();
+        let max_clock_factor =
+            f64::from(CLOCK_RATE_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
+        let earned = LIMIT.rate * max_clock_factor * (WINDOW + TERMS.grant).as_secs_f64();
         // A request fits into each fragment of the fleet, however small its part of the burst is.
-        let most = earned + LIMIT.burst + f64::from(DAEMONS - 1);
-        assert!(in_window as f64 <= most, "{in_window} ran where {most} may");
+        let max_count = earned + LIMIT.burst + f64::from(DAEMONS - 1);
+        assert!(
+            in_window as f64 <= max_count,
+            "{in_window} ran where {max_count} may"
+        );
     }
 }
 
--- a/crates/sorrelturn-quota/tests/ways.rs
+++ b/crates/sorrelturn-quota/tests/ways.rs
@@ -5,15 +5,15 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Accountant, Bound, Entry, Limit, Now, Outcome, SHARDS, Shard, Terms, preferred,
+    Accountant, Bound, Entry, Limit, Now, Outcome, SHARDS, Shard, Terms, preferred_accountant,
 };
 use std::{collections::VecDeque, time::Duration};
 
 const ENTRIES: usize = 68;
 const WORKSPACES: usize = 76;
 /// What all workspaces usually send in a second.
-const USUAL: f64 = 2_100.0;
-const LIMIT_TIMES: f64 = 1.6;
+const USUAL_RATE: f64 = 2_100.0;
+const LIMIT_FACTOR: f64 = 1.6;
 const SECONDS: u64 = 16;
 const STEP: Duration = Duration::from_millis(10);
 const TERMS: Terms = Terms {
@@ -41,8 +41,8 @@
 }
 
 /// Whether a request of a workspace may run that comes to an entry.
-trait Way {
-    fn pass(&mut self, now: Now, is_cut: bool);
+trait QuotaScheme {
+    fn advance(&mut self, now: Now, is_cut: bool);
     fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
 }
 
@@ -71,20 +71,20 @@
 
     fn take(&mut self, now: Now) -> bool {
         self.fill(now);
-        let taken = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(taken));
-        taken
+        let accepted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(accepted));
+        accepted
     }
 }
 
 /// The sizes fall like one over the rank, as of a few large customers and many small ones.
-fn usual(workspace: usize) -> f64 {
+fn usual_rate(workspace: usize) -> f64 {
     let weights: f64 = (1..=WORKSPACES).map(|rank| 1.0 / rank as f64).sum();
-    USUAL / (workspace + 1) as f64 / weights
+    USUAL_RATE / (workspace + 1) as f64 / weights
 }
 
 fn limit(workspace: usize) -> Limit {
-    let rate = usual(workspace) * LIMIT_TIMES;
+    let rate = usual_rate(workspace) * LIMIT_FACTOR;
     Limit { rate, burst: rate }
 }
 
@@ -96,7 +96,7 @@
 struct Due {
     steps: VecDeque<u32>,
     in_window: u32,
-    most: f64,
+    max_count: f64,
 }
 
 impl Due {
@@ -105,11 +105,11 @@
         Self {
             steps: VecDeque::new(),
             in_window: 0,
-            most: rate * BOUND.window.as_secs_f64() + burst,
+            max_count: rate * BOUND.window.as_secs_f64() + burst,
         }
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.steps.push_back(0);
         if self.steps.len() > WINDOW_STEPS {
             self.in_window -= self.steps.pop_front().unwrap_or(0);
@@ -117,7 +117,7 @@
     }
 
     fn take(&mut self) -> bool {
-        let is_due = f64::from(self.in_window) + 1.0 <= self.most;
+        let is_due = f64::from(self.in_window) + 1.0 <= self.max_count;
         if let Some(step) = self.steps.back_mut().filter(|_| is_due) {
             *step += 1;
             self.in_window += 1;
@@ -133,10 +133,10 @@
     fn new() -> Self {
         let of_entry = |workspace| {
             let Limit { rate, burst } = bucket(workspace);
-            let part = ENTRIES as f64;
+            let divisor = ENTRIES as f64;
             Bucket::new(Limit {
-                rate: rate / part,
-                burst: (burst / part).max(1.0),
+                rate: rate / divisor,
+                burst: (burst / divisor).max(1.0),
             })
         };
         let entry: Vec<Bucket> = (0..WORKSPACES).map(of_entry).collect();
@@ -144,8 +144,8 @@
     }
 }
 
-impl Way for Static {
-    fn pass(&mut self, _: Now, _: bool) {}
+impl QuotaScheme for Static {
+    fn advance(&mut self, _: Now, _: bool) {}
 
     fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
         self.0[entry][workspace].take(now)
@@ -163,7 +163,7 @@
 }
 
 impl Counting {
-    const REPORT_EVERY: Duration = Duration::from_millis(200);
+    const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
     fn new() -> Self {
         let buckets: Vec<Bucket> = (0..WORKSPACES).map(|at| Bucket::new(bucket(at))).collect();
@@ -182,10 +182,10 @@
     }
 }
 
-impl Way for Counting {
-    fn pass(&mut self, now: Now, is_cut: bool) {
+impl QuotaScheme for Counting {
+    fn advance(&mut self, now: Now, is_cut: bool) {
         self.is_cut = is_cut;
-        if now < self.reported + Self::REPORT_EVERY {
+        if now < self.reported + Self::REPORT_INTERVAL {
             return;
         }
         self.reported = now;
@@ -205,31 +205,31 @@
     fn take(&mut self, _: Now, entry: usize, workspace: usize) -> bool {
         let left = self.left[self.side(entry)][workspace];
         let spent = &mut self.spent[entry][workspace];
-        let taken = left - *spent >= 1.0;
-        *spent += f64::from(u8::from(taken));
-        taken
+        let accepted = left - *spent >= 1.0;
+        *spent += f64::from(u8::from(accepted));
+        accepted
     }
 }
 
 /// The product's own way.
-struct Lent {
+struct LeasedShares {
     entries: Vec<Entry>,
     accountants: Vec<Accountant>,
     renewed: Now,
     is_cut: bool,
 }
 
-impl Lent {
-    const RENEW_EVERY: Duration = Duration::from_millis(400);
+impl LeasedShares {
+    const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
     fn new() -> Self {
-        let run = |at: usize| Incarnation(at as u64);
+        let incarnation = |at: usize| Incarnation(at as u64);
         Self {
             entries: (0..ENTRIES)
-                .map(|at| Entry::new(run(at), TERMS, Now::ZERO))
+                .map(|at| Entry::new(incarnation(at), TERMS, Now::ZERO))
                 .collect(),
             accountants: (0..ENTRIES)
-                .map(|at| Accountant::new(run(at), TERMS, Now::ZERO))
+                .map(|at| Accountant::new(incarnation(at), TERMS, Now::ZERO))
                 .collect(),
             renewed: Now::ZERO,
             is_cut: false,
@@ -240,66 +240,71 @@
         !self.is_cut || is_cut_off(entry) == is_cut_off(other)
     }
 
-    fn draw(&mut self, now: Now, entry: usize, shard: Shard, workspace: Option<usize>) -> bool {
+    fn acquire(&mut self, now: Now, entry: usize, shard: Shard, workspace: Option<usize>) -> bool {
         let Some(target) = self.entries[entry].target(now, shard) else {
             return false;
         };
         let accountant = target.accountant.0 as usize;
         if !self.reaches(entry, accountant) {
-            self.entries[entry].no_answer(now, target.accountant);
-            self.prefer(now, entry);
+            self.entries[entry].mark_unresponsive(now, target.accountant);
+            self.set_preferred(now, entry);
             return false;
         }
         let id = workspace.map(|workspace| CallerId(workspace as u64));
-        let draw = self.entries[entry].draw(target, ENTRIES as u32, id);
-        let drawn =
-            self.accountants[accountant].draw(now, &draw, workspace.map(bucket), ENTRIES as u32);
+        let request = self.entries[entry].acquire_request(target, ENTRIES as u32, id);
+        let reply = self.accountants[accountant].acquire(
+            now,
+            &request,
+            workspace.map(bucket),
+            ENTRIES as u32,
+        );
         match id {
-            Some(id) => self.entries[entry].drawn(now, now, id, &drawn),
+            Some(id) => self.entries[entry].accept_reply(now, now, id, &reply),
             None => {
-                self.entries[entry].heard(now, drawn.stamp);
-                drawn.outcome != Outcome::Nothing
+                self.entries[entry].record_reading(now, reply.clock_reading);
+                reply.outcome != Outcome::Nothing
             }
         }
     }
 
-    fn prefer(&mut self, now: Now, entry: usize) {
+    fn set_preferred(&mut self, now: Now, entry: usize) {
         let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
         let lender = &self.entries[entry];
         let of_shard = |shard| {
             let members = names.iter().enumerate();
             let members = members.map(|(at, name)| (name.as_str(), Incarnation(at as u64)));
-            preferred(
+            preferred_accountant(
                 shard,
-                members.filter(|(_, run)| !lender.is_silent(now, *run)),
+                members.filter(|(_, incarnation)| !lender.is_unresponsive(now, *incarnation)),
             )
         };
         let chosen: Vec<Option<Incarnation>> = Shard::all().map(of_shard).collect();
-        self.entries[entry].prefer(ENTRIES as u32, |shard| chosen[usize::from(shard.0)]);
+        self.entries[entry].set_preferred(ENTRIES as u32, |shard| chosen[usize::from(shard.0)]);
     }
 }
 
-impl Way for Lent {
-    fn pass(&mut self, now: Now, is_cut: bool) {
+impl QuotaScheme for LeasedShares {
+    fn advance(&mut self, now: Now, is_cut: bool) {
         self.is_cut = is_cut;
-        if now < self.renewed + Self::RENEW_EVERY {
+        if now < self.renewed + Self::RENEW_INTERVAL {
             return;
         }
         self.renewed = now;
         for entry in 0..ENTRIES {
-            self.prefer(now, entry);
-            for shard in self.entries[entry].due(now) {
-                self.draw(now, entry, shard, None);
+            self.set_preferred(now, entry);
+            for shard in self.entries[entry].due_renewals(now) {
+                self.acquire(now, entry, shard, None);
             }
         }
     }
 
     fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
         let id = CallerId(workspace as u64);
-        if self.entries[entry].is_over(now, id).is_some() {
+        if self.entries[entry].retry_after(now, id).is_some() {
             return false;
         }
-        self.entries[entry].take(now, id) || self.draw(now, entry, Shard::of(id), Some(workspace))
+        self.entries[entry].use_grant(now, id)
+            || self.acquire(now, entry, Shard::of(id), Some(workspace))
     }
 }
 
@@ -312,66 +317,71 @@
     /// Of what lay under the limits, the part that was refused.
     refused: f64,
     /// The most that ran in a window, as a part of what the bound allows.
-    fullest: f64,
+    peak_fraction: f64,
 }
 
-fn play(way: &mut dyn Way, load: Load, seed: u64) -> Result {
+fn simulate(scheme: &mut dyn QuotaScheme, load: Load, seed: u64) -> Result {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut due: Vec<Due> = (0..WORKSPACES).map(Due::new).collect();
-    let mut ran: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
-    let (mut owed, mut refused) = (0u32, 0u32);
+    let mut accepted_per_step: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
+    let (mut due_count, mut refused) = (0u32, 0u32);
     // Loans need some seconds to be made; a fleet runs for longer before anybody asks.
     let begin = Duration::from_secs(4);
     let mut now = Now::ZERO;
     while now < begin + Duration::from_secs(SECONDS) {
         now += STEP;
         let under_load = now >= begin + Duration::from_secs(3);
-        way.pass(now, under_load && load == Load::HotAndCut);
+        scheme.advance(now, under_load && load == Load::HotAndCut);
         if now < begin {
             continue;
         }
         for workspace in 0..WORKSPACES {
-            let times = match load {
+            let load_factor = match load {
                 Load::Burst if under_load => 1.7,
                 Load::Hot | Load::HotAndCut if under_load && workspace == 0 => 7.5,
                 _ => 1.0,
             };
-            let mean = usual(workspace) * times * STEP.as_secs_f64();
+            let mean = usual_rate(workspace) * load_factor * STEP.as_secs_f64();
             let arrivals = mean as u32 + u32::from(rng.f64() < mean.fract());
-            due[workspace].pass();
-            let mut let_in = 0;
+            due[workspace].advance();
+            let mut accepted_count = 0;
             for _ in 0..arrivals {
-                let is_owed = due[workspace].take();
-                let taken = way.take(now, rng.usize(..ENTRIES), workspace);
-                let_in += u32::from(taken);
-                owed += u32::from(is_owed);
-                refused += u32::from(is_owed && !taken);
+                let is_due = due[workspace].take();
+                let accepted = scheme.take(now, rng.usize(..ENTRIES), workspace);
+                accepted_count += u32::from(accepted);
+                due_count += u32::from(is_due);
+                refused += u32::from(is_due && !accepted);
             }
-            ran[workspace].push(let_in);
+            accepted_per_step[workspace].push(accepted_count);
         }
     }
-    let fullest = ran.iter().enumerate().map(|(workspace, steps)| {
-        let Limit { rate, burst } = limit(workspace);
-        let allowed = (rate * 5.0 + burst) * (1.0 + BOUND.overage) + BOUND.slack;
-        let most = steps
-            .windows(WINDOW_STEPS)
-            .map(|window| window.iter().sum::<u32>())
-            .max();
-        f64::from(most.unwrap_or(0)) / allowed
-    });
+    let peak_fraction = accepted_per_step
+        .iter()
+        .enumerate()
+        .map(|(workspace, steps)| {
+            let Limit { rate, burst } = limit(workspace);
+            let allowed = (rate * 5.0 + burst) * (1.0 + BOUND.overage) + BOUND.slack;
+            let max_count = steps
+                .windows(WINDOW_STEPS)
+                .map(|window| window.iter().sum::<u32>())
+                .max();
+            f64::from(max_count.unwrap_or(0)) / allowed
+        });
     Result {
-        refused: f64::from(refused) / f64::from(owed),
-        fullest: fullest.fold(0.0, f64::max),
+        refused: f64::from(refused) / f64::from(due_count),
+        peak_fraction: peak_fraction.fold(0.0, f64::max),
     }
 }
 
-fn of_seeds(new: impl Fn() -> Box<dyn Way>, load: Load) -> Result {
-    let results: Vec<Result> = (1..=3).map(|seed| play(&mut *new(), load, seed)).collect();
+fn mean_of_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> Result {
+    let results: Vec<Result> = (1..=3)
+        .map(|seed| simulate(&mut *new(), load, seed))
+        .collect();
     Result {
         refused: results.iter().map(|result| result.refused).sum::<f64>() / results.len() as f64,
-        fullest: results
+        peak_fraction: results
             .iter()
-            .map(|result| result.fullest)
+            .map(|result| result.peak_fraction)
             .fold(0.0, f64::max),
     }
 }
@@ -387,32 +397,32 @@
         ("hot", Load::Hot),
         ("hot and cut", Load::HotAndCut),
     ] {
-        let fixed = of_seeds(|| Box::new(Static::new()), load);
-        let counting = of_seeds(|| Box::new(Counting::new()), load);
-        let lent = of_seeds(|| Box::new(Lent::new()), load);
+        let fixed = mean_of_seeds(|| Box::new(Static::new()), load);
+        let counting = mean_of_seeds(|| Box::new(Counting::new()), load);
+        let leased = mean_of_seeds(|| Box::new(LeasedShares::new()), load);
         println!(
             "{name}: {:.3} {:.2}, {:.3} {:.2}, {:.3} {:.2}",
             fixed.refused,
-            fixed.fullest,
+            fixed.peak_fraction,
             counting.refused,
-            counting.fullest,
-            lent.refused,
-            lent.fullest
+            counting.peak_fraction,
+            leased.refused,
+            leased.peak_fraction
         );
         assert!(
-            lent.fullest <= 1.0,
+            leased.peak_fraction <= 1.0,
             "{name}: {:.2} of the bound",
-            lent.fullest
+            leased.peak_fraction
         );
         assert!(
-            lent.refused < fixed.refused,
+            leased.refused < fixed.refused,
             "{name}: static shares refuse less"
         );
         // The aim on a calm day: fewer than one in 200.
         assert!(
-            load != Load::Calm || lent.refused < 0.005,
+            load != Load::Calm || leased.refused < 0.005,
             "{:.4}",
-            lent.refused
+            leased.refused
         );
     }
 }
@@ -422,7 +432,7 @@
     let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
     let chosen = Shard::all().filter_map(|shard| {
         let members = names.iter().enumerate();
-        preferred(
+        preferred_accountant(
             shard,
             members.map(|(at, name)| (name.as_str(), Incarnation(at as u64))),
         )
