--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -164,7 +164,7 @@
     let cfg = LedgerConfig {
         ttl: Duration::from_millis(100),
         capacity: 1_000,
-        kept_bytes: 1_000_000,
+        max_retained_bytes: 1_000_000,
     };
     let mut ledger = Ledger::new(Incarnation(1), cfg, [7; 32]);
     let mut rng = fastrand::Rng::with_seed(1);
@@ -186,6 +186,6 @@
             );
         }
         black_box(ledger.begin(now, &token, print));
-        ledger.forget(now);
+        ledger.evict_expired(now);
     }
 }
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -316,7 +316,7 @@
     let question = FateQuestion::decode(question.as_bytes()).ok()?;
     let fate = if question.owner == node.incarnation {
         let sent_ago = Duration::from_millis(question.sent_ms_ago.into());
-        lock(&node.attempts).fate(node.now(), question.attempt, sent_ago)
+        lock(&node.attempts).status(node.now(), question.attempt, sent_ago)
     } else {
         // An earlier run had it, or not.
         Fate::Over
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -170,7 +170,7 @@
     if let (Some(parent), Some(token)) = (parent, call.context.token)
         && reply.context.verdict == Verdict::NotRun
     {
-        lock(&parent.tokens).refused(&key, &token);
+        lock(&parent.tokens).remove_refused(&key, &token);
     }
     reply
 }
@@ -188,7 +188,7 @@
     }
     let fresh = tokens::obtain(node, call).await?;
     Ok(match parent {
-        Some(parent) => lock(&parent.tokens).note(key.clone(), fresh),
+        Some(parent) => lock(&parent.tokens).get_or_insert(key.clone(), fresh),
         None => fresh,
     })
 }
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -324,7 +324,7 @@
     let ledger = LedgerConfig {
         ttl: Duration::from_secs(settings.once.ttl_s),
         capacity: settings.once.capacity,
-        kept_bytes: settings.once.kept_bytes,
+        max_retained_bytes: settings.once.kept_bytes,
     };
     let spans = settings.trace.map_or(0, |trace| trace.buffer);
     let timeout = Duration::from_millis(settings.platform.timeout_ms);
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -3,7 +3,7 @@
 
 use crate::node::{Node, lock};
 use smol::Timer;
-use sorrelturn_once::{OutcomeSegment, SEGMENT};
+use sorrelturn_once::{OutcomeSegment, SEGMENT_DURATION};
 use sorrelturn_platform::{Expected, PlatformError, keys};
 use sorrelturn_protocol::Incarnation;
 use sorrelturn_telemetry::{Field, events};
@@ -30,8 +30,8 @@
         Timer::after(pause(&node)).await;
         let expired = {
             let mut ledger = lock(&node.ledger);
-            ledger.forget(node.now());
-            ledger.drop_expired_segments(node.now())
+            ledger.evict_expired(node.now());
+            ledger.remove_expired_segments(node.now())
         };
         let mut versions = node.segment_versions.lock().await;
         save(&node, &mut versions).await;
@@ -60,7 +60,7 @@
 }
 
 async fn write_closing(node: &Node) -> bool {
-    let Some(closing) = lock(&node.ledger).closing() else {
+    let Some(closing) = lock(&node.ledger).closing_record() else {
         return false;
     };
     let value = serde_json::to_string(&closing).unwrap_or_default();
@@ -82,7 +82,7 @@
     let mut saved = true;
     for segment in unsaved {
         if let Err(error) = write(node, versions, &segment).await {
-            lock(&node.ledger).save_failed(segment.number);
+            lock(&node.ledger).mark_unsaved(segment.number);
             node.note(&events::OUTCOMES_UNSAVED, vec![Field::new("error", error)]);
             saved = false;
         }
@@ -121,13 +121,13 @@
 /// Deletes what an earlier run of this instance recorded, once none of its tokens can be asked for.
 pub(crate) async fn delete_earlier_run(node: Arc<Node>, earlier: Incarnation) {
     let ttl = Duration::from_secs(node.settings.once.ttl_s);
-    Timer::after(ttl + SEGMENT).await;
+    Timer::after(ttl + SEGMENT_DURATION).await;
     // Without the closing record nothing is called not run, whatever segments are left; whoever has
     // just read it still finds them.
     if node.platform.delete(&keys::closing(earlier)).await.is_err() {
         return;
     }
-    Timer::after(SEGMENT).await;
+    Timer::after(SEGMENT_DURATION).await;
     let Ok(left) = node.platform.list(&keys::outcomes_prefix(earlier)).await else {
         return;
     };
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -11,40 +11,40 @@
 
 /// How long an attempt is remembered after its end, about 100 bytes each. Whoever waits asks every two
 /// seconds at the latest; one that asks later than this is told that it may have run.
-const ENDED_KEPT: Duration = Duration::from_secs(5);
+const ENDED_RETENTION: Duration = Duration::from_secs(5);
 /// How long an attempt is refused that never came. Its connection is closed when that is known, and what a
 /// network held up of it comes within seconds.
-const FENCED_KEPT: Duration = Duration::from_secs(60);
+const FENCED_RETENTION: Duration = Duration::from_secs(60);
 /// A question may have been this long on its way: its sender waits for half a second and no longer.
-const QUESTION_TRAVELS: Duration = Duration::from_secs(1);
+const MAX_QUERY_DELAY: Duration = Duration::from_secs(1);
 
 /// Attempts in the order in which they were put in last.
 #[derive(Debug, Default)]
 struct Recent {
     order: VecDeque<(Now, AttemptId)>,
     /// When each was put in last.
-    known: HashMap<AttemptId, Now>,
+    inserted_at: HashMap<AttemptId, Now>,
 }
 
 impl Recent {
-    fn put(&mut self, now: Now, attempt: AttemptId) {
-        self.known.insert(attempt, now);
+    fn insert(&mut self, now: Now, attempt: AttemptId) {
+        self.inserted_at.insert(attempt, now);
         self.order.push_back((now, attempt));
     }
 
     fn contains(&self, attempt: AttemptId) -> bool {
-        self.known.contains_key(&attempt)
+        self.inserted_at.contains_key(&attempt)
     }
 
     /// Forgets the oldest if it was put in before `since`, and not again since then; returns when it was.
-    fn forget_before(&mut self, since: Now) -> Option<Now> {
+    fn evict_before(&mut self, since: Now) -> Option<Now> {
         let (at, attempt) = *self.order.front()?;
         if at >= since {
             return None;
         }
         self.order.pop_front();
-        if self.known.get(&attempt) == Some(&at) {
-            self.known.remove(&attempt);
+        if self.inserted_at.get(&attempt) == Some(&at) {
+            self.inserted_at.remove(&attempt);
         }
         Some(at)
     }
@@ -54,60 +54,61 @@
 #[derive(Debug, Default)]
 pub struct AttemptRegister {
     /// How often each is at work: a token may be asked for twice at once.
-    at_work: HashMap<AttemptId, u32>,
+    in_progress: HashMap<AttemptId, u32>,
     ended: Recent,
     fenced: Recent,
     /// When the last one ended that is forgotten.
-    forgotten_until: Option<Now>,
+    last_evicted_end: Option<Now>,
 }
 
 impl AttemptRegister {
     /// An attempt came; returns whether it may run. One that was said to have never come may not.
     pub fn begin(&mut self, now: Now, attempt: AttemptId) -> bool {
-        self.forget(now);
+        self.evict_expired(now);
         if self.fenced.contains(attempt) {
             return false;
         }
-        *self.at_work.entry(attempt).or_default() += 1;
+        *self.in_progress.entry(attempt).or_default() += 1;
         true
     }
 
     /// An attempt is over.
     pub fn end(&mut self, now: Now, attempt: AttemptId) {
-        if let Some(times) = self.at_work.get_mut(&attempt) {
-            *times -= 1;
-            if *times == 0 {
-                self.at_work.remove(&attempt);
+        if let Some(count) = self.in_progress.get_mut(&attempt) {
+            *count -= 1;
+            if *count == 0 {
+                self.in_progress.remove(&attempt);
             }
         }
-        self.ended.put(now, attempt);
+        self.ended.insert(now, attempt);
     }
 
     /// What became of an attempt that its sender sent so long ago. One that never came is fenced off.
-    pub fn fate(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
-        self.forget(now);
-        if self.at_work.contains_key(&attempt) {
+    pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
+        self.evict_expired(now);
+        if self.in_progress.contains_key(&attempt) {
             return Fate::AtWork;
         }
-        let sent = now.checked_sub(sent_ago + QUESTION_TRAVELS);
-        let may_be_forgotten = self
-            .forgotten_until
-            .is_some_and(|until| sent.is_none_or(|sent| until >= sent));
-        if may_be_forgotten || self.ended.contains(attempt) {
+        let earliest_sent = now.checked_sub(sent_ago + MAX_QUERY_DELAY);
+        let may_be_evicted = self
+            .last_evicted_end
+            .is_some_and(|until| earliest_sent.is_none_or(|earliest_sent| until >= earliest_sent));
+        if may_be_evicted || self.ended.contains(attempt) {
             return Fate::Over;
         }
-        self.fenced.put(now, attempt);
+        self.fenced.insert(now, attempt);
         Fate::NeverCame
     }
 
     /// Each attempt brings one, so two a time keep up with them.
-    fn forget(&mut self, now: Now) {
+    fn evict_expired(&mut self, now: Now) {
         for _ in 0..2 {
-            let since = now.saturating_sub(ENDED_KEPT);
-            if let Some(ended) = self.ended.forget_before(since) {
-                self.forgotten_until = Some(ended);
+            let since = now.saturating_sub(ENDED_RETENTION);
+            if let Some(ended) = self.ended.evict_before(since) {
+                self.last_evicted_end = Some(ended);
             }
         }
-        self.fenced.forget_before(now.saturating_sub(FENCED_KEPT));
+        self.fenced
+            .evict_before(now.saturating_sub(FENCED_RETENTION));
     }
 }
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -17,7 +17,7 @@
     pub capacity: usize,
     /// The most bytes of answers that are kept for repeats; outcomes beyond it are kept without
     /// their answers.
-    pub kept_bytes: usize,
+    pub max_retained_bytes: usize,
 }
 
 /// What a token was first used for: a hash over caller, kind and target.
@@ -38,7 +38,7 @@
 }
 
 impl Outcome {
-    fn kept_bytes(&self) -> usize {
+    fn retained_bytes(&self) -> usize {
         self.body.as_ref().map_or(0, Vec::len)
     }
 }
@@ -63,16 +63,16 @@
 }
 
 #[derive(Clone, Debug)]
-enum Entry {
+enum TokenState {
     Running,
     Refused,
     Ended(Outcome),
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct UsedToken {
     fingerprint: Fingerprint,
-    entry: Entry,
+    state: TokenState,
 }
 
 /// Issues tokens and sees to it that each is forwarded at most once.
@@ -83,13 +83,13 @@
     owner: Incarnation,
     cfg: LedgerConfig,
     seal_key: [u8; 32],
-    seen: HashMap<u128, Seen>,
-    by_age: BTreeSet<(u64, u128)>,
-    issued: VecDeque<u64>,
-    kept_bytes: usize,
-    closed: bool,
+    used: HashMap<u128, UsedToken>,
+    used_by_age: BTreeSet<(u64, u128)>,
+    unexpired: VecDeque<u64>,
+    retained_bytes: usize,
+    is_closed: bool,
     segments: BTreeMap<u64, OutcomeSegment>,
-    unsaved: BTreeSet<u64>,
+    unsaved_segments: BTreeSet<u64>,
     complete_since_ms: u64,
 }
 
@@ -100,25 +100,25 @@
             owner,
             cfg,
             seal_key,
-            seen: HashMap::new(),
-            by_age: BTreeSet::new(),
-            issued: VecDeque::new(),
-            kept_bytes: 0,
-            closed: false,
+            used: HashMap::new(),
+            used_by_age: BTreeSet::new(),
+            unexpired: VecDeque::new(),
+            retained_bytes: 0,
+            is_closed: false,
             segments: BTreeMap::new(),
-            unsaved: BTreeSet::new(),
+            unsaved_segments: BTreeSet::new(),
             complete_since_ms: 0,
         }
     }
 
     /// Issues a token; `None` at the limit, or once the ledger is closed.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
-        self.forget(now);
-        if self.closed || self.issued.len() >= self.cfg.capacity {
+        self.evict_expired(now);
+        if self.is_closed || self.unexpired.len() >= self.cfg.capacity {
             return None;
         }
         let issued_ms = now.as_millis() as u64;
-        self.issued.push_back(issued_ms);
+        self.unexpired.push_back(issued_ms);
         let random = rng.u64(..);
         Some(ExecutionToken {
             owner: self.owner,
@@ -137,18 +137,19 @@
         if token.owner != self.owner || !self.is_sealed(token) {
             return Begin::Rejected;
         }
-        if let Some(seen) = self.seen.get(&token.nonce) {
-            return answer_again(seen, fingerprint);
+        if let Some(used) = self.used.get(&token.nonce) {
+            return repeat_result(used, fingerprint);
         }
         if self.is_expired(now, token.issued_ms) {
             return Begin::Expired;
         }
-        if self.closed {
+        if self.is_closed {
             return Begin::Closed;
         }
-        self.by_age.insert((token.issued_ms, token.nonce));
-        let entry = Entry::Running;
-        self.seen.insert(token.nonce, Seen { fingerprint, entry });
+        self.used_by_age.insert((token.issued_ms, token.nonce));
+        let state = TokenState::Running;
+        self.used
+            .insert(token.nonce, UsedToken { fingerprint, state });
         Begin::Run
     }
 
@@ -157,8 +158,8 @@
     /// It must be noted before the refusal is answered: a delayed copy of the request stays
     /// refused, so the caller can safely take a new token.
     pub fn refuse(&mut self, token: &ExecutionToken) {
-        if let Some(seen) = self.seen.get_mut(&token.nonce) {
-            seen.entry = Entry::Refused;
+        if let Some(used) = self.used.get_mut(&token.nonce) {
+            used.state = TokenState::Refused;
         }
     }
 
@@ -168,111 +169,112 @@
             verdict: outcome.verdict,
             status: outcome.status,
         };
-        if self.kept_bytes + outcome.kept_bytes() > self.cfg.kept_bytes {
+        if self.retained_bytes + outcome.retained_bytes() > self.cfg.max_retained_bytes {
             outcome.body = None;
         }
-        if let Some(seen) = self.seen.get_mut(&token.nonce) {
-            self.kept_bytes += outcome.kept_bytes();
-            seen.entry = Entry::Ended(outcome);
+        if let Some(used) = self.used.get_mut(&token.nonce) {
+            self.retained_bytes += outcome.retained_bytes();
+            used.state = TokenState::Ended(outcome);
             let number = OutcomeSegment::number_of(token);
             self.segments
                 .entry(number)
                 .or_insert_with(|| OutcomeSegment::new(self.owner, number))
                 .add(token, recorded);
-            self.unsaved.insert(number);
+            self.unsaved_segments.insert(number);
         }
     }
 
     /// The process stops: no token is issued and no unseen one run from now on.
     pub fn close(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
     }
 
     /// The segments to write to the store: those in which something is new since they were taken.
     pub fn take_unsaved(&mut self) -> Vec<OutcomeSegment> {
-        std::mem::take(&mut self.unsaved)
+        std::mem::take(&mut self.unsaved_segments)
             .iter()
             .filter_map(|number| self.segments.get(number).cloned())
             .collect()
     }
 
     /// A segment could not be written: it will be taken again.
-    pub fn save_failed(&mut self, number: u64) {
-        self.unsaved.insert(number);
+    pub fn mark_unsaved(&mut self, number: u64) {
+        self.unsaved_segments.insert(number);
     }
 
     /// Forgets the segments none of whose tokens can be asked for any more, and returns their
     /// numbers, to delete them in the store.
-    pub fn drop_expired_segments(&mut self, now: Duration) -> Vec<u64> {
-        let mut dropped = Vec::new();
+    pub fn remove_expired_segments(&mut self, now: Duration) -> Vec<u64> {
+        let mut removed = Vec::new();
         while let Some(number) = self.segments.keys().next().copied() {
-            let end_ms = OutcomeSegment::end_ms(number);
-            if !self.is_expired(now, end_ms) {
+            let segment_end_ms = OutcomeSegment::segment_end_ms(number);
+            if !self.is_expired(now, segment_end_ms) {
                 break;
             }
             self.segments.remove(&number);
-            self.unsaved.remove(&number);
-            self.complete_since_ms = end_ms;
-            dropped.push(number);
+            self.unsaved_segments.remove(&number);
+            self.complete_since_ms = segment_end_ms;
+            removed.push(number);
         }
-        dropped
+        removed
     }
 
     /// The record to write last: there is one once the ledger is closed, no request is running, and
     /// every segment was taken. Whoever writes it must have written those before.
-    pub fn closing(&self) -> Option<ClosingRecord> {
-        let whole = self.closed && self.unsaved.is_empty() && self.running() == 0;
-        whole.then_some(ClosingRecord {
+    pub fn closing_record(&self) -> Option<ClosingRecord> {
+        let is_complete =
+            self.is_closed && self.unsaved_segments.is_empty() && self.running_count() == 0;
+        is_complete.then_some(ClosingRecord {
             owner: self.owner,
             complete_since_ms: self.complete_since_ms,
         })
     }
 
     /// Requests that are running under a token.
-    pub fn running(&self) -> usize {
-        self.seen
+    pub fn running_count(&self) -> usize {
+        self.used
             .values()
-            .filter(|seen| matches!(seen.entry, Entry::Running))
+            .filter(|used| matches!(used.state, TokenState::Running))
             .count()
     }
 
     /// The bytes of answers that are kept.
-    pub fn kept_bytes(&self) -> usize {
-        self.kept_bytes
+    pub fn retained_bytes(&self) -> usize {
+        self.retained_bytes
     }
 
     /// Tokens that are out and not expired.
     pub fn outstanding(&self) -> usize {
-        self.issued.len()
+        self.unexpired.len()
     }
 
     /// Forgets what can't be asked for any more; running requests are never forgotten.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn evict_expired(&mut self, now: Duration) {
         while self
-            .issued
+            .unexpired
             .front()
             .is_some_and(|issued_ms| self.is_expired(now, *issued_ms))
         {
-            self.issued.pop_front();
+            self.unexpired.pop_front();
         }
-        while let Some((issued_ms, nonce)) = self.by_age.first().copied() {
-            let running = matches!(
-                self.seen.get(&nonce),
-                Some(Seen {
-                    entry: Entry::Running,
+        while let Some((issued_ms, nonce)) = self.used_by_age.first().copied() {
+            let is_running = matches!(
+                self.used.get(&nonce),
+                Some(UsedToken {
+                    state: TokenState::Running,
                     ..
                 })
             );
-            if running || !self.is_expired(now, issued_ms) {
+            if is_running || !self.is_expired(now, issued_ms) {
                 break;
             }
-            self.by_age.pop_first();
-            if let Some(Seen {
-                entry: Entry::Ended(outcome),
+            self.used_by_age.pop_first();
+            if let Some(UsedToken {
+                state: TokenState::Ended(outcome),
                 ..
-            }) = self.seen.remove(&nonce)
+            }) = self.used.remove(&nonce)
             {
-                self.kept_bytes -= outcome.kept_bytes();
+                self.retained_bytes -= outcome.retained_bytes();
             }
         }
     }
@@ -296,13 +298,13 @@
     }
 }
 
-fn answer_again(seen: &Seen, fingerprint: Fingerprint) -> Begin {
-    if seen.fingerprint != fingerprint {
+fn repeat_result(used: &UsedToken, fingerprint: Fingerprint) -> Begin {
+    if used.fingerprint != fingerprint {
         return Begin::Rejected;
     }
-    match &seen.entry {
-        Entry::Running => Begin::Running,
-        Entry::Refused => Begin::Refused,
-        Entry::Ended(outcome) => Begin::Recorded(outcome.clone()),
+    match &used.state {
+        TokenState::Running => Begin::Running,
+        TokenState::Refused => Begin::Refused,
+        TokenState::Ended(outcome) => Begin::Recorded(outcome.clone()),
     }
 }
--- a/crates/sorrelturn-once/src/lib.rs
+++ b/crates/sorrelturn-once/src/lib.rs
@@ -10,4 +10,6 @@
 pub use binding::{Binding, BindingError};
 pub use ledger::{Begin, Fingerprint, Ledger, LedgerConfig, Outcome};
 pub use nested::{CallKey, NestedTokens};
-pub use record::{ClosingRecord, OutcomeSegment, RecordedOutcome, SEGMENT, verdict_of_lost_owner};
+pub use record::{
+    ClosingRecord, OutcomeSegment, RecordedOutcome, SEGMENT_DURATION, verdict_of_lost_owner,
+};
--- a/crates/sorrelturn-once/src/nested.rs
+++ b/crates/sorrelturn-once/src/nested.rs
@@ -24,12 +24,12 @@
 
     /// Notes a fresh token, unless a concurrent repeat of the call was faster; returns the one
     /// that counts.
-    pub fn note(&mut self, key: CallKey, token: ExecutionToken) -> ExecutionToken {
+    pub fn get_or_insert(&mut self, key: CallKey, token: ExecutionToken) -> ExecutionToken {
         *self.tokens.entry(key).or_insert(token)
     }
 
     /// A call was refused and not run: its next repeat takes a fresh token.
-    pub fn refused(&mut self, key: &CallKey, token: &ExecutionToken) {
+    pub fn remove_refused(&mut self, key: &CallKey, token: &ExecutionToken) {
         if self.tokens.get(key) == Some(token) {
             self.tokens.remove(key);
         }
--- a/crates/sorrelturn-once/src/record.rs
+++ b/crates/sorrelturn-once/src/record.rs
@@ -7,8 +7,8 @@
 
 /// Tokens that were issued within so long have their outcomes in one object of the store. A longer
 /// time means fewer objects, a shorter one fewer bytes that are written again.
-pub const SEGMENT: Duration = Duration::from_secs(60);
-const SEGMENT_MS: u64 = SEGMENT.as_millis() as u64;
+pub const SEGMENT_DURATION: Duration = Duration::from_secs(60);
+const SEGMENT_MS: u64 = SEGMENT_DURATION.as_millis() as u64;
 
 /// One outcome without its body. The names are short because thousands lie in one object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,12 +50,12 @@
 
     /// When the first token of the segment behind this one could be issued, in milliseconds of the
     /// owner's clock.
-    pub(crate) fn end_ms(number: u64) -> u64 {
+    pub(crate) fn segment_end_ms(number: u64) -> u64 {
         (number + 1) * SEGMENT_MS
     }
 
     pub(crate) fn add(&mut self, token: &ExecutionToken, outcome: RecordedOutcome) {
-        self.outcomes.insert(key(token), outcome);
+        self.outcomes.insert(outcome_key(token), outcome);
     }
 }
 
@@ -78,12 +78,12 @@
     closing: Option<&ClosingRecord>,
     segment: Option<&OutcomeSegment>,
 ) -> Verdict {
-    let listed = segment.and_then(|segment| segment.outcomes.get(&key(token)));
-    if let Some(outcome) = listed {
+    let recorded = segment.and_then(|segment| segment.outcomes.get(&outcome_key(token)));
+    if let Some(outcome) = recorded {
         return outcome.verdict;
     }
-    let covered = closing.is_some_and(|closing| token.issued_ms >= closing.complete_since_ms);
-    if covered {
+    let is_covered = closing.is_some_and(|closing| token.issued_ms >= closing.complete_since_ms);
+    if is_covered {
         Verdict::NotRun
     } else {
         Verdict::MayHaveRun
@@ -91,7 +91,7 @@
 }
 
 /// The other half of the nonce is the seal, which says nothing more.
-fn key(token: &ExecutionToken) -> String {
+fn outcome_key(token: &ExecutionToken) -> String {
     let random = (token.nonce >> 64) as u64;
     format!("{random:016x}")
 }
--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 const TTL: Duration = Duration::from_secs(60);
-const PRINT: Fingerprint = Fingerprint(1);
+const FINGERPRINT: Fingerprint = Fingerprint(1);
 
 fn ledger(owner: u64, capacity: usize) -> Ledger {
     let cfg = LedgerConfig {
         ttl: TTL,
         capacity,
-        kept_bytes: 1_000_000,
+        max_retained_bytes: 1_000_000,
     };
     Ledger::new(Incarnation(owner), cfg, [owner as u8; 32])
 }
@@ -35,11 +35,11 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
-    assert_eq!(ledger.begin(ms(2), &token, PRINT), Begin::Running);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(2), &token, FINGERPRINT), Begin::Running);
     ledger.end(&token, outcome(201));
     assert_eq!(
-        ledger.begin(ms(3), &token, PRINT),
+        ledger.begin(ms(3), &token, FINGERPRINT),
         Begin::Recorded(outcome(201))
     );
 }
@@ -49,16 +49,19 @@
     let mut rng = fastrand::Rng::with_seed(2);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
     ledger.refuse(&token);
-    assert_eq!(ledger.begin(ms(2), &token, PRINT), Begin::Refused);
+    assert_eq!(ledger.begin(ms(2), &token, FINGERPRINT), Begin::Refused);
 }
 
 #[test]
 fn a_token_of_another_run_of_the_same_instance_never_runs() {
     let mut rng = fastrand::Rng::with_seed(3);
     let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger(2, 10).begin(ms(1), &token, PRINT), Begin::Rejected);
+    assert_eq!(
+        ledger(2, 10).begin(ms(1), &token, FINGERPRINT),
+        Begin::Rejected
+    );
 }
 
 #[test]
@@ -74,9 +77,9 @@
         issued_ms: 50,
         ..token
     };
-    assert_eq!(ledger.begin(ms(1), &forged, PRINT), Begin::Rejected);
-    assert_eq!(ledger.begin(ms(1), &redated, PRINT), Begin::Rejected);
-    assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &forged, FINGERPRINT), Begin::Rejected);
+    assert_eq!(ledger.begin(ms(1), &redated, FINGERPRINT), Begin::Rejected);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
     assert_eq!(ledger.begin(ms(2), &token, Fingerprint(2)), Begin::Rejected);
 }
 
@@ -85,10 +88,10 @@
     let mut rng = fastrand::Rng::with_seed(5);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
     ledger.end(&token, outcome(200));
-    ledger.forget(TTL);
-    assert_eq!(ledger.begin(TTL, &token, PRINT), Begin::Expired);
+    ledger.evict_expired(TTL);
+    assert_eq!(ledger.begin(TTL, &token, FINGERPRINT), Begin::Expired);
 }
 
 #[test]
@@ -98,10 +101,10 @@
     let first = ledger.issue(ms(0), &mut rng).expect("token");
     let second = ledger.issue(ms(0), &mut rng).expect("token");
     assert_eq!(ledger.issue(ms(1), &mut rng), None);
-    assert_eq!(ledger.begin(ms(1), &first, PRINT), Begin::Run);
-    assert_eq!(ledger.begin(ms(1), &second, PRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &first, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &second, FINGERPRINT), Begin::Run);
     assert!(ledger.issue(TTL, &mut rng).is_some());
-    assert_eq!(ledger.begin(TTL, &first, PRINT), Begin::Running);
+    assert_eq!(ledger.begin(TTL, &first, FINGERPRINT), Begin::Running);
 }
 
 #[test]
@@ -115,16 +118,16 @@
     let tokens: Vec<_> = (0..30)
         .map(|_| {
             let token = ledger.issue(ms(0), &mut rng).expect("token");
-            assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
+            assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
             ledger.end(&token, large.clone());
             token
         })
         .collect();
-    assert!(ledger.kept_bytes() <= 1_000_000);
-    let kept = |begin| matches!(begin, Begin::Recorded(Outcome { body: Some(_), .. }));
+    assert!(ledger.retained_bytes() <= 1_000_000);
+    let has_body = |begin| matches!(begin, Begin::Recorded(Outcome { body: Some(_), .. }));
     let answers: Vec<Begin> = tokens
         .iter()
-        .map(|token| ledger.begin(ms(2), token, PRINT))
+        .map(|token| ledger.begin(ms(2), token, FINGERPRINT))
         .collect();
     assert!(
         answers
@@ -134,33 +137,35 @@
     assert_eq!(
         answers
             .into_iter()
-            .filter(|begin| kept(begin.clone()))
+            .filter(|begin| has_body(begin.clone()))
             .count(),
         16
     );
-    ledger.forget(TTL);
-    assert_eq!(ledger.kept_bytes(), 0);
+    ledger.evict_expired(TTL);
+    assert_eq!(ledger.retained_bytes(), 0);
 }
 
 #[test]
 fn only_a_closing_record_makes_an_unlisted_token_not_run() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut ledger = ledger(1, 10);
-    let ran = ledger.issue(ms(0), &mut rng).expect("token");
+    let used = ledger.issue(ms(0), &mut rng).expect("token");
     let unused = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &ran, PRINT), Begin::Run);
-    ledger.end(&ran, outcome(200));
-    assert_eq!(ledger.closing(), None);
-    let open = ledger.take_unsaved();
-    let verdict = |token, closing| verdict_of_lost_owner(token, closing, open.first());
-    assert_eq!(verdict(&ran, None), Verdict::Ran);
+    assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), Begin::Run);
+    ledger.end(&used, outcome(200));
+    assert_eq!(ledger.closing_record(), None);
+    let segments_before_close = ledger.take_unsaved();
+    let verdict = |token, closing_record| {
+        verdict_of_lost_owner(token, closing_record, segments_before_close.first())
+    };
+    assert_eq!(verdict(&used, None), Verdict::Ran);
     assert_eq!(verdict(&unused, None), Verdict::MayHaveRun);
 
     ledger.close();
-    assert_eq!(ledger.begin(ms(2), &unused, PRINT), Begin::Closed);
-    let closing = ledger.closing().expect("all is written");
-    assert_eq!(verdict(&unused, Some(&closing)), Verdict::NotRun);
-    assert_eq!(verdict(&ran, Some(&closing)), Verdict::Ran);
+    assert_eq!(ledger.begin(ms(2), &unused, FINGERPRINT), Begin::Closed);
+    let closing_record = ledger.closing_record().expect("all is written");
+    assert_eq!(verdict(&unused, Some(&closing_record)), Verdict::NotRun);
+    assert_eq!(verdict(&used, Some(&closing_record)), Verdict::Ran);
     assert_eq!(ledger.take_unsaved(), []);
 }
 
@@ -169,36 +174,36 @@
     let mut rng = fastrand::Rng::with_seed(8);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, PRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
     ledger.close();
-    assert_eq!(ledger.closing(), None);
+    assert_eq!(ledger.closing_record(), None);
     ledger.end(&token, outcome(200));
-    assert_eq!(ledger.closing(), None);
+    assert_eq!(ledger.closing_record(), None);
     let unsaved = ledger.take_unsaved();
-    ledger.save_failed(unsaved[0].number);
-    assert_eq!(ledger.closing(), None);
+    ledger.mark_unsaved(unsaved[0].number);
+    assert_eq!(ledger.closing_record(), None);
     assert_eq!(ledger.take_unsaved(), unsaved);
-    assert!(ledger.closing().is_some());
+    assert!(ledger.closing_record().is_some());
 }
 
 #[test]
 fn tokens_of_deleted_segments_are_not_called_not_run() {
     let mut rng = fastrand::Rng::with_seed(9);
     let mut ledger = ledger(1, 10);
-    let old = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(0), &old, PRINT), Begin::Run);
-    ledger.end(&old, outcome(200));
+    let expired = ledger.issue(ms(0), &mut rng).expect("token");
+    assert_eq!(ledger.begin(ms(0), &expired, FINGERPRINT), Begin::Run);
+    ledger.end(&expired, outcome(200));
     // The last token of the first segment expires a segment and a life of tokens after its start.
-    let deleted = SEGMENT + TTL;
-    assert!(ledger.drop_expired_segments(deleted - ms(1)).is_empty());
-    assert_eq!(ledger.drop_expired_segments(deleted), vec![0_u64]);
-    let young = ledger.issue(deleted, &mut rng).expect("token");
+    let deleted = SEGMENT_DURATION + TTL;
+    assert!(ledger.remove_expired_segments(deleted - ms(1)).is_empty());
+    assert_eq!(ledger.remove_expired_segments(deleted), vec![0_u64]);
+    let newer = ledger.issue(deleted, &mut rng).expect("token");
     ledger.close();
     assert_eq!(ledger.take_unsaved(), []);
-    let closing = ledger.closing().expect("nothing is unsaved");
-    let verdict = |token| verdict_of_lost_owner(token, Some(&closing), None);
-    assert_eq!(verdict(&old), Verdict::MayHaveRun);
-    assert_eq!(verdict(&young), Verdict::NotRun);
+    let closing_record = ledger.closing_record().expect("nothing is unsaved");
+    let verdict = |token| verdict_of_lost_owner(token, Some(&closing_record), None);
+    assert_eq!(verdict(&expired), Verdict::MayHaveRun);
+    assert_eq!(verdict(&newer), Verdict::NotRun);
 }
 
 #[test]
@@ -206,13 +211,13 @@
     // A tenth of 190,000 calls a second run at most once, on a quarter of 2,700 daemons; a daemon
     // of that size writes every 54 s (docs/CAPACITY.md).
     const RATE: u64 = 28;
-    const PAUSE_S: u64 = 54;
-    const BUDGET: usize = 3_000;
+    const WRITE_INTERVAL_S: u64 = 54;
+    const MAX_BYTES_PER_SECOND: usize = 3_000;
     let mut rng = fastrand::Rng::with_seed(12);
     let cfg = LedgerConfig {
         ttl: Duration::from_secs(600),
         capacity: 20_000,
-        kept_bytes: 0,
+        max_retained_bytes: 0,
     };
     let mut ledger = Ledger::new(Incarnation(1), cfg, [1; 32]);
     let mut written = Vec::new();
@@ -220,21 +225,24 @@
         let now = Duration::from_secs(second);
         for _ in 0..RATE {
             let token = ledger.issue(now, &mut rng).expect("token");
-            assert_eq!(ledger.begin(now, &token, PRINT), Begin::Run);
+            assert_eq!(ledger.begin(now, &token, FINGERPRINT), Begin::Run);
             ledger.end(&token, outcome(200));
         }
-        if second % PAUSE_S == 0 {
+        if second % WRITE_INTERVAL_S == 0 {
             let segments = ledger.take_unsaved();
             let bytes = segments
                 .iter()
                 .map(|segment| serde_json::to_string(segment).expect("json").len());
-            written.push(bytes.sum::<usize>() / PAUSE_S as usize);
-            ledger.drop_expired_segments(now);
+            written.push(bytes.sum::<usize>() / WRITE_INTERVAL_S as usize);
+            ledger.remove_expired_segments(now);
         }
     }
-    let most = written.iter().max().expect("it wrote");
-    assert!(*most < BUDGET, "{most} bytes/s");
-    println!("{most} bytes/s at the most");
+    let max_bytes_per_second = written.iter().max().expect("it wrote");
+    assert!(
+        *max_bytes_per_second < MAX_BYTES_PER_SECOND,
+        "{max_bytes_per_second} bytes/s"
+    );
+    println!("{max_bytes_per_second} bytes/s at the most");
 }
 
 #[test]
@@ -266,9 +274,9 @@
     let (first, second) = (issue(), issue());
     let mut nested = NestedTokens::default();
     let key = CallKey("POST /bookings/3".to_owned());
-    assert_eq!(nested.note(key.clone(), first), first);
-    assert_eq!(nested.note(key.clone(), second), first);
-    nested.refused(&key, &first);
+    assert_eq!(nested.get_or_insert(key.clone(), first), first);
+    assert_eq!(nested.get_or_insert(key.clone(), second), first);
+    nested.remove_refused(&key, &first);
     assert_eq!(nested.get(&key), None);
 }
 
@@ -280,7 +288,7 @@
     End(prop::sample::Index),
     Refuse(prop::sample::Index),
     Restart,
-    Pass(u64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -291,7 +299,7 @@
         any::<prop::sample::Index>().prop_map(Event::End),
         any::<prop::sample::Index>().prop_map(Event::Refuse),
         Just(Event::Restart),
-        (0u64..40_000).prop_map(Event::Pass),
+        (0u64..40_000).prop_map(Event::Advance),
     ]
 }
 
@@ -300,45 +308,45 @@
     #[test]
     fn in_no_schedule_does_a_token_run_twice(events in prop::collection::vec(event(), 1..80)) {
         let mut rng = fastrand::Rng::with_seed(12);
-        let (mut owner, mut started, mut now) = (1, ms(0), ms(0));
+        let (mut owner, mut owner_started, mut now) = (1, ms(0), ms(0));
         let mut current = ledger(owner, 8);
         let mut tokens = Vec::new();
-        let mut runs = std::collections::HashMap::new();
-        let mut told_not_run = std::collections::HashSet::new();
+        let mut run_counts = std::collections::HashMap::new();
+        let mut reported_not_run = std::collections::HashSet::new();
         for event in events {
-            let local = now - started;
+            let owner_now = now - owner_started;
             match event {
-                Event::Issue => tokens.extend(current.issue(local, &mut rng)),
+                Event::Issue => tokens.extend(current.issue(owner_now, &mut rng)),
                 Event::Deliver(at) if !tokens.is_empty() => {
                     let token: ExecutionToken = tokens[at.index(tokens.len())];
-                    if current.begin(local, &token, PRINT) == Begin::Run {
-                        prop_assert!(!told_not_run.contains(&token), "ran after a refusal");
-                        *runs.entry(token).or_insert(0) += 1;
+                    if current.begin(owner_now, &token, FINGERPRINT) == Begin::Run {
+                        prop_assert!(!reported_not_run.contains(&token), "ran after a refusal");
+                        *run_counts.entry(token).or_insert(0) += 1;
                     }
                 }
                 Event::End(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if current.begin(local, &token, PRINT) == Begin::Running {
+                    if current.begin(owner_now, &token, FINGERPRINT) == Begin::Running {
                         current.end(&token, outcome(200));
                     }
                 }
                 Event::Refuse(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if !runs.contains_key(&token) && current.begin(local, &token, PRINT) == Begin::Run {
+                    if !run_counts.contains_key(&token) && current.begin(owner_now, &token, FINGERPRINT) == Begin::Run {
                         current.refuse(&token);
-                        told_not_run.insert(token);
+                        reported_not_run.insert(token);
                     }
                 }
                 Event::Restart => {
                     owner += 1;
-                    started = now;
+                    owner_started = now;
                     current = ledger(owner, 8);
                 }
-                Event::Pass(passed) => now += ms(passed),
+                Event::Advance(elapsed_ms) => now += ms(elapsed_ms),
                 _ => {}
             }
-            current.forget(now - started);
+            current.evict_expired(now - owner_started);
         }
-        prop_assert!(runs.values().all(|count| *count == 1));
+        prop_assert!(run_counts.values().all(|count| *count == 1));
     }
 }
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -21,7 +21,7 @@
 fn one_that_never_came_is_refused_when_it_comes_late() {
     let mut register = AttemptRegister::default();
     assert_eq!(
-        register.fate(at(1_000), attempt(1), at(500)),
+        register.status(at(1_000), attempt(1), at(500)),
         Fate::NeverCame
     );
     assert!(!register.begin(at(1_200), attempt(1)));
@@ -33,11 +33,14 @@
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(1_000), attempt(1)));
     assert_eq!(
-        register.fate(at(2_000), attempt(1), at(1_000)),
+        register.status(at(2_000), attempt(1), at(1_000)),
         Fate::AtWork
     );
     register.end(at(2_100), attempt(1));
-    assert_eq!(register.fate(at(2_200), attempt(1), at(1_200)), Fate::Over);
+    assert_eq!(
+        register.status(at(2_200), attempt(1), at(1_200)),
+        Fate::Over
+    );
 }
 
 #[test]
@@ -46,7 +49,7 @@
     assert!(register.begin(at(0), attempt(1)));
     assert!(register.begin(at(10), attempt(1)));
     register.end(at(20), attempt(1));
-    assert_eq!(register.fate(at(30), attempt(1), at(30)), Fate::AtWork);
+    assert_eq!(register.status(at(30), attempt(1), at(30)), Fate::AtWork);
 }
 
 #[test]
@@ -58,12 +61,12 @@
         assert!(register.begin(at(20_000), attempt(number)));
     }
     assert_eq!(
-        register.fate(at(20_000), attempt(1), at(20_000)),
+        register.status(at(20_000), attempt(1), at(20_000)),
         Fate::Over
     );
     // What was sent after all that is forgotten had ended is known for sure.
     assert_eq!(
-        register.fate(at(20_000), attempt(99), at(600)),
+        register.status(at(20_000), attempt(99), at(600)),
         Fate::NeverCame
     );
 }
@@ -74,8 +77,8 @@
 fn one_that_is_asked_about_again_is_fenced_off_anew() {
     let mut register = AttemptRegister::default();
     for ms in [0, 30_000] {
-        let fate = register.fate(at(ms), attempt(1), at(ms));
-        assert_eq!(fate, Fate::NeverCame);
+        let status = register.status(at(ms), attempt(1), at(ms));
+        assert_eq!(status, Fate::NeverCame);
     }
     assert!(register.begin(at(61_000), attempt(2)));
     assert!(!register.begin(at(89_000), attempt(1)));
@@ -83,18 +86,18 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrives(u64),
-    Ends(u64),
-    Asks(u64),
-    Passes(u64),
+    Arrive(u64),
+    End(u64),
+    Query(u64),
+    Advance(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0..20u64).prop_map(Step::Arrives),
-        (0..20u64).prop_map(Step::Ends),
-        (0..20u64).prop_map(Step::Asks),
-        (0..4_000u64).prop_map(Step::Passes),
+        (0..20u64).prop_map(Step::Arrive),
+        (0..20u64).prop_map(Step::End),
+        (0..20u64).prop_map(Step::Query),
+        (0..4_000u64).prop_map(Step::Advance),
     ];
     prop::collection::vec(step, 1..120)
 }
@@ -108,29 +111,29 @@
         let mut now = at(0);
         let mut ran = HashMap::new();
         let mut fenced: HashMap<u64, Duration> = HashMap::new();
-        let mut at_work = std::collections::HashSet::new();
+        let mut in_progress = std::collections::HashSet::new();
         for step in steps {
             match step {
-                Step::Passes(ms) => now += at(ms),
-                Step::Arrives(number) => {
+                Step::Advance(ms) => now += at(ms),
+                Step::Arrive(number) => {
                     if register.begin(now, attempt(number)) {
-                        let old = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
-                        prop_assert!(old, "{number} ran after it was fenced off");
+                        let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
+                        prop_assert!(fence_expired, "{number} ran after it was fenced off");
                         ran.insert(number, ());
-                        if !at_work.insert(number) {
+                        if !in_progress.insert(number) {
                             register.end(now, attempt(number));
                         }
                     }
                 }
-                Step::Ends(number) => {
-                    if at_work.remove(&number) {
+                Step::End(number) => {
+                    if in_progress.remove(&number) {
                         register.end(now, attempt(number));
                     }
                 }
-                Step::Asks(number) => {
+                Step::Query(number) => {
                     // All were sent when the play began.
-                    let fate = register.fate(now, attempt(number), now);
-                    if fate == Fate::NeverCame {
+                    let status = register.status(now, attempt(number), now);
+                    if status == Fate::NeverCame {
                         prop_assert!(!ran.contains_key(&number), "{number} had run");
                         fenced.insert(number, now);
                     }
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/accountant.rs
@@ -34,7 +34,7 @@
 struct Pool {
     tokens: f64,
     /// How much of the shard had been lent when the tokens were counted.
-    counted_until: f64,
+    counted_share_seconds: f64,
     /// Those who were refused and may come back.
     backlog: f64,
     last_refusal: Now,
@@ -49,7 +49,7 @@
     /// Among how many members the quotas are divided, and until when this can't fall.
     members: (u32, Now),
     /// The sum over all loans of a shard of share times time, in seconds.
-    leased: [f64; SHARDS],
+    leased_share_seconds: [f64; SHARDS],
     /// The part of all shares that is lent now.
     leased_fraction: [f64; SHARDS],
     /// Up to when both are counted.
@@ -65,7 +65,7 @@
             terms,
             lessors: BTreeMap::new(),
             members: (1, now),
-            leased: [0.0; SHARDS],
+            leased_share_seconds: [0.0; SHARDS],
             leased_fraction: [0.0; SHARDS],
             counted_until: now,
             pools: BTreeMap::new(),
@@ -149,7 +149,7 @@
             for (index, period) in lessor.leases.iter().enumerate() {
                 let from = period.since.max(before);
                 let leased = period.until.min(now).saturating_sub(from);
-                self.leased[index] += share * leased.as_secs_f64();
+                self.leased_share_seconds[index] += share * leased.as_secs_f64();
                 if period.until > now {
                     self.leased_fraction[index] += share;
                 }
@@ -175,18 +175,21 @@
     fn grant(&mut self, now: Now, workspace: CallerId, limit: Limit, requested: u32) -> Outcome {
         self.evict_idle_pools();
         let index = Shard::of(workspace).index();
-        let (leased, leased_fraction) = (self.leased[index], self.leased_fraction[index]);
+        let (leased, leased_fraction) = (
+            self.leased_share_seconds[index],
+            self.leased_fraction[index],
+        );
         // Of a workspace that nobody asked for before, nothing was granted since this run began.
         let pool = self.pools.entry(workspace).or_insert(Pool {
             tokens: 0.0,
-            counted_until: 0.0,
+            counted_share_seconds: 0.0,
             backlog: 0.0,
             last_refusal: now,
         });
-        let earned = limit.rate * (leased - pool.counted_until);
+        let earned = limit.rate * (leased - pool.counted_share_seconds);
         // However small the part is, a request fits in: else a fragment of the fleet would serve nobody.
         pool.tokens = (pool.tokens + earned).min((limit.burst * leased_fraction).max(1.0));
-        pool.counted_until = leased;
+        pool.counted_share_seconds = leased;
         let granted = (pool.tokens.max(0.0) as u32).min(requested);
         if granted > 0 {
             pool.tokens -= f64::from(granted);
@@ -200,9 +203,9 @@
             return;
         }
         // One that is gone starts as if nothing had been granted, which is true only of those that are full.
-        let leased = self.leased;
+        let leased = self.leased_share_seconds;
         let is_idle = |workspace: &CallerId, pool: &Pool| {
-            leased[Shard::of(*workspace).index()] - pool.counted_until
+            leased[Shard::of(*workspace).index()] - pool.counted_share_seconds
                 > BACKLOG_DECAY_TIME.as_secs_f64()
         };
         self.pools
--- a/crates/sorrelturn-quota/src/entry.rs
+++ b/crates/sorrelturn-quota/src/entry.rs
@@ -136,7 +136,7 @@
             }),
             None => Some(Target {
                 accountant: preferred,
-                lease: self.lend(now, preferred),
+                lease: self.lease_shares(now, preferred),
             }),
         }
     }
@@ -255,7 +255,7 @@
     }
 
     /// Lends the shares of all shards of an accountant that are not lent to others.
-    fn lend(&mut self, now: Now, to: Incarnation) -> Option<Lease> {
+    fn lease_shares(&mut self, now: Now, to: Incarnation) -> Option<Lease> {
         let reading = *self.readings.get(&to)?;
         // The accountant counts from its stamp, which is older than the moment at which it was heard.
         let until = reading.at + self.lease.mul_f64(CLOCK_MARGIN);
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -217,13 +217,13 @@
         };
         let req = entry.acquire_request(target, DAEMONS as u32, workspace);
         // An accountant whose run is over is asked for nothing.
-        if let Some(to) = self.position_of(target) {
+        if let Some(to) = self.index_of(target) {
             let sent = now;
             self.messages.push(Message::Request { to, sent, req });
         }
     }
 
-    fn position_of(&self, target: Target) -> Option<usize> {
+    fn index_of(&self, target: Target) -> Option<usize> {
         let mut daemons = self.daemons.iter();
         daemons.position(|daemon| daemon.incarnation == target.accountant)
     }
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -125,7 +125,7 @@
 }
 
 impl Fleet {
-    fn position_of(&self, incarnation: Incarnation) -> Option<usize> {
+    fn index_of(&self, incarnation: Incarnation) -> Option<usize> {
         self.daemons
             .iter()
             .position(|daemon| daemon.incarnation == incarnation)
@@ -162,9 +162,7 @@
         match message {
             Message::Request { to, sent, req } => {
                 // A run that is over answers nothing.
-                let Some(at) = self.position_of(to) else {
-                    return;
-                };
+                let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
                 let now = daemon.clock_time(self.now);
                 let reply = daemon.accountant.acquire(now, &req, Some(LIMIT), DAEMONS);
@@ -172,9 +170,7 @@
                 self.messages.push(Message::Reply { to, sent, reply });
             }
             Message::Reply { to, sent, reply } => {
-                let Some(at) = self.position_of(to) else {
-                    return;
-                };
+                let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
                 let now = daemon.clock_time(self.now);
                 if daemon.entry.accept_reply(now, sent, WORKSPACE, &reply) {
