--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Which attempts an owner works on and has lately ended, so that whoever misses an answer can ask.
+//! The attempts that are in progress or recently ended at an owner, for senders that miss a response.
 //! See `docs/design/silent-connections.md`.
 
 use sorrelturn_protocol::{AttemptId, Fate};
@@ -9,20 +9,20 @@
 
 type Now = Duration;
 
-/// How long an attempt is remembered after its end, about 100 bytes each. Whoever waits asks every two
-/// seconds at the latest; one that asks later than this is told that it may have run.
+/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this; a later
+/// query gets the answer that the attempt may have run.
 const ENDED_RETENTION: Duration = Duration::from_secs(5);
-/// How long an attempt is refused that never came. Its connection is closed when that is known, and what a
-/// network held up of it comes within seconds.
+/// How long an attempt that was reported as never arrived is refused. Its connection is closed by then, and packets delayed
+/// in the network arrive within seconds.
 const FENCED_RETENTION: Duration = Duration::from_secs(60);
-/// A question may have been this long on its way: its sender waits for half a second and no longer.
+/// The maximum network delay of a status query; its sender's timeout is shorter.
 const MAX_QUERY_DELAY: Duration = Duration::from_secs(1);
 
-/// Attempts in the order in which they were put in last.
+/// Attempts in the order of their last insertion.
 #[derive(Debug, Default)]
 struct Recent {
     order: VecDeque<(Now, AttemptId)>,
-    /// When each was put in last.
+    /// The time of each attempt's last insertion.
     inserted_at: HashMap<AttemptId, Now>,
 }
 
@@ -36,7 +36,8 @@
         self.inserted_at.contains_key(&attempt)
     }
 
-    /// Forgets the oldest if it was put in before `since`, and not again since then; returns when it was.
+    /// Removes the oldest insertion if it is older than `since`, with its attempt unless that was inserted again; returns
+    /// the time of the removed insertion.
     fn evict_before(&mut self, since: Now) -> Option<Now> {
         let (at, attempt) = *self.order.front()?;
         if at >= since {
@@ -50,19 +51,19 @@
     }
 }
 
-/// The attempts of other daemons' calls at their owner.
+/// The owner's register of attempts by other daemons.
 #[derive(Debug, Default)]
 pub struct AttemptRegister {
-    /// How often each is at work: a token may be asked for twice at once.
+    /// How many times each attempt is in progress: requests with the same token can arrive concurrently.
     in_progress: HashMap<AttemptId, u32>,
     ended: Recent,
     fenced: Recent,
-    /// When the last one ended that is forgotten.
+    /// The end time of the most recently evicted attempt.
     last_evicted_end: Option<Now>,
 }
 
 impl AttemptRegister {
-    /// An attempt came; returns whether it may run. One that was said to have never come may not.
+    /// Registers an attempt that arrived; returns whether it may run. An attempt that was reported as never arrived may not.
     pub fn begin(&mut self, now: Now, attempt: AttemptId) -> bool {
         self.evict_expired(now);
         if self.fenced.contains(attempt) {
@@ -72,7 +73,7 @@
         true
     }
 
-    /// An attempt is over.
+    /// Records that an attempt ended.
     pub fn end(&mut self, now: Now, attempt: AttemptId) {
         if let Some(count) = self.in_progress.get_mut(&attempt) {
             *count -= 1;
@@ -83,24 +84,25 @@
         self.ended.insert(now, attempt);
     }
 
-    /// What became of an attempt that its sender sent so long ago. One that never came is fenced off.
+    /// Returns the status of an attempt that was sent `sent_ago` before the query. An attempt that never arrived is fenced:
+    /// it is refused if it arrives later.
     pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
         self.evict_expired(now);
         if self.in_progress.contains_key(&attempt) {
             return Fate::AtWork;
         }
         let earliest_sent = now.checked_sub(sent_ago + MAX_QUERY_DELAY);
-        let may_be_evicted = self
+        let may_have_been_evicted = self
             .last_evicted_end
             .is_some_and(|until| earliest_sent.is_none_or(|earliest_sent| until >= earliest_sent));
-        if may_be_evicted || self.ended.contains(attempt) {
+        if may_have_been_evicted || self.ended.contains(attempt) {
             return Fate::Over;
         }
         self.fenced.insert(now, attempt);
         Fate::NeverCame
     }
 
-    /// Each attempt brings one, so two a time keep up with them.
+    /// Each attempt adds one ended entry, so evicting two per call keeps up.
     fn evict_expired(&mut self, now: Now) {
         for _ in 0..2 {
             let since = now.saturating_sub(ENDED_RETENTION);
--- a/crates/sorrelturn-once/src/binding.rs
+++ b/crates/sorrelturn-once/src/binding.rs
@@ -1,4 +1,4 @@
-//! The one-step way: a caller's own key is bound to a token by one conditional create.
+//! The one-step path: a conditional create in the store binds a caller's own key to a token.
 //! See `docs/design/at-most-once.md`.
 
 use crate::Fingerprint;
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::ExecutionToken;
 
-/// The object that binds a key, as it lies in the store.
+/// The stored object that binds a key to a token.
 ///
-/// Whoever created it, its token is the only one that the key may use: after a lost answer or a
-/// lost race it is read back and used, whatever the own token was.
+/// Its token is the only one that may be used for the key. After a lost response or a lost race, a daemon reads the
+/// binding back and uses its token instead of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// The token, in its header's form.
+    /// The token, formatted as in its header.
     pub token: String,
-    /// What the key was first used for.
+    /// The fingerprint of the first request that used the key.
     pub fingerprint: u64,
-    /// Random, so that two attempts never write the same value.
+    /// A random number, so that two attempts never write the same value.
     pub attempt: u64,
 }
 
@@ -32,7 +32,7 @@
 impl std::error::Error for BindingError {}
 
 impl Binding {
-    /// The token, for the request that the key was bound for and no other.
+    /// Returns the token if `fingerprint` is that of the request that the key is bound to.
     pub fn token_for(&self, fingerprint: Fingerprint) -> Result<ExecutionToken, BindingError> {
         if self.fingerprint != fingerprint.0 {
             return Err(BindingError::Mismatch);
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The memory of one daemon process about the tokens that it issued.
+//! The tokens that one daemon process issued, with their states and outcomes.
 //! See `docs/design/at-most-once.md`.
 
 use crate::{ClosingRecord, OutcomeSegment, RecordedOutcome};
@@ -11,29 +11,28 @@
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// How long a token can be used and its outcome be asked for.
+    /// How long a token can be used and its outcome can be queried.
     pub ttl: Duration,
-    /// The most tokens that are out at once. At the limit new ones are refused, none forgotten.
+    /// The maximum number of unexpired tokens. At the limit no new tokens are issued, and none are evicted.
     pub capacity: usize,
-    /// The most bytes of answers that are kept for repeats; outcomes beyond it are kept without
-    /// their answers.
+    /// The maximum number of response body bytes retained for repeats. Further outcomes are retained without bodies.
     pub max_retained_bytes: usize,
 }
 
-/// What a token was first used for: a hash over caller, kind and target.
+/// Identifies the request that a token was first used for: a hash over caller, kind and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// How a request ended, as its caller gets it again when it asks once more.
+/// The result of a request, which is returned again if the caller repeats it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// The whole body, or `None` where it was too large to keep.
+    /// The whole body, or `None` if it was too large to retain.
     pub body: Option<Vec<u8>>,
 }
 
@@ -43,22 +42,22 @@
     }
 }
 
-/// Whether a request may be forwarded.
+/// The result of [`Ledger::begin`]: whether a request may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// Forward it: this is the token's one execution.
+    /// The request may be forwarded, as the token's only execution.
     Run,
-    /// It is running now.
+    /// A request with the token is in progress.
     Running,
-    /// It ended; this is its answer.
+    /// The request ended with this outcome.
     Recorded(Outcome),
-    /// It was refused, and stays refused.
+    /// The request was refused and stays refused.
     Refused,
-    /// The token was never issued here, or was issued for another request.
+    /// The token was not issued by this process, or was first used for another request.
     Rejected,
-    /// The token is too old to be remembered.
+    /// The token has expired.
     Expired,
-    /// This process runs no tokens any more and has not run this one.
+    /// The ledger is closed and the token was never executed.
     Closed,
 }
 
@@ -75,10 +74,10 @@
     state: TokenState,
 }
 
-/// Issues tokens and sees to it that each is forwarded at most once.
+/// Issues tokens and ensures that each is forwarded at most once.
 ///
-/// A token's memory is reserved when it is issued. Tokens are sealed with a key that only this
-/// process has, so forged ones take no memory.
+/// Capacity for a token is reserved when it is issued. Tokens are sealed with a key that only this process has, so forged
+/// tokens use no memory.
 pub struct Ledger {
     owner: Incarnation,
     cfg: LedgerConfig,
@@ -94,7 +93,7 @@
 }
 
 impl Ledger {
-    /// The ledger of a process that just started; `seal_key` must be secret and fresh.
+    /// Creates the ledger of a process that just started; `seal_key` must be secret and newly generated.
     pub fn new(owner: Incarnation, cfg: LedgerConfig, seal_key: [u8; 32]) -> Self {
         Self {
             owner,
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Issues a token; `None` at the limit, or once the ledger is closed.
+    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
         self.evict_expired(now);
         if self.is_closed || self.unexpired.len() >= self.cfg.capacity {
@@ -127,7 +126,7 @@
         })
     }
 
-    /// A request with a token arrived: may it be forwarded?
+    /// Registers a request that arrived with a token; returns whether it may be forwarded.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -153,17 +152,17 @@
         Begin::Run
     }
 
-    /// The request was refused before a byte of it was forwarded.
+    /// Records that a request was refused before any byte of it was forwarded.
     ///
-    /// It must be noted before the refusal is answered: a delayed copy of the request stays
-    /// refused, so the caller can safely take a new token.
+    /// This must happen before the refusal is sent: a delayed copy of the request then stays refused, so the caller can
+    /// safely use a new token.
     pub fn refuse(&mut self, token: &ExecutionToken) {
         if let Some(used) = self.used.get_mut(&token.nonce) {
             used.state = TokenState::Refused;
         }
     }
 
-    /// The request ended.
+    /// Records the outcome of a request.
     pub fn end(&mut self, token: &ExecutionToken, mut outcome: Outcome) {
         let recorded = RecordedOutcome {
             verdict: outcome.verdict,
@@ -184,12 +183,12 @@
         }
     }
 
-    /// The process stops: no token is issued and no unseen one run from now on.
+    /// Closes the ledger when the process stops: no token is issued and no unused token is executed afterwards.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// The segments to write to the store: those in which something is new since they were taken.
+    /// Takes the segments to write to the store: those that changed since they were last taken.
     pub fn take_unsaved(&mut self) -> Vec<OutcomeSegment> {
         std::mem::take(&mut self.unsaved_segments)
             .iter()
@@ -197,13 +196,12 @@
             .collect()
     }
 
-    /// A segment could not be written: it will be taken again.
+    /// Marks a segment that could not be written, so that it is taken again.
     pub fn mark_unsaved(&mut self, number: u64) {
         self.unsaved_segments.insert(number);
     }
 
-    /// Forgets the segments none of whose tokens can be asked for any more, and returns their
-    /// numbers, to delete them in the store.
+    /// Removes the segments whose tokens have all expired; returns their numbers for deletion from the store.
     pub fn remove_expired_segments(&mut self, now: Duration) -> Vec<u64> {
         let mut removed = Vec::new();
         while let Some(number) = self.segments.keys().next().copied() {
@@ -219,8 +217,9 @@
         removed
     }
 
-    /// The record to write last: there is one once the ledger is closed, no request is running, and
-    /// every segment was taken. Whoever writes it must have written those before.
+    /// Returns the closing record, once the ledger is closed, no request is in progress and every segment was taken.
+    ///
+    /// The segments must be written to the store before the closing record.
     pub fn closing_record(&self) -> Option<ClosingRecord> {
         let is_complete =
             self.is_closed && self.unsaved_segments.is_empty() && self.running_count() == 0;
@@ -230,7 +229,7 @@
         })
     }
 
-    /// Requests that are running under a token.
+    /// Returns the number of requests in progress.
     pub fn running_count(&self) -> usize {
         self.used
             .values()
@@ -238,17 +237,17 @@
             .count()
     }
 
-    /// The bytes of answers that are kept.
+    /// Returns the number of retained response body bytes.
     pub fn retained_bytes(&self) -> usize {
         self.retained_bytes
     }
 
-    /// Tokens that are out and not expired.
+    /// Returns the number of issued tokens that have not expired.
     pub fn outstanding(&self) -> usize {
         self.unexpired.len()
     }
 
-    /// Forgets what can't be asked for any more; running requests are never forgotten.
+    /// Evicts expired tokens and outcomes, but no request in progress.
     pub fn evict_expired(&mut self, now: Duration) {
         while self
             .unexpired
--- a/crates/sorrelturn-once/src/record.rs
+++ b/crates/sorrelturn-once/src/record.rs
@@ -1,40 +1,40 @@
-//! What outlives a daemon process: the outcomes that it recorded in the platform's store.
+//! Outcomes that a daemon records in the platform's store, where they outlive the process.
 //! See `docs/design/at-most-once.md`.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{ExecutionToken, Incarnation, Verdict};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Tokens that were issued within so long have their outcomes in one object of the store. A longer
-/// time means fewer objects, a shorter one fewer bytes that are written again.
+/// The time range of issued tokens whose outcomes are stored in one object.
+///
+/// A longer range means fewer objects, a shorter one fewer bytes that are rewritten.
 pub const SEGMENT_DURATION: Duration = Duration::from_secs(60);
 const SEGMENT_MS: u64 = SEGMENT_DURATION.as_millis() as u64;
 
-/// One outcome without its body. The names are short because thousands lie in one object.
+/// One outcome without its body. The serialized names are short because one object holds thousands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
     /// Whether the request may have run.
     #[serde(rename = "v")]
     pub verdict: Verdict,
-    /// The HTTP status that its caller got.
+    /// The HTTP status returned to the caller.
     #[serde(rename = "s")]
     pub status: u16,
 }
 
-/// The outcomes of those tokens of one incarnation that were issued within one [`SEGMENT`], as one
-/// object in the store.
+/// The outcomes of an incarnation's tokens that were issued within one [`SEGMENT_DURATION`], stored as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeSegment {
-    /// The incarnation.
+    /// The incarnation that issued the tokens.
     pub owner: Incarnation,
     /// The number of the segment, counted from the start of the owner.
     pub number: u64,
-    /// The outcomes by the random half of the token's nonce, in hexadecimal.
+    /// The outcomes, keyed by the random half of the token's nonce in hexadecimal.
     pub outcomes: BTreeMap<String, RecordedOutcome>,
 }
 
 impl OutcomeSegment {
-    /// An empty segment.
+    /// Creates an empty segment.
     pub fn new(owner: Incarnation, number: u64) -> Self {
         Self {
             owner,
@@ -43,13 +43,12 @@
         }
     }
 
-    /// The number of the segment that a token belongs to.
+    /// Returns the number of the segment that a token belongs to.
     pub fn number_of(token: &ExecutionToken) -> u64 {
         token.issued_ms / SEGMENT_MS
     }
 
-    /// When the first token of the segment behind this one could be issued, in milliseconds of the
-    /// owner's clock.
+    /// Returns the exclusive end of a segment, in milliseconds of the owner's clock.
     pub(crate) fn segment_end_ms(number: u64) -> u64 {
         (number + 1) * SEGMENT_MS
     }
@@ -59,20 +58,20 @@
     }
 }
 
-/// The owner's last word: it runs no token any more, and every outcome lies in the store.
+/// The owner's final record: it executes no more tokens, and every outcome is in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosingRecord {
-    /// The incarnation.
+    /// The incarnation that wrote the record.
     pub owner: Incarnation,
-    /// The segments of tokens issued before this, in milliseconds of the owner's clock, are deleted.
+    /// The time, in milliseconds of the owner's clock, before which segments are deleted.
     pub complete_since_ms: u64,
 }
 
-/// What became of a token whose owner can't be asked.
+/// Returns the verdict on a token whose owner can't be queried.
 ///
-/// `closing` must have been read before `segment`: then the segment is whole. Only a closing record
-/// makes an unlisted token [`Verdict::NotRun`]: the owner wrote it after its last execution and
-/// refuses every token since. Without it, nobody knows.
+/// `closing` must have been read before `segment`, so that the segment is complete. A token without a recorded outcome is
+/// [`Verdict::NotRun`] only if there is a closing record: the owner writes it after its last execution and refuses every
+/// later token. Without it the verdict is [`Verdict::MayHaveRun`].
 pub fn verdict_of_lost_owner(
     token: &ExecutionToken,
     closing: Option<&ClosingRecord>,
@@ -90,7 +89,7 @@
     }
 }
 
-/// The other half of the nonce is the seal, which says nothing more.
+/// Returns the random half of the nonce; the other half is the seal, which is derived from it.
 fn outcome_key(token: &ExecutionToken) -> String {
     let random = (token.nonce >> 64) as u64;
     format!("{random:016x}")
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/accountant.rs
@@ -1,4 +1,4 @@
-//! The accountant's side: what it may grant from the shares that are lent to it.
+//! The accountant side of quotas: grants from the shares that are leased to it.
 
 use crate::{
     AcquireReply, AcquireRequest, ClockReading, Limit, Now, Outcome, SHARDS, Shard, Terms,
@@ -6,59 +6,59 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The most workspaces whose pools are kept; beyond it, those that are full are forgotten first.
+/// The number of pools from which on idle ones are evicted.
 const MAX_POOLS: usize = 20_000;
-/// A caller that is over its quota is told to come back after this at least.
+/// The minimum Retry-After time for a caller that is over its quota.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The longest time that such a caller is told.
+/// The maximum Retry-After time for a caller that is over its quota.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Those who were refused come back over about this time, or not at all.
+/// The time constant with which the backlog of refused requests decays.
 const BACKLOG_DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// One daemon's loans of all shards.
+/// The leases of one daemon.
 #[derive(Clone, Debug)]
 struct Lessor {
     members: u32,
     leases: [LeasePeriod; SHARDS],
 }
 
-/// From when to when a share is lent.
+/// The period of a share's lease.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeasePeriod {
     since: Now,
     until: Now,
 }
 
-/// What is left of a workspace's quota.
+/// The remaining quota of a workspace.
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     tokens: f64,
-    /// How much of the shard had been lent when the tokens were counted.
+    /// The shard's leased share-seconds up to which tokens are credited.
     counted_share_seconds: f64,
-    /// Those who were refused and may come back.
+    /// The estimated number of refused requests that will be retried.
     backlog: f64,
     last_refusal: Now,
 }
 
-/// Grants what may run of the workspaces of its shards.
+/// Grants requests of workspaces within their quotas, in proportion to the leased shares.
 #[derive(Clone, Debug)]
 pub struct Accountant {
     incarnation: Incarnation,
     terms: Terms,
     lessors: BTreeMap<Incarnation, Lessor>,
-    /// Among how many members the quotas are divided, and until when this can't fall.
+    /// The number of members among which the quotas are divided, and until when it can't decrease.
     members: (u32, Now),
-    /// The sum over all loans of a shard of share times time, in seconds.
+    /// For each shard, the sum of share times lease time over all leases, in seconds.
     leased_share_seconds: [f64; SHARDS],
-    /// The part of all shares that is lent now.
+    /// For each shard, the fraction of the shares that is currently leased.
     leased_fraction: [f64; SHARDS],
-    /// Up to when both are counted.
+    /// The time up to which `leased_share_seconds` and `leased_fraction` are computed.
     counted_until: Now,
     pools: BTreeMap<CallerId, Pool>,
 }
 
 impl Accountant {
-    /// An accountant that nobody has lent anything yet.
+    /// Creates an accountant without leases.
     pub fn new(incarnation: Incarnation, terms: Terms, now: Now) -> Self {
         Self {
             incarnation,
@@ -72,8 +72,10 @@
         }
     }
 
-    /// Answers a daemon. `limit` is that of the workspace that it asks for, absent if none is known here; `members`
-    /// is among how many this accountant believes the quotas to be divided.
+    /// Processes an acquire request.
+    ///
+    /// `limit` is the limit of the requested workspace, absent if it is unknown here; `members` is the number of members
+    /// that this accountant knows.
     pub fn acquire(
         &mut self,
         now: Now,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// The part of a shard's shares that is lent to this accountant.
+    /// Returns the fraction of a shard's shares that is leased to this accountant.
     pub fn leased_fraction(&mut self, now: Now, shard: Shard, members: u32) -> f64 {
         let now = self.monotonic(now);
         self.count_leased(now, members);
@@ -108,7 +110,7 @@
         self.terms.lease_duration(members.max(self.members.0))
     }
 
-    /// A thread may be held up after it read the clock: what was counted already must not be counted again.
+    /// Raises a clock value that was read before another thread's update, so that no time is counted twice.
     fn monotonic(&self, now: Now) -> Now {
         now.max(self.counted_until)
     }
@@ -121,7 +123,7 @@
         else {
             return;
         };
-        // Where the two have other settings, it is over for both when it is for one.
+        // If the settings of lessor and accountant differ, the shorter duration applies.
         let until = lease.clock_reading.at + self.lease(members).min(lease.duration);
         if until <= now {
             return;
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Counts what was lent up to now.
+    /// Updates the leased shares up to `now` and removes expired leases.
     fn count_leased(&mut self, now: Now, members: u32) {
         let before = self.counted_until;
         let share = 1.0 / f64::from(self.quota_divisor(now, members));
@@ -160,8 +162,9 @@
         self.lessors.retain(|_, lessor| has_lease(lessor));
     }
 
-    /// Among how many members the quotas are divided, as far as anybody knows. What a member that has gone had lent
-    /// holds for a lease longer, and until then its share isn't the others'.
+    /// Returns the number of members among which the quotas are divided: the maximum that any daemon reports.
+    ///
+    /// It decreases only after a lease duration, because leases of members that have gone are valid until then.
     fn quota_divisor(&mut self, now: Now, members: u32) -> u32 {
         let reported = self.lessors.values().map(|lessor| lessor.members).max();
         let members = reported.unwrap_or(1).max(members).max(1);
@@ -179,7 +182,7 @@
             self.leased_share_seconds[index],
             self.leased_fraction[index],
         );
-        // Of a workspace that nobody asked for before, nothing was granted since this run began.
+        // For a workspace without a pool, this incarnation has granted nothing yet.
         let pool = self.pools.entry(workspace).or_insert(Pool {
             tokens: 0.0,
             counted_share_seconds: 0.0,
@@ -187,7 +190,7 @@
             last_refusal: now,
         });
         let earned = limit.rate * (leased - pool.counted_share_seconds);
-        // However small the part is, a request fits in: else a fragment of the fleet would serve nobody.
+        // The capacity is at least one request; a small fragment of the fleet would otherwise grant nothing.
         pool.tokens = (pool.tokens + earned).min((limit.burst * leased_fraction).max(1.0));
         pool.counted_share_seconds = leased;
         let granted = (pool.tokens.max(0.0) as u32).min(requested);
@@ -202,7 +205,7 @@
         if self.pools.len() < MAX_POOLS {
             return;
         }
-        // One that is gone starts as if nothing had been granted, which is true only of those that are full.
+        // An evicted pool is recreated full, so only pools that have refilled are evicted.
         let leased = self.leased_share_seconds;
         let is_idle = |workspace: &CallerId, pool: &Pool| {
             leased[Shard::of(*workspace).index()] - pool.counted_share_seconds
@@ -214,7 +217,7 @@
 }
 
 impl Pool {
-    /// Counts one who is refused; returns when there is probably room, after all those who were refused before.
+    /// Records a refused request; returns the time after which the estimated backlog has probably drained.
     fn record_refusal(&mut self, now: Now, rate: f64) -> Duration {
         let elapsed = now.saturating_sub(self.last_refusal).as_secs_f64();
         self.backlog = self.backlog * (-elapsed / BACKLOG_DECAY_TIME.as_secs_f64()).exp() + 1.0;
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -1,29 +1,31 @@
-//! What operators promise of a quota, and the bucket that keeps it.
+//! The bound on requests per window for a quota, and the token bucket that enforces it.
 
 use crate::Limit;
 use std::time::Duration;
 
-/// The part of the slack that the bucket uses; each fragment of a fleet may hold one request of the rest.
+/// The fraction of the slack that the bucket uses. The rest covers the one request that fits into each fragment of a
+/// partitioned fleet.
 const SLACK_FRACTION: f64 = 0.5;
-/// The least part of the burst that may be let in at once, where the bound leaves little beside the rate.
+/// The minimum fraction of the burst that is admitted at once if the bound leaves little beyond the rate.
 const MIN_BURST_FRACTION: f64 = 0.25;
 
-/// How a quota is counted: in every window, no more than rate times window and the burst, and a little over.
+/// The bound of a quota: in every window, at most rate times window plus burst, exceeded by no more than the overage and
+/// the slack.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bound {
-    /// The window.
+    /// The duration of the window.
     pub window: Duration,
-    /// The part by which the count may lie over that.
+    /// The fraction by which the count may exceed rate times window plus burst.
     pub overage: f64,
-    /// The requests by which it may lie over that besides.
+    /// The number of requests by which the count may exceed it in addition.
     pub slack: f64,
 }
 
 impl Bound {
-    /// The bucket that keeps a quota in every window, whoever forgets what was granted before.
+    /// Returns the token bucket that enforces the bound in every window, even if an accountant loses its state.
     ///
-    /// In each window a workspace may ask for its burst anew, so the bucket refills at the rate and a burst a window. What
-    /// is left of the bound is what may be let in at once. `grant` is how long a grant may lie unused.
+    /// A workspace may use its burst again in each window, so the bucket refills at the rate plus one burst per window.
+    /// The bucket's capacity is the rest of the bound. `grant` is how long an unused grant stays valid.
     pub fn bucket(&self, quota: Limit, grant: Duration) -> Limit {
         let window = self.window.as_secs_f64();
         let in_window = (quota.rate * window + quota.burst) * (1.0 + self.overage);
--- a/crates/sorrelturn-quota/src/entry.rs
+++ b/crates/sorrelturn-quota/src/entry.rs
@@ -1,4 +1,4 @@
-//! The entry's side: whom it lends its share, and the grants that it holds.
+//! The entry side of quotas: the leases of its own shares and the grants that it holds.
 
 use crate::{
     AcquireReply, AcquireRequest, ClockReading, Lease, Now, Outcome, SHARDS, Shard, ShardSet, Terms,
@@ -6,25 +6,25 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// Clocks of different VMs run alike but for so much of a lease.
+/// The factor by which the entry extends a lease, because the accountant's clock may run slower than its own.
 const CLOCK_MARGIN: f64 = 1.05;
-/// A loan is renewed after so large a part of its time, by a draw or by itself. It is counted from a stamp that is as old when
-/// it is sent, so the part is below a half.
+/// The fraction of the lease duration after which a lease is renewed.
+///
+/// It is below one half because the clock reading of a renewal is already one renewal interval old.
 pub const RENEW_AFTER_FRACTION: f64 = 0.4;
-/// An accountant that didn't answer is passed over for so long.
+/// How long an accountant that didn't answer is skipped.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// So long after a workspace was over its quota nothing is asked for it here: a workspace that presses at all entries would
-/// keep its accountant from everybody else, and what it is due is drawn by the other entries meanwhile.
+/// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its accountant.
 const OVER_QUOTA_INTERVAL: Duration = Duration::from_millis(100);
-/// The most workspaces whose grants are held.
+/// The number of workspaces with grant balances above which expired balances are removed.
 const MAX_GRANT_BALANCES: usize = 20_000;
 
-/// Whom a draw goes to.
+/// The recipient of an acquire request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// The run of the accountant.
+    /// The incarnation of the accountant.
     pub accountant: Incarnation,
-    /// What is lent with it.
+    /// The lease that is sent with the request.
     pub lease: Option<Lease>,
 }
 
@@ -44,16 +44,16 @@
 struct GrantBalance {
     grants: u32,
     until: Now,
-    /// Over its quota: until then, and when there is room.
+    /// If the workspace is over its quota: when to ask the accountant again, and the Retry-After time.
     over_quota: Option<(Now, Duration)>,
 }
 
-/// One daemon's loans and grants.
+/// The leases and grants of one daemon.
 #[derive(Clone, Debug)]
 pub struct Entry {
     incarnation: Incarnation,
     started: Now,
-    /// For how long a share is lent. It only grows, as more members are known.
+    /// The lease duration. It only grows, as more members become known.
     lease: Duration,
     terms: Terms,
     preferred: [Option<Incarnation>; SHARDS],
@@ -64,7 +64,7 @@
 }
 
 impl Entry {
-    /// A run that starts now.
+    /// Creates the state of an incarnation that starts at `now`.
     pub fn new(incarnation: Incarnation, terms: Terms, now: Now) -> Self {
         Self {
             incarnation,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes over who the accountants are, and how many members there are.
+    /// Sets the preferred accountant of each shard and the number of members.
     pub fn set_preferred(&mut self, members: u32, of_shard: impl Fn(Shard) -> Option<Incarnation>) {
         self.lease = self.lease.max(self.terms.lease_duration(members));
         for shard in Shard::all() {
@@ -87,25 +87,25 @@
         }
     }
 
-    /// For how long shares are lent.
+    /// Returns the lease duration.
     pub fn lease_duration(&self) -> Duration {
         self.lease
     }
 
-    /// Whether an accountant is passed over since it didn't answer.
+    /// Whether an accountant is skipped because it recently didn't answer.
     pub fn is_unresponsive(&self, now: Now, accountant: Incarnation) -> bool {
         let until = self.unresponsive.get(&accountant);
         until.is_some_and(|until| now < *until)
     }
 
-    /// An accountant didn't answer.
+    /// Records that an accountant didn't answer.
     pub fn mark_unresponsive(&mut self, now: Now, accountant: Incarnation) {
         self.unresponsive.retain(|_, until| now < *until);
         self.unresponsive
             .insert(accountant, now + UNRESPONSIVE_TIMEOUT);
     }
 
-    /// Uses a grant, if one is held.
+    /// Uses one grant of a workspace; returns `false` if there is no valid one.
     pub fn use_grant(&mut self, now: Now, workspace: CallerId) -> bool {
         match self.balances.get_mut(&workspace) {
             Some(balance) if now < balance.until && balance.grants > 0 => {
@@ -116,16 +116,17 @@
         }
     }
 
-    /// When there is room for a workspace that was over its quota a moment ago; it isn't worth while to ask again.
+    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the accountant need
+    /// not be asked again.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Whom to draw from for a shard, and what is lent with it. The loan counts as made from here on.
+    /// Selects the accountant for an acquire request and the lease to send with it. The lease counts as given from this call.
     ///
-    /// A share is lent to one accountant at a time. While another one than the preferred one may still count it,
-    /// that one is asked if it answers, and nothing is lent.
+    /// A share is leased to one accountant at a time. While a lease to another than the preferred accountant may still be
+    /// valid, the request goes to that one without a lease, provided that it answers.
     pub fn target(&mut self, now: Now, shard: Shard) -> Option<Target> {
         let preferred = self.preferred[shard.index()]?;
         let other_lessee = self.leased_elsewhere(now, shard, preferred);
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The accountants with which nothing was lent or renewed for a while, each with a shard of its own.
+    /// Returns one shard for each accountant whose lease is due for renewal.
     pub fn due_renewals(&self, now: Now) -> Vec<Shard> {
         let renew_after = self.lease.mul_f64(RENEW_AFTER_FRACTION);
         let mut due: Vec<Shard> = Vec::new();
@@ -161,7 +162,7 @@
         due
     }
 
-    /// The message of a draw.
+    /// Builds the acquire request for a target.
     pub fn acquire_request(
         &self,
         target: Target,
@@ -177,7 +178,7 @@
         }
     }
 
-    /// An accountant answered what was sent at `sent`; returns whether the request that asked may run.
+    /// Processes the reply to an acquire request sent at `sent`; returns whether the client request may run.
     pub fn accept_reply(
         &mut self,
         now: Now,
@@ -205,7 +206,7 @@
             balance.grants = 0;
             balance.until = until;
         }
-        // The older grants don't live longer by the new ones.
+        // New grants don't extend the validity of older ones.
         balance.until = balance.until.min(until);
         balance.grants += grants - 1;
         true
@@ -225,7 +226,7 @@
         })
     }
 
-    /// An accountant answered a renewal.
+    /// Records the clock reading of an accountant's reply.
     pub fn record_reading(&mut self, now: Now, clock_reading: ClockReading) {
         self.unresponsive.remove(&clock_reading.incarnation);
         let lease = self.lease;
@@ -239,7 +240,7 @@
         );
     }
 
-    /// The part of all shards whose shares are lent.
+    /// Returns the fraction of shards whose shares are leased.
     pub fn leased_fraction(&self, now: Now) -> f64 {
         let leased = self
             .leased
@@ -254,12 +255,12 @@
         (leased.to != than).then_some(leased.to)
     }
 
-    /// Lends the shares of all shards of an accountant that are not lent to others.
+    /// Leases to an accountant the shares of all its shards that are not leased to others.
     fn lease_shares(&mut self, now: Now, to: Incarnation) -> Option<Lease> {
         let reading = *self.readings.get(&to)?;
-        // The accountant counts from its stamp, which is older than the moment at which it was heard.
+        // The accountant counts from its clock reading, which is older than the time at which it was received.
         let until = reading.at + self.lease.mul_f64(CLOCK_MARGIN);
-        // An earlier run may have lent its share to somebody, whom this one doesn't know.
+        // A lease of the previous incarnation, unknown to this one, may still be valid.
         let leases_from = self.started + self.lease.mul_f64(CLOCK_MARGIN);
         if now < leases_from || now >= until {
             return None;
--- a/crates/sorrelturn-quota/src/lib.rs
+++ b/crates/sorrelturn-quota/src/lib.rs
@@ -12,34 +12,33 @@
 pub use messages::{AcquireReply, AcquireRequest, ClockReading, Lease, Outcome};
 pub use shard::{SHARDS, Shard, ShardSet, preferred_accountant};
 
-/// A point in time: what has passed since the process started, the time included that its VM was suspended.
+/// A point in time: the time since the process started, including time during which its VM was suspended.
 pub type Now = std::time::Duration;
 
-/// How long what is lent and granted holds.
+/// How long leases and grants are valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Terms {
-    /// A share is lent for so long from the stamp that proves the lease.
+    /// The minimum duration of a lease, counted from the clock reading that it carries.
     pub lease: std::time::Duration,
-    /// A grant that wasn't used for so long is void.
+    /// How long an unused grant stays valid.
     pub grant: std::time::Duration,
 }
 
-/// So much of a lease there is for each member at least: an accountant then answers some 800 renewals a second, 3 % of a
-/// core, however large the fleet is.
+/// Leases grow with the fleet, which limits the renewals per second that an accountant answers.
 const MIN_LEASE_PER_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
 
 impl Terms {
-    /// For how long a share is lent in a fleet of so many members.
+    /// Returns the lease duration in a fleet of `members` daemons.
     pub fn lease_duration(&self, members: u32) -> std::time::Duration {
         self.lease.max(MIN_LEASE_PER_MEMBER * members)
     }
 }
 
-/// How much of a workspace may run, summed over all daemons.
+/// The quota of a workspace, summed over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of that at once.
+    /// Requests that may run at once on top of the rate.
     pub burst: f64,
 }
--- a/crates/sorrelturn-quota/src/messages.rs
+++ b/crates/sorrelturn-quota/src/messages.rs
@@ -1,68 +1,70 @@
-//! What a daemon and an accountant say to one another.
+//! The messages between daemons and accountants.
 
 use crate::{Now, ShardSet};
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::time::Duration;
 
-/// A reading of an accountant's clock. Whoever shows it proves that it was sent after that, however late it
-/// arrives, so a lease can be counted from it by the accountant's clock alone.
+/// A reading of an accountant's clock.
+///
+/// A message that carries it was sent later than the reading, however late it arrives. The accountant can therefore count
+/// a lease from the reading by its own clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// The run of the accountant.
+    /// The incarnation of the accountant.
     #[serde(rename = "run")]
     pub incarnation: Incarnation,
-    /// Its clock.
+    /// The time by the accountant's clock.
     pub at: Now,
 }
 
-/// The shares that a daemon lends.
+/// A lease of a daemon's quota shares to an accountant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// The accountant's own stamp, from which the lease is counted.
+    /// The accountant's own clock reading, from which the lease is counted.
     #[serde(rename = "stamp")]
     pub clock_reading: ClockReading,
-    /// The shards whose shares are lent.
+    /// The shards whose shares are leased.
     pub shards: ShardSet,
-    /// For how long after the stamp, as far as the lender is concerned.
+    /// The lease duration after the clock reading, by the lessor's settings.
     #[serde(rename = "lasts")]
     pub duration: Duration,
 }
 
-/// A daemon asks an accountant.
+/// A daemon's request to an accountant for grants, for a lease renewal, or for both.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcquireRequest {
-    /// Which daemon asks, in which run.
+    /// The incarnation of the requesting daemon.
     pub from: Incarnation,
-    /// The shares that it lends; absent where it has no stamp yet.
+    /// The lease of its shares; absent if it can't lease any, for instance without a clock reading.
     #[serde(rename = "loan")]
     pub lease: Option<Lease>,
-    /// Among how many members it believes the quotas to be divided.
+    /// The number of members among which the requesting daemon divides the quotas.
     pub members: u32,
-    /// The workspace that it asks for; absent where it only renews its loan.
+    /// The workspace whose grants are requested; absent if the request only renews the lease.
     pub workspace: Option<CallerId>,
-    /// How many requests it wants to let in.
+    /// The number of grants requested.
     #[serde(rename = "wanted")]
     pub requested: u32,
 }
 
-/// What became of what was asked for.
+/// The result of an [`AcquireRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// So many requests may run. Only as many as were wanted, and at least one.
+    /// The number of requests that may run: at least one, at most the requested number.
     Granted(u32),
-    /// The quota is used up; there is probably room after this time.
+    /// The quota is used up; capacity is probably available after this time.
     UsedUp(Duration),
-    /// The accountant doesn't know such a workspace, or was asked for none.
+    /// The accountant doesn't know a quota for the workspace, or the request names none.
     Nothing,
 }
 
-/// An accountant's answer.
+/// An accountant's reply to an [`AcquireRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcquireReply {
-    /// To lend shares with the next time.
+    /// The clock reading for the next lease.
     #[serde(rename = "stamp")]
     pub clock_reading: ClockReading,
-    /// What was granted.
+    /// The result of the request.
     pub outcome: Outcome,
 }
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -1,11 +1,12 @@
-//! Shards: the workspaces that have one accountant in common.
+//! Shards: groups of workspaces that share an accountant.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// How many shards there are. Each daemon keeps in touch with as many accountants at most, and each accountant
-/// with all daemons: more of them share the work of a fleet better and cost each daemon more messages.
+/// The number of shards, which is also the maximum number of accountants that a daemon exchanges messages with.
+///
+/// More shards distribute the load over more accountants and cost each daemon more messages.
 pub const SHARDS: usize = 8;
 
 /// The number of a shard.
@@ -13,12 +14,12 @@
 pub struct Shard(pub u8);
 
 impl Shard {
-    /// The shard of a workspace.
+    /// Returns the shard of a workspace.
     pub fn of(workspace: CallerId) -> Self {
         Self((workspace.0 % SHARDS as u64) as u8)
     }
 
-    /// All shards.
+    /// Iterates over all shards.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..SHARDS as u8).map(Self)
     }
@@ -28,7 +29,7 @@
     }
 }
 
-/// Some of the shards.
+/// A set of shards.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -40,17 +41,17 @@
         self.0 |= 1 << shard.0;
     }
 
-    /// Whether a shard is among them.
+    /// Whether the set contains a shard.
     pub fn contains(self, shard: Shard) -> bool {
         self.0 & (1 << shard.0) != 0
     }
 
-    /// Whether there are none.
+    /// Whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// The shards.
+    /// Iterates over the shards of the set.
     pub fn iter(self) -> impl Iterator<Item = Shard> {
         Shard::all().filter(move |shard| self.contains(*shard))
     }
@@ -64,8 +65,9 @@
     }
 }
 
-/// The member that all who know the same members take for a shard's accountant. When one comes or goes, only the
-/// shards that fall to it or were its own move.
+/// Selects a shard's accountant by rendezvous hashing.
+///
+/// Daemons with the same member list select the same accountant. When a member joins or leaves, only its own shards move.
 pub fn preferred_accountant<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
