--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -1,7 +1,7 @@
 //! The decisions of a request's path in a loop, the same in every run, so that their instructions
 //! can be counted.
 
-use sorrelturn_once::{Begin, Fingerprint, Ledger, LedgerConfig, Outcome as Recorded};
+use sorrelturn_once::{BeginResult, Fingerprint, Ledger, LedgerConfig, Outcome as Recorded};
 use sorrelturn_policy::{
     Arrival, Attempt, Decision as Admission, Gate, GateConfig, Instance, InstanceReport,
     LearnedThreshold, Outcome, choose, next_step,
@@ -174,7 +174,7 @@
         let Some(token) = ledger.issue(now, &mut rng) else {
             return;
         };
-        if ledger.begin(now, &token, print) == Begin::Run {
+        if ledger.begin(now, &token, print) == BeginResult::Run {
             ledger.end(
                 &token,
                 Recorded {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -12,7 +12,7 @@
 };
 use hyper::Request;
 use sorrelturn_bundle::{Execution, Kind, KindEntry};
-use sorrelturn_once::{Begin, Fingerprint};
+use sorrelturn_once::{BeginResult, Fingerprint};
 use sorrelturn_policy::RetryAfter;
 use sorrelturn_protocol::{CallContext, Refusal, SpanId, Verdict};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
@@ -145,8 +145,8 @@
         let mut ledger = lock(&node.ledger);
         let fingerprint = fingerprint(context, "");
         match ledger.begin(node.now(), &token, fingerprint) {
-            Begin::Run => ledger.refuse(&token),
-            Begin::Closed | Begin::Refused => {}
+            BeginResult::Run => ledger.refuse(&token),
+            BeginResult::Closed | BeginResult::Refused => {}
             _ => return Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun),
         }
     }
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use hyper::{Request, Response, header::CONTENT_TYPE};
 use smol::channel;
-use sorrelturn_once::{Begin, Outcome as OnceOutcome};
+use sorrelturn_once::{BeginResult, Outcome as OnceOutcome};
 use sorrelturn_protocol::{ExecutionToken, Refusal, Verdict};
 use sorrelturn_telemetry::events;
 use std::sync::Arc;
@@ -33,8 +33,8 @@
         let share = self.context.attempts;
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
-            Begin::Run => {}
-            Begin::Recorded(outcome) => return unused(self.recorded(outcome), share),
+            BeginResult::Run => {}
+            BeginResult::Recorded(outcome) => return unused(self.recorded(outcome), share),
             other => return unused(self.not_begun(&other), share),
         }
         let spent = SpentToken {
@@ -115,12 +115,12 @@
         Reply::answered(outcome.verdict, res)
     }
 
-    fn not_begun(&self, begin: &Begin) -> Reply {
+    fn not_begun(&self, begin: &BeginResult) -> Reply {
         let (refusal, verdict) = match begin {
-            Begin::Running => (Refusal::StillRunning, Verdict::MayHaveRun),
-            Begin::Refused => (Refusal::Tombstone, Verdict::NotRun),
-            Begin::Rejected => (Refusal::TokenRejected, Verdict::NotRun),
-            Begin::Closed => (Refusal::Leaving, Verdict::NotRun),
+            BeginResult::Running => (Refusal::StillRunning, Verdict::MayHaveRun),
+            BeginResult::Refused => (Refusal::Tombstone, Verdict::NotRun),
+            BeginResult::Rejected => (Refusal::TokenRejected, Verdict::NotRun),
+            BeginResult::Closed => (Refusal::Leaving, Verdict::NotRun),
             _ => (Refusal::OutcomeUnknown, Verdict::MayHaveRun),
         };
         let mut reply = self.refused(refusal);
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -9,11 +9,11 @@
 
 type Now = Duration;
 
-/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this; a later
-/// query gets the answer that the attempt may have run.
+/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this; a
+/// later query gets the answer that the attempt may have run.
 const ENDED_RETENTION: Duration = Duration::from_secs(5);
-/// How long an attempt that was reported as never arrived is refused. Its connection is closed by then, and packets delayed
-/// in the network arrive within seconds.
+/// How long an attempt that was reported as never arrived is refused. Its connection is closed when that is reported,
+/// and packets delayed in the network arrive within seconds.
 const FENCED_RETENTION: Duration = Duration::from_secs(60);
 /// The maximum network delay of a status query; its sender's timeout is shorter.
 const MAX_QUERY_DELAY: Duration = Duration::from_secs(1);
@@ -36,8 +36,8 @@
         self.inserted_at.contains_key(&attempt)
     }
 
-    /// Removes the oldest insertion if it is older than `since`, with its attempt unless that was inserted again; returns
-    /// the time of the removed insertion.
+    /// Removes the oldest insertion if it is older than `since`, with its attempt unless that was inserted again;
+    /// returns the time of the removed insertion.
     fn evict_before(&mut self, since: Now) -> Option<Now> {
         let (at, attempt) = *self.order.front()?;
         if at >= since {
@@ -63,7 +63,8 @@
 }
 
 impl AttemptRegister {
-    /// Registers an attempt that arrived; returns whether it may run. An attempt that was reported as never arrived may not.
+    /// Registers an attempt that arrived; returns whether it may run. An attempt that was reported as never arrived may
+    /// not.
     pub fn begin(&mut self, now: Now, attempt: AttemptId) -> bool {
         self.evict_expired(now);
         if self.fenced.contains(attempt) {
@@ -84,8 +85,8 @@
         self.ended.insert(now, attempt);
     }
 
-    /// Returns the status of an attempt that was sent `sent_ago` before the query. An attempt that never arrived is fenced:
-    /// it is refused if it arrives later.
+    /// Returns the status of an attempt that was sent `sent_ago` before the query. An attempt that never arrived is
+    /// fenced: it is refused if it arrives later.
     pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
         self.evict_expired(now);
         if self.in_progress.contains_key(&attempt) {
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -44,7 +44,7 @@
 
 /// The result of [`Ledger::begin`]: whether a request may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginResult {
     /// The request may be forwarded, as the token's only execution.
     Run,
     /// A request with the token is in progress.
@@ -76,8 +76,8 @@
 
 /// Issues tokens and ensures that each is forwarded at most once.
 ///
-/// Capacity for a token is reserved when it is issued. Tokens are sealed with a key that only this process has, so forged
-/// tokens use no memory.
+/// Capacity for a token is reserved when it is issued. Tokens are sealed with a key that only this process has, so
+/// forged tokens use no memory.
 pub struct Ledger {
     owner: Incarnation,
     cfg: LedgerConfig,
@@ -132,24 +132,24 @@
         now: Duration,
         token: &ExecutionToken,
         fingerprint: Fingerprint,
-    ) -> Begin {
+    ) -> BeginResult {
         if token.owner != self.owner || !self.is_sealed(token) {
-            return Begin::Rejected;
+            return BeginResult::Rejected;
         }
         if let Some(used) = self.used.get(&token.nonce) {
             return repeat_result(used, fingerprint);
         }
         if self.is_expired(now, token.issued_ms) {
-            return Begin::Expired;
+            return BeginResult::Expired;
         }
         if self.is_closed {
-            return Begin::Closed;
+            return BeginResult::Closed;
         }
         self.used_by_age.insert((token.issued_ms, token.nonce));
         let state = TokenState::Running;
         self.used
             .insert(token.nonce, UsedToken { fingerprint, state });
-        Begin::Run
+        BeginResult::Run
     }
 
     /// Records that a request was refused before any byte of it was forwarded.
@@ -297,13 +297,13 @@
     }
 }
 
-fn repeat_result(used: &UsedToken, fingerprint: Fingerprint) -> Begin {
+fn repeat_result(used: &UsedToken, fingerprint: Fingerprint) -> BeginResult {
     if used.fingerprint != fingerprint {
-        return Begin::Rejected;
+        return BeginResult::Rejected;
     }
     match &used.state {
-        TokenState::Running => Begin::Running,
-        TokenState::Refused => Begin::Refused,
-        TokenState::Ended(outcome) => Begin::Recorded(outcome.clone()),
+        TokenState::Running => BeginResult::Running,
+        TokenState::Refused => BeginResult::Refused,
+        TokenState::Ended(outcome) => BeginResult::Recorded(outcome.clone()),
     }
 }
--- a/crates/sorrelturn-once/src/lib.rs
+++ b/crates/sorrelturn-once/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use attempts::AttemptRegister;
 pub use binding::{Binding, BindingError};
-pub use ledger::{Begin, Fingerprint, Ledger, LedgerConfig, Outcome};
+pub use ledger::{BeginResult, Fingerprint, Ledger, LedgerConfig, Outcome};
 pub use nested::{CallKey, NestedTokens};
 pub use record::{
     ClosingRecord, OutcomeSegment, RecordedOutcome, SEGMENT_DURATION, verdict_of_lost_owner,
--- a/crates/sorrelturn-once/src/nested.rs
+++ b/crates/sorrelturn-once/src/nested.rs
@@ -9,8 +9,8 @@
 
 /// The tokens of the calls of one request in progress.
 ///
-/// A backend server that repeats a call gets the outcome of the first call, because the repeat carries the same token to
-/// the same owner.
+/// A backend server that repeats a call gets the outcome of the first call, because the repeat carries the same token
+/// to the same owner.
 #[derive(Clone, Debug, Default)]
 pub struct NestedTokens {
     tokens: HashMap<CallKey, ExecutionToken>,
--- a/crates/sorrelturn-once/src/record.rs
+++ b/crates/sorrelturn-once/src/record.rs
@@ -69,9 +69,9 @@
 
 /// Returns the verdict on a token whose owner can't be queried.
 ///
-/// `closing` must have been read before `segment`, so that the segment is complete. A token without a recorded outcome is
-/// [`Verdict::NotRun`] only if there is a closing record: the owner writes it after its last execution and refuses every
-/// later token. Without it the verdict is [`Verdict::MayHaveRun`].
+/// `closing` must have been read before `segment`, so that the segment is complete. A token without a recorded outcome
+/// is [`Verdict::NotRun`] only if there is a closing record: the owner writes it after its last execution and refuses
+/// every later token. Without it the verdict is [`Verdict::MayHaveRun`].
 pub fn verdict_of_lost_owner(
     token: &ExecutionToken,
     closing: Option<&ClosingRecord>,
--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A token runs at most once, whatever arrives late, twice or after a restart.
+//! Guards against a token that is executed twice, after delays, duplicates or restarts.
 
 use proptest::prelude::*;
 use sorrelturn_once::*;
@@ -35,12 +35,15 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
-    assert_eq!(ledger.begin(ms(2), &token, FINGERPRINT), Begin::Running);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(2), &token, FINGERPRINT),
+        BeginResult::Running
+    );
     ledger.end(&token, outcome(201));
     assert_eq!(
         ledger.begin(ms(3), &token, FINGERPRINT),
-        Begin::Recorded(outcome(201))
+        BeginResult::Recorded(outcome(201))
     );
 }
 
@@ -49,9 +52,12 @@
     let mut rng = fastrand::Rng::with_seed(2);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
     ledger.refuse(&token);
-    assert_eq!(ledger.begin(ms(2), &token, FINGERPRINT), Begin::Refused);
+    assert_eq!(
+        ledger.begin(ms(2), &token, FINGERPRINT),
+        BeginResult::Refused
+    );
 }
 
 #[test]
@@ -60,7 +66,7 @@
     let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
     assert_eq!(
         ledger(2, 10).begin(ms(1), &token, FINGERPRINT),
-        Begin::Rejected
+        BeginResult::Rejected
     );
 }
 
@@ -77,10 +83,19 @@
         issued_ms: 50,
         ..token
     };
-    assert_eq!(ledger.begin(ms(1), &forged, FINGERPRINT), Begin::Rejected);
-    assert_eq!(ledger.begin(ms(1), &redated, FINGERPRINT), Begin::Rejected);
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
-    assert_eq!(ledger.begin(ms(2), &token, Fingerprint(2)), Begin::Rejected);
+    assert_eq!(
+        ledger.begin(ms(1), &forged, FINGERPRINT),
+        BeginResult::Rejected
+    );
+    assert_eq!(
+        ledger.begin(ms(1), &redated, FINGERPRINT),
+        BeginResult::Rejected
+    );
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(2), &token, Fingerprint(2)),
+        BeginResult::Rejected
+    );
 }
 
 #[test]
@@ -88,10 +103,10 @@
     let mut rng = fastrand::Rng::with_seed(5);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
     ledger.end(&token, outcome(200));
     ledger.evict_expired(TTL);
-    assert_eq!(ledger.begin(TTL, &token, FINGERPRINT), Begin::Expired);
+    assert_eq!(ledger.begin(TTL, &token, FINGERPRINT), BeginResult::Expired);
 }
 
 #[test]
@@ -101,10 +116,10 @@
     let first = ledger.issue(ms(0), &mut rng).expect("token");
     let second = ledger.issue(ms(0), &mut rng).expect("token");
     assert_eq!(ledger.issue(ms(1), &mut rng), None);
-    assert_eq!(ledger.begin(ms(1), &first, FINGERPRINT), Begin::Run);
-    assert_eq!(ledger.begin(ms(1), &second, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &first, FINGERPRINT), BeginResult::Run);
+    assert_eq!(ledger.begin(ms(1), &second, FINGERPRINT), BeginResult::Run);
     assert!(ledger.issue(TTL, &mut rng).is_some());
-    assert_eq!(ledger.begin(TTL, &first, FINGERPRINT), Begin::Running);
+    assert_eq!(ledger.begin(TTL, &first, FINGERPRINT), BeginResult::Running);
 }
 
 #[test]
@@ -118,21 +133,21 @@
     let tokens: Vec<_> = (0..30)
         .map(|_| {
             let token = ledger.issue(ms(0), &mut rng).expect("token");
-            assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
+            assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
             ledger.end(&token, large.clone());
             token
         })
         .collect();
     assert!(ledger.retained_bytes() <= 1_000_000);
-    let has_body = |begin| matches!(begin, Begin::Recorded(Outcome { body: Some(_), .. }));
-    let answers: Vec<Begin> = tokens
+    let has_body = |begin| matches!(begin, BeginResult::Recorded(Outcome { body: Some(_), .. }));
+    let answers: Vec<BeginResult> = tokens
         .iter()
         .map(|token| ledger.begin(ms(2), token, FINGERPRINT))
         .collect();
     assert!(
         answers
             .iter()
-            .all(|begin| matches!(begin, Begin::Recorded(_)))
+            .all(|begin| matches!(begin, BeginResult::Recorded(_)))
     );
     assert_eq!(
         answers
@@ -151,7 +166,7 @@
     let mut ledger = ledger(1, 10);
     let used = ledger.issue(ms(0), &mut rng).expect("token");
     let unused = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), BeginResult::Run);
     ledger.end(&used, outcome(200));
     assert_eq!(ledger.closing_record(), None);
     let segments_before_close = ledger.take_unsaved();
@@ -162,8 +177,11 @@
     assert_eq!(verdict(&unused, None), Verdict::MayHaveRun);
 
     ledger.close();
-    assert_eq!(ledger.begin(ms(2), &unused, FINGERPRINT), Begin::Closed);
-    let closing_record = ledger.closing_record().expect("all is written");
+    assert_eq!(
+        ledger.begin(ms(2), &unused, FINGERPRINT),
+        BeginResult::Closed
+    );
+    let closing_record = ledger.closing_record().expect("all segments are taken");
     assert_eq!(verdict(&unused, Some(&closing_record)), Verdict::NotRun);
     assert_eq!(verdict(&used, Some(&closing_record)), Verdict::Ran);
     assert_eq!(ledger.take_unsaved(), []);
@@ -174,7 +192,7 @@
     let mut rng = fastrand::Rng::with_seed(8);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
     ledger.close();
     assert_eq!(ledger.closing_record(), None);
     ledger.end(&token, outcome(200));
@@ -191,16 +209,16 @@
     let mut rng = fastrand::Rng::with_seed(9);
     let mut ledger = ledger(1, 10);
     let expired = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(0), &expired, FINGERPRINT), Begin::Run);
+    assert_eq!(ledger.begin(ms(0), &expired, FINGERPRINT), BeginResult::Run);
     ledger.end(&expired, outcome(200));
-    // The last token of the first segment expires a segment and a life of tokens after its start.
+    // The last token of the first segment expires one segment duration plus one TTL after the segment's start.
     let deleted = SEGMENT_DURATION + TTL;
     assert!(ledger.remove_expired_segments(deleted - ms(1)).is_empty());
     assert_eq!(ledger.remove_expired_segments(deleted), vec![0_u64]);
     let newer = ledger.issue(deleted, &mut rng).expect("token");
     ledger.close();
     assert_eq!(ledger.take_unsaved(), []);
-    let closing_record = ledger.closing_record().expect("nothing is unsaved");
+    let closing_record = ledger.closing_record().expect("no segment is unsaved");
     let verdict = |token| verdict_of_lost_owner(token, Some(&closing_record), None);
     assert_eq!(verdict(&expired), Verdict::MayHaveRun);
     assert_eq!(verdict(&newer), Verdict::NotRun);
@@ -208,8 +226,7 @@
 
 #[test]
 fn what_is_written_grows_with_the_rate_of_outcomes_and_not_with_their_number() {
-    // A tenth of 190,000 calls a second run at most once, on a quarter of 2,700 daemons; a daemon
-    // of that size writes every 54 s (docs/CAPACITY.md).
+    // The load and write interval of one daemon in a large fleet, see docs/CAPACITY.md.
     const RATE: u64 = 28;
     const WRITE_INTERVAL_S: u64 = 54;
     const MAX_BYTES_PER_SECOND: usize = 3_000;
@@ -225,7 +242,7 @@
         let now = Duration::from_secs(second);
         for _ in 0..RATE {
             let token = ledger.issue(now, &mut rng).expect("token");
-            assert_eq!(ledger.begin(now, &token, FINGERPRINT), Begin::Run);
+            assert_eq!(ledger.begin(now, &token, FINGERPRINT), BeginResult::Run);
             ledger.end(&token, outcome(200));
         }
         if second % WRITE_INTERVAL_S == 0 {
@@ -237,12 +254,12 @@
             ledger.remove_expired_segments(now);
         }
     }
-    let max_bytes_per_second = written.iter().max().expect("it wrote");
+    let max_bytes_per_second = written.iter().max().expect("at least one write");
     assert!(
         *max_bytes_per_second < MAX_BYTES_PER_SECOND,
         "{max_bytes_per_second} bytes/s"
     );
-    println!("{max_bytes_per_second} bytes/s at the most");
+    println!("{max_bytes_per_second} bytes/s at most");
 }
 
 #[test]
@@ -280,7 +297,7 @@
     assert_eq!(nested.get(&key), None);
 }
 
-/// One thing that happens to a fleet of owners and the copies of requests on their way.
+/// An event that affects the owners or the copies of requests in transit.
 #[derive(Clone, Debug)]
 enum Event {
     Issue,
@@ -319,20 +336,20 @@
                 Event::Issue => tokens.extend(current.issue(owner_now, &mut rng)),
                 Event::Deliver(at) if !tokens.is_empty() => {
                     let token: ExecutionToken = tokens[at.index(tokens.len())];
-                    if current.begin(owner_now, &token, FINGERPRINT) == Begin::Run {
+                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run {
                         prop_assert!(!reported_not_run.contains(&token), "ran after a refusal");
                         *run_counts.entry(token).or_insert(0) += 1;
                     }
                 }
                 Event::End(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if current.begin(owner_now, &token, FINGERPRINT) == Begin::Running {
+                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Running {
                         current.end(&token, outcome(200));
                     }
                 }
                 Event::Refuse(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if !run_counts.contains_key(&token) && current.begin(owner_now, &token, FINGERPRINT) == Begin::Run {
+                    if !run_counts.contains_key(&token) && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run {
                         current.refuse(&token);
                         reported_not_run.insert(token);
                     }
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What an owner says of an attempt whose sender misses the answer: it may be sent again as not run only
-//! if it has not run and never will.
+//! Guards against an owner that reports an attempt as never arrived although it ran or will run: the sender would then
+//! retry it and it would run twice.
 
 use proptest::prelude::*;
 use sorrelturn_once::AttemptRegister;
@@ -64,15 +64,14 @@
         register.status(at(20_000), attempt(1), at(20_000)),
         Fate::Over
     );
-    // What was sent after all that is forgotten had ended is known for sure.
+    // The status is certain for attempts sent after the end of every evicted attempt.
     assert_eq!(
         register.status(at(20_000), attempt(99), at(600)),
         Fate::NeverCame
     );
 }
 
-/// Seen in a random play: asked about again, an attempt was said to have never come, but was fenced off only as
-/// long as after the first question.
+/// Guards against a second status query that doesn't extend the fence of an attempt reported as never arrived.
 #[test]
 fn one_that_is_asked_about_again_is_fenced_off_anew() {
     let mut register = AttemptRegister::default();
@@ -103,8 +102,8 @@
 }
 
 proptest! {
-    /// Whatever is sent, held up, ended and asked in whichever order: what ran before is never said to have never
-    /// come, and what was said to have never come never runs within a minute.
+    /// In every order of arrivals, ends and queries: an attempt that ran is never reported as never arrived, and an
+    /// attempt reported as never arrived doesn't run within a minute.
     #[test]
     fn never_came_is_true_before_and_after(steps in steps()) {
         let mut register = AttemptRegister::default();
@@ -118,7 +117,7 @@
                 Step::Arrive(number) => {
                     if register.begin(now, attempt(number)) {
                         let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
-                        prop_assert!(fence_expired, "{number} ran after it was fenced off");
+                        prop_assert!(fence_expired, "attempt {number} ran after it was fenced");
                         ran.insert(number, ());
                         if !in_progress.insert(number) {
                             register.end(now, attempt(number));
@@ -131,10 +130,10 @@
                     }
                 }
                 Step::Query(number) => {
-                    // All were sent when the play began.
+                    // All attempts were sent at the start of the schedule.
                     let status = register.status(now, attempt(number), now);
                     if status == Fate::NeverCame {
-                        prop_assert!(!ran.contains_key(&number), "{number} had run");
+                        prop_assert!(!ran.contains_key(&number), "attempt {number} had already run");
                         fenced.insert(number, now);
                     }
                 }
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/accountant.rs
@@ -74,8 +74,8 @@
 
     /// Processes an acquire request.
     ///
-    /// `limit` is the limit of the requested workspace, absent if it is unknown here; `members` is the number of members
-    /// that this accountant knows.
+    /// `limit` is the limit of the requested workspace, absent if it is unknown here; `members` is the number of
+    /// members that this accountant knows.
     pub fn acquire(
         &mut self,
         now: Now,
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -9,8 +9,8 @@
 /// The minimum fraction of the burst that is admitted at once if the bound leaves little beyond the rate.
 const MIN_BURST_FRACTION: f64 = 0.25;
 
-/// The bound of a quota: in every window, at most rate times window plus burst, exceeded by no more than the overage and
-/// the slack.
+/// The bound of a quota: in every window, at most rate times window plus burst, exceeded by no more than the overage
+/// and the slack.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bound {
     /// The duration of the window.
--- a/crates/sorrelturn-quota/src/entry.rs
+++ b/crates/sorrelturn-quota/src/entry.rs
@@ -14,7 +14,8 @@
 pub const RENEW_AFTER_FRACTION: f64 = 0.4;
 /// How long an accountant that didn't answer is skipped.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its accountant.
+/// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its
+/// accountant.
 const OVER_QUOTA_INTERVAL: Duration = Duration::from_millis(100);
 /// The number of workspaces with grant balances above which expired balances are removed.
 const MAX_GRANT_BALANCES: usize = 20_000;
@@ -116,17 +117,18 @@
         }
     }
 
-    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the accountant need
-    /// not be asked again.
+    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the accountant
+    /// need not be asked again.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Selects the accountant for an acquire request and the lease to send with it. The lease counts as given from this call.
+    /// Selects the accountant for an acquire request and the lease to send with it. The lease counts as given from this
+    /// call.
     ///
-    /// A share is leased to one accountant at a time. While a lease to another than the preferred accountant may still be
-    /// valid, the request goes to that one without a lease, provided that it answers.
+    /// A share is leased to one accountant at a time. While a lease to another than the preferred accountant may still
+    /// be valid, the request goes to that one without a lease, provided that it answers.
     pub fn target(&mut self, now: Now, shard: Shard) -> Option<Target> {
         let preferred = self.preferred[shard.index()]?;
         let other_lessee = self.leased_elsewhere(now, shard, preferred);
--- a/crates/sorrelturn-quota/src/messages.rs
+++ b/crates/sorrelturn-quota/src/messages.rs
@@ -7,8 +7,8 @@
 
 /// A reading of an accountant's clock.
 ///
-/// A message that carries it was sent later than the reading, however late it arrives. The accountant can therefore count
-/// a lease from the reading by its own clock alone.
+/// A message that carries it was sent later than the reading, however late it arrives. The accountant can therefore
+/// count a lease from the reading by its own clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockReading {
     /// The incarnation of the accountant.
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -67,7 +67,8 @@
 
 /// Selects a shard's accountant by rendezvous hashing.
 ///
-/// Daemons with the same member list select the same accountant. When a member joins or leaves, only its own shards move.
+/// Daemons with the same member list select the same accountant. When a member joins or leaves, only its own shards
+/// move.
 pub fn preferred_accountant<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
--- a/crates/sorrelturn-quota/tests/accountant.rs
+++ b/crates/sorrelturn-quota/tests/accountant.rs
@@ -1,4 +1,4 @@
-//! What an accountant grants from what is lent to it.
+//! Guards against an accountant that grants more than the leased shares allow.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
@@ -21,7 +21,7 @@
     Duration::from_millis(ms)
 }
 
-/// A draw that lends the share of the workspace's shard, with a stamp of this moment.
+/// Builds an acquire request that leases the share of the workspace's shard, with a clock reading of `now`.
 fn request(from: u64, now: Now, requested: u32) -> AcquireRequest {
     let shards: ShardSet = [Shard::of(WORKSPACE)].into_iter().collect();
     let clock_reading = ClockReading {
@@ -48,20 +48,20 @@
     }
 }
 
-/// All of `lenders` draw as much as there is in each step of 10 ms; returns how much ran.
+/// Lets all `lessors` acquire as many grants as possible every 10 ms; returns the number granted.
 fn acquire_in_steps(
     accountant: &mut Accountant,
-    lenders: &[u64],
+    lessors: &[u64],
     members: u32,
     ms: std::ops::Range<u64>,
 ) -> u32 {
     let steps = ms.step_by(10);
     steps
-        .flat_map(|ms| lenders.iter().map(move |lender| (ms, *lender)))
-        .map(|(ms, lender)| {
+        .flat_map(|ms| lessors.iter().map(move |lessor| (ms, *lessor)))
+        .map(|(ms, lessor)| {
             let request = AcquireRequest {
                 members,
-                ..request(lender, at_ms(ms), 100)
+                ..request(lessor, at_ms(ms), 100)
             };
             granted(
                 accountant
@@ -74,13 +74,13 @@
 
 #[test]
 fn it_grants_as_much_of_the_rate_as_is_lent() {
-    for (lenders, part) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
+    for (lessors, fraction) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
         let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
-        let ran = acquire_in_steps(&mut accountant, lenders, 4, 0..5_000);
-        let requested = LIMIT.rate * 5.0 * part;
+        let granted_count = acquire_in_steps(&mut accountant, lessors, 4, 0..5_000);
+        let requested = LIMIT.rate * 5.0 * fraction;
         assert!(
-            (f64::from(ran) - requested).abs() <= 0.02 * requested + 1.0,
-            "{ran} {requested}"
+            (f64::from(granted_count) - requested).abs() <= 0.02 * requested + 1.0,
+            "{granted_count} {requested}"
         );
     }
 }
@@ -89,9 +89,12 @@
 fn the_share_of_a_member_that_has_gone_is_not_the_others_before_its_loan_is_over() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     acquire_in_steps(&mut accountant, &[1, 2, 3], 3, 0..2_000);
-    // The third has gone, and its share was lent up to 2,990 ms.
-    let ran = acquire_in_steps(&mut accountant, &[1, 2], 2, 2_000..3_000);
-    assert!(f64::from(ran) <= LIMIT.rate * 1.0 + 1.0, "{ran}");
+    // The third member has gone; the lease of its share ends at 2,990 ms.
+    let granted_count = acquire_in_steps(&mut accountant, &[1, 2], 2, 2_000..3_000);
+    assert!(
+        f64::from(granted_count) <= LIMIT.rate * 1.0 + 1.0,
+        "{granted_count}"
+    );
     let later = acquire_in_steps(&mut accountant, &[1, 2], 2, 4_000..5_000);
     assert!(f64::from(later) >= LIMIT.rate * 0.95, "{later}");
 }
@@ -154,23 +157,27 @@
     assert_eq!(reply.outcome, Outcome::Granted(2));
 }
 
-/// A thread may be held up between its reading of the clock and its turn at the accountant, for as long as a VM is frozen.
+/// A thread may be delayed between its clock reading and its call of the accountant, for instance while its VM is
+/// suspended.
 #[test]
 fn a_reading_of_the_clock_that_comes_out_of_order_counts_no_time_twice() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
-    let mut ran = 0;
+    let mut granted_count = 0;
     for ms in (0..5_000u64).step_by(10) {
         for read in [ms, ms.saturating_sub(400)] {
             let request = request(1, at_ms(read), 100);
             let reply = accountant.acquire(at_ms(read), &request, Some(LIMIT), 1);
-            ran += granted(reply.outcome);
+            granted_count += granted(reply.outcome);
         }
         accountant.leased_fraction(at_ms(ms.saturating_sub(300)), Shard::of(WORKSPACE), 1);
     }
-    assert!(f64::from(ran) <= LIMIT.rate * 5.0 + 1.0, "{ran}");
+    assert!(
+        f64::from(granted_count) <= LIMIT.rate * 5.0 + 1.0,
+        "{granted_count}"
+    );
 }
 
-/// While the settings of a fleet change, lenders and accountants may have different ones.
+/// While the settings of a fleet change, lessors and accountants may use different ones.
 #[test]
 fn a_loan_is_over_when_it_is_for_its_lender() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
@@ -179,7 +186,7 @@
         lease.duration = Duration::from_millis(250);
     }
     accountant.acquire(at_ms(0), &short, Some(LIMIT), 1);
-    let mut part = |ms| accountant.leased_fraction(at_ms(ms), Shard::of(WORKSPACE), 1);
-    assert_eq!(part(249), 1.0);
-    assert_eq!(part(250), 0.0);
+    let mut fraction = |ms| accountant.leased_fraction(at_ms(ms), Shard::of(WORKSPACE), 1);
+    assert_eq!(fraction(249), 1.0);
+    assert_eq!(fraction(250), 0.0);
 }
--- a/crates/sorrelturn-quota/tests/bound.rs
+++ b/crates/sorrelturn-quota/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The bucket keeps what operators promise of a quota in every window.
+//! Guards against a token bucket that admits more than the bound in some window.
 
 use sorrelturn_quota::{Bound, Limit};
 use std::time::Duration;
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -1,8 +1,5 @@
-//! For how long shares are lent: what a short time buys when a whole fleet starts anew, and what it costs where daemons
-//! are far from one another.
-//!
-//! Daemons lend their shares to one accountant, over messages that take as long as told. Seen on a day on which all
-//! daemons were killed at once: for a second nobody had anything to lend, and every caller was refused for its quota.
+//! Simulates daemons that lease their shares to one accountant over a network with delays. Guards against shares that
+//! stay unleased long after a fleet restart, and against too many renewals.
 
 use sorrelturn_protocol::Incarnation;
 use sorrelturn_quota::{
@@ -11,34 +8,34 @@
 use std::time::Duration;
 
 const DAEMONS: u32 = 20;
-/// Many times as many, among whom the shortest lease would be more than an accountant bears.
+/// A fleet in which renewals at the shortest lease duration would overload an accountant.
 const MANY_DAEMONS: u32 = 600;
 const ACCOUNTANT: Incarnation = Incarnation(100);
 const SHARD: Shard = Shard(0);
 const STEP: Duration = Duration::from_millis(5);
 const SIMULATED: Duration = Duration::from_secs(10);
-/// After this a start is over, whichever the lease.
+/// The time after which the startup phase is over for every lease duration.
 const SETTLED: Duration = Duration::from_secs(4);
 const LEASES_MS: [u64; 3] = [1_000, 500, 250];
-/// Between neighbouring failure domains, and between continents.
+/// One-way network delays between neighbouring failure domains and between continents.
 const NEAR: Duration = Duration::from_millis(1);
 const FAR: Duration = Duration::from_millis(80);
 
-/// What became of shares that were lent for so long.
+/// The result of a simulation.
 #[derive(Debug)]
 struct Simulated {
-    /// From the start until nearly all shares were lent.
-    until_lent: Now,
-    /// The part of the shares that was lent at least, and on the average, once the start was over.
+    /// The time from the start until nearly all shares are leased.
+    until_leased: Now,
+    /// The minimum and mean fraction of shares leased after startup.
     least: f64,
     mean: f64,
-    /// Renewals of one daemon in a second.
+    /// Renewals per daemon and second.
     renewals: f64,
 }
 
 struct Daemon {
     entry: Entry,
-    /// A renewal on its way back.
+    /// The reply to a renewal in transit, with its arrival time.
     answer: Option<(Now, AcquireReply)>,
 }
 
@@ -59,7 +56,7 @@
         })
         .collect();
     let mut in_transit: Vec<(Now, usize, AcquireRequest)> = Vec::new();
-    let (mut until_lent, mut fractions, mut renewals) = (None, Vec::new(), 0);
+    let (mut until_leased, mut fractions, mut renewals) = (None, Vec::new(), 0);
     let mut now = Now::ZERO;
     while now < SIMULATED {
         for (at, daemon) in daemons.iter_mut().enumerate() {
@@ -70,7 +67,10 @@
                 daemon.answer.is_some() || in_transit.iter().any(|(_, by, _)| *by == at);
             let due = daemon.entry.due_renewals(now);
             if !is_waiting && !due.is_empty() {
-                let target = daemon.entry.target(now, SHARD).expect("an accountant");
+                let target = daemon
+                    .entry
+                    .target(now, SHARD)
+                    .expect("a preferred accountant");
                 let req = daemon.entry.acquire_request(target, members, None);
                 in_transit.push((now + one_way_delay, at, req));
                 renewals += 1;
@@ -82,7 +82,7 @@
         }
         let fraction = accountant.leased_fraction(now, SHARD, members);
         if fraction > 0.95 {
-            until_lent.get_or_insert(now);
+            until_leased.get_or_insert(now);
         }
         if now >= SETTLED {
             fractions.push(fraction);
@@ -90,13 +90,15 @@
         now += STEP;
     }
     let simulated = Simulated {
-        until_lent: until_lent.unwrap_or(SIMULATED),
+        until_leased: until_leased.unwrap_or(SIMULATED),
         least: fractions.iter().copied().fold(1.0, f64::min),
         mean: fractions.iter().sum::<f64>() / fractions.len() as f64,
         renewals: f64::from(renewals) / f64::from(members) / SIMULATED.as_secs_f64(),
     };
     // For docs/design/quotas.md.
-    println!("{members} daemons, lent for {lease:?}, {one_way_delay:?} one way: {simulated:?}");
+    println!(
+        "{members} daemons, lease duration {lease:?}, one-way delay {one_way_delay:?}: {simulated:?}"
+    );
     simulated
 }
 
@@ -105,9 +107,9 @@
     for lease_ms in LEASES_MS {
         let lease = Duration::from_millis(lease_ms);
         let simulated = simulate(DAEMONS, lease, NEAR);
-        assert!(simulated.until_lent >= lease, "{simulated:?}");
+        assert!(simulated.until_leased >= lease, "{simulated:?}");
         assert!(
-            simulated.until_lent <= lease.mul_f64(1.5) + STEP,
+            simulated.until_leased <= lease.mul_f64(1.5) + STEP,
             "{simulated:?}"
         );
         assert!(simulated.least > 0.99, "{simulated:?}");
@@ -124,7 +126,7 @@
     assert!(short.mean < 0.9, "{short:?}");
 }
 
-/// By the size of the fleet alone, whatever the operators have set.
+/// The minimum lease duration depends on the fleet size, regardless of the settings.
 #[test]
 fn an_accountant_answers_some_hundred_renewals_a_second_however_many_daemons_there_are() {
     let few = simulate(DAEMONS, Duration::from_millis(250), NEAR);
@@ -136,6 +138,6 @@
         );
         assert!(simulated.least > 0.99, "{members}: {simulated:?}");
     }
-    // What it costs: a fleet of this size waits longer after a start.
-    assert!(many.until_lent > few.until_lent);
+    // The price: a large fleet needs longer after a start.
+    assert!(many.until_leased > few.until_leased);
 }
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -1,7 +1,6 @@
-//! All states of two daemons that lend and draw, up to a bound: messages are late, lost or sent twice, a daemon
-//! starts anew, views of who the accountant is differ, and a limit falls.
-//!
-//! The search is breadth first and sees each state once, so a trace that it finds is a shortest one.
+//! Checks all states of two daemons up to a bound, with faulty networks, a restart, a changed accountant and a lowered
+//! limit. Guards against excess leases and grants and against daemons that are stuck. Breadth-first search yields
+//! shortest traces.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
@@ -16,32 +15,32 @@
 
 const WORKSPACE: CallerId = CallerId(0);
 const DAEMONS: usize = 2;
-/// Half of a lease, so that what ends with one and what doesn't are different states.
+/// Half a lease duration, so that states before and after the end of a lease differ.
 const TICK: Duration = Duration::from_millis(500);
 const TERMS: Terms = Terms {
     lease: Duration::from_millis(1_000),
     grant: Duration::from_millis(250),
 };
-/// A token comes with every tick, and two are kept.
+/// One token per tick, with a capacity of two.
 const LIMIT: Limit = Limit {
     rate: 2.0,
     burst: 2.0,
 };
-/// The bound of the search: it has to hold a start, a loan that lapses, and one to somebody else.
+/// The bound of the search. It must cover a start, a lease that expires and a lease to another accountant.
 const MAX_TICKS: u32 = FIRST_TICK + 2;
-/// When the search begins, both daemons have lent their shares to the first of them for so long.
+/// The search starts in this tick; by then both daemons lease their shares to the first one.
 const FIRST_TICK: u32 = 8;
 const MAX_MESSAGES: usize = 2;
 const MAX_RESTARTS: u32 = 1;
 const MAX_SWITCHES: u32 = 1;
 
-/// What a model does wrong, to show that the search would notice.
+/// A fault in the model, to verify that the search detects it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Mutation {
     None,
-    /// An answer that is delivered twice is honoured twice.
+    /// A reply that is delivered twice is accepted twice.
     AcceptsReplyTwice,
-    /// A run that starts anew lends at once.
+    /// A restarted incarnation leases its shares at once.
     LeasesAtOnceAfterRestart,
 }
 
@@ -76,7 +75,7 @@
     restarts: u32,
     switches: u32,
     is_lowered: bool,
-    /// In which ticks requests ran.
+    /// The ticks in which requests ran.
     ran: Vec<u32>,
 }
 
@@ -129,7 +128,7 @@
         }
     }
 
-    /// All daemons hear of changed preferences and of new runs.
+    /// Notifies all daemons of changed preferences and new incarnations.
     fn update_preferred(&mut self) {
         let incarnations: Vec<Incarnation> = self
             .daemons
@@ -216,7 +215,7 @@
             return;
         };
         let req = entry.acquire_request(target, DAEMONS as u32, workspace);
-        // An accountant whose run is over is asked for nothing.
+        // An accountant whose incarnation has ended gets no request.
         if let Some(to) = self.index_of(target) {
             let sent = now;
             self.messages.push(Message::Request { to, sent, req });
@@ -265,7 +264,8 @@
         }
     }
 
-    /// What must hold: no more than all shares are lent, and no window sees more requests than the limit allows.
+    /// Checks the invariants: at most all shares are leased, and no window has more requests than the limit allows.
+    /// Returns a description of a violation.
     fn violation(&self) -> Option<String> {
         let now = self.now();
         let mut daemons = self.daemons.clone();
@@ -278,16 +278,18 @@
             })
             .sum();
         if leased > 1.0 + f64::EPSILON {
-            return Some(format!("{leased} of the shares are lent"));
+            return Some(format!("{leased} of the shares are leased"));
         }
         for from in 0..=self.ticks {
             let ran = self.ran.iter().filter(|tick| **tick >= from).count();
             let window = TICK * (self.ticks - from) + TERMS.grant;
-            // One request fits into each fragment of the fleet, however small its part of the burst is.
+            // Each fragment of the fleet can grant one request, however small its share of the burst is.
             let fragments = DAEMONS as f64 - 1.0;
             let allowed = LIMIT.rate * window.as_secs_f64() + LIMIT.burst + fragments;
             if ran as f64 > allowed {
-                return Some(format!("{ran} ran since tick {from} where {allowed} may"));
+                return Some(format!(
+                    "{ran} requests ran since tick {from}; at most {allowed} are allowed"
+                ));
             }
         }
         None
@@ -311,12 +313,12 @@
         hasher.finish()
     }
 
-    /// Whether both daemons are let in when messages pass and nothing else happens.
+    /// Whether requests of both daemons run eventually if messages are delivered and nothing else happens.
     fn makes_progress(&self) -> bool {
         const MAX_PROGRESS_TICKS: u32 = 12;
         let mut state = self.clone();
         state.messages.clear();
-        // Each by itself, so that the other one takes nothing.
+        // Each daemon by itself, so that the other one uses no grants.
         (0..DAEMONS).all(|at| {
             let mut state = state.clone();
             let before = state.ran.len();
@@ -348,10 +350,10 @@
     }
 }
 
-/// What a search has come to.
+/// The result of a search.
 struct SearchResult {
     states: usize,
-    /// The shortest way to a state that is not allowed.
+    /// The shortest trace to a state that violates an invariant, with the violation.
     trace: Option<(Vec<Step>, String)>,
 }
 
@@ -403,7 +405,7 @@
     trace
 }
 
-/// The search ends here: as many as are seen in some ten seconds.
+/// The maximum number of states to visit, about ten seconds of work.
 const MAX_STATES: usize = 150_000;
 
 #[test]
@@ -417,14 +419,14 @@
 fn a_grant_that_is_honoured_twice_is_found() {
     let (trace, violation) = search(Mutation::AcceptsReplyTwice, MAX_STATES)
         .trace
-        .expect("it is found");
+        .expect("the search finds a violation");
     println!("{violation} after {trace:?}");
 }
 
 #[test]
 fn a_successor_that_begins_at_once_is_found() {
     let result = search(Mutation::LeasesAtOnceAfterRestart, MAX_STATES);
-    let (trace, violation) = result.trace.expect("it is found");
+    let (trace, violation) = result.trace.expect("the search finds a violation");
     println!("{violation} after {trace:?}");
 }
 
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -1,8 +1,5 @@
-//! Long random schedules of a small fleet, in virtual time: messages that are late, lost, sent twice or out of order, runs that
-//! end, daemons that disagree on the accountant, clocks that run unevenly.
-//!
-//! `model_check` sees all short schedules of two daemons; here three go on for many leases. It finds a run that lends as soon as
-//! it starts, and leases without a margin for the clocks.
+//! Long random schedules of three daemons with faulty networks, restarts and clock drift. Guards against leasing right
+//! after a restart and against leases without a clock margin; `model_check` covers short schedules exhaustively.
 
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -21,18 +18,18 @@
     rate: 20.0,
     burst: 2.0,
 };
-/// What runs is counted in windows of this length.
+/// The window in which accepted requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// By how much clocks run unevenly, in parts of a hundred; the lease's margin bears 5 between two of them.
+/// The rate of each daemon's clock in percent. The lease margin tolerates a difference of 5 between two clocks.
 const CLOCK_RATE_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
-/// Steps of one schedule: some ten leases.
+/// Steps of one schedule, about ten lease durations.
 const STEPS: usize = 600;
 
-/// What happens next.
+/// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
     Advance(u64),
-    /// So many requests at once.
+    /// A daemon and the number of requests that arrive at once.
     Request(usize, usize),
     Renew(usize),
     Deliver(Index),
@@ -42,7 +39,7 @@
     Restart(usize),
 }
 
-/// Any step may follow any other.
+/// Schedules in which any step may follow any other.
 struct AnySchedule;
 
 impl ReferenceStateMachine for AnySchedule {
@@ -89,7 +86,7 @@
     incarnation: Incarnation,
     entry: Entry,
     accountant: Accountant,
-    /// Which daemon it takes for the accountant.
+    /// The index of the daemon that this one prefers as the accountant.
     preferred: usize,
     clock_rate_percent: u32,
 }
@@ -109,7 +106,7 @@
         daemon
     }
 
-    /// What its clock says.
+    /// Returns the time by this daemon's clock.
     fn clock_time(&self, now: Duration) -> Now {
         now * self.clock_rate_percent / 100
     }
@@ -120,7 +117,7 @@
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
     last_incarnation: u64,
-    /// When requests ran.
+    /// The times at which requests ran.
     ran: Vec<Duration>,
 }
 
@@ -161,7 +158,7 @@
     fn deliver(&mut self, message: Message) {
         match message {
             Message::Request { to, sent, req } => {
-                // A run that is over answers nothing.
+                // An incarnation that has ended doesn't reply.
                 let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
                 let now = daemon.clock_time(self.now);
@@ -218,7 +215,7 @@
                     fleet.deliver(message);
                 }
             }
-            // An answer comes once: connections between daemons are streams.
+            // A reply is never duplicated, because connections between daemons are streams.
             Step::DeliverTwice(index) => {
                 let message = fleet.any_message(&index).map(|at| &fleet.messages[at]);
                 if let Some(message @ Message::Request { .. }) = message.cloned() {
@@ -253,18 +250,18 @@
             accountant.leased_fraction(daemon.clock_time(fleet.now), SHARD, DAEMONS)
         };
         let leased: f64 = fleet.daemons.iter().map(leased).sum();
-        assert!(leased <= 1.0 + 1e-9, "{leased} of the shares are lent");
+        assert!(leased <= 1.0 + 1e-9, "{leased} of the shares are leased");
 
         let ran = fleet.ran.iter().rev();
         let in_window = ran.take_while(|at| fleet.now - **at <= WINDOW).count();
         let max_clock_factor =
             f64::from(CLOCK_RATE_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
         let earned = LIMIT.rate * max_clock_factor * (WINDOW + TERMS.grant).as_secs_f64();
-        // A request fits into each fragment of the fleet, however small its part of the burst is.
+        // Each fragment of the fleet can grant one request, however small its share of the burst is.
         let max_count = earned + LIMIT.burst + f64::from(DAEMONS - 1);
         assert!(
             in_window as f64 <= max_count,
-            "{in_window} ran where {max_count} may"
+            "{in_window} requests ran; at most {max_count} are allowed"
         );
     }
 }
--- a/crates/sorrelturn-quota/tests/ways.rs
+++ b/crates/sorrelturn-quota/tests/ways.rs
@@ -1,7 +1,5 @@
-//! Ways to hold a quota over a whole fleet, side by side: static shares, counting with reports, shares that are lent.
-//!
-//! The load is that of a fleet of 68 entries and 76 workspaces, a few of them large, each with a limit of 1.6 times what
-//! it usually sends. No messages travel here: what is compared is what each way lets in, not what it costs.
+//! Compares schemes that enforce a quota over a fleet: static shares, counting with reports, and leased shares. Guards
+//! against leased shares that exceed the bound or refuse requests within the limit. Messages are not simulated.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
@@ -11,7 +9,7 @@
 
 const ENTRIES: usize = 68;
 const WORKSPACES: usize = 76;
-/// What all workspaces usually send in a second.
+/// The usual load of all workspaces, in requests per second.
 const USUAL_RATE: f64 = 2_100.0;
 const LIMIT_FACTOR: f64 = 1.6;
 const SECONDS: u64 = 16;
@@ -20,7 +18,7 @@
     lease: Duration::from_secs(1),
     grant: Duration::from_millis(150),
 };
-/// What the operators' bound allows beyond the limit, in windows of five seconds.
+/// The window of `BOUND` in steps.
 const WINDOW_STEPS: usize = 500;
 const BOUND: Bound = Bound {
     window: Duration::from_secs(5),
@@ -30,23 +28,23 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Load {
-    /// What is usual.
+    /// The usual load.
     Calm,
-    /// All send 1.7 times as much.
+    /// All workspaces send 1.7 times their usual load.
     Burst,
-    /// The largest sends 7.5 times as much.
+    /// The largest workspace sends 7.5 times its usual load.
     Hot,
-    /// The same, while a third of the entries reaches only one another.
+    /// Like `Hot`, while a third of the entries is partitioned from the rest.
     HotAndCut,
 }
 
-/// Whether a request of a workspace may run that comes to an entry.
+/// Decides whether a request of a workspace that arrives at an entry may run.
 trait QuotaScheme {
     fn advance(&mut self, now: Now, is_cut: bool);
     fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
 }
 
-/// A bucket that refills at a rate.
+/// A token bucket.
 #[derive(Clone, Copy)]
 struct Bucket {
     limit: Limit,
@@ -77,7 +75,7 @@
     }
 }
 
-/// The sizes fall like one over the rank, as of a few large customers and many small ones.
+/// Returns the usual rate of a workspace. The rates follow Zipf's law: a few large workspaces and many small ones.
 fn usual_rate(workspace: usize) -> f64 {
     let weights: f64 = (1..=WORKSPACES).map(|rank| 1.0 / rank as f64).sum();
     USUAL_RATE / (workspace + 1) as f64 / weights
@@ -92,7 +90,7 @@
     BOUND.bucket(limit(workspace), TERMS.grant)
 }
 
-/// What is due of a workspace: in every window its rate and its burst.
+/// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
 struct Due {
     steps: VecDeque<u32>,
     in_window: u32,
@@ -126,7 +124,7 @@
     }
 }
 
-/// Each entry has its part of each limit and no more.
+/// Each entry has a fixed share of each limit.
 struct Static(Vec<Vec<Bucket>>);
 
 impl Static {
@@ -152,10 +150,11 @@
     }
 }
 
-/// Entries let in what the last report left, and report five times a second; a part that is cut off has its own count.
+/// Entries accept what remains after the last report and report five times a second; each side of a partition counts
+/// separately.
 struct Counting {
     buckets: [Vec<Bucket>; 2],
-    /// What was left at the last report.
+    /// The tokens that remained at the last report.
     left: [Vec<f64>; 2],
     spent: Vec<Vec<f64>>,
     reported: Now,
@@ -211,7 +210,7 @@
     }
 }
 
-/// The product's own way.
+/// The scheme of this crate.
 struct LeasedShares {
     entries: Vec<Entry>,
     accountants: Vec<Accountant>,
@@ -312,11 +311,11 @@
     entry.is_multiple_of(3)
 }
 
-/// What a way came to.
+/// The result of a simulation.
 struct Result {
-    /// Of what lay under the limits, the part that was refused.
+    /// The fraction of requests within the limits that was refused.
     refused: f64,
-    /// The most that ran in a window, as a part of what the bound allows.
+    /// The maximum number of requests accepted in a window, as a fraction of the bound.
     peak_fraction: f64,
 }
 
@@ -325,7 +324,7 @@
     let mut due: Vec<Due> = (0..WORKSPACES).map(Due::new).collect();
     let mut accepted_per_step: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
     let (mut due_count, mut refused) = (0u32, 0u32);
-    // Loans need some seconds to be made; a fleet runs for longer before anybody asks.
+    // The first leases take some seconds to be established.
     let begin = Duration::from_secs(4);
     let mut now = Now::ZERO;
     while now < begin + Duration::from_secs(SECONDS) {
@@ -389,7 +388,7 @@
 #[test]
 fn shares_that_are_lent_keep_the_bound_and_refuse_little_of_what_is_due() {
     println!(
-        "load: refused of what is due, fullest window of the bound, by static shares, counting, lending"
+        "load: refused fraction within the limit, peak window as a fraction of the bound, for static shares, counting, leased shares"
     );
     for (name, load) in [
         ("calm", Load::Calm),
@@ -416,9 +415,9 @@
         );
         assert!(
             leased.refused < fixed.refused,
-            "{name}: static shares refuse less"
+            "{name}: static shares refuse less than leased shares"
         );
-        // The aim on a calm day: fewer than one in 200.
+        // The objective at usual load: fewer than one in 200.
         assert!(
             load != Load::Calm || leased.refused < 0.005,
             "{:.4}",
