--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_token_of_another_run_of_the_same_instance_never_runs() {
+fn a_token_of_another_incarnation_of_the_same_instance_never_runs() {
     let mut rng = fastrand::Rng::with_seed(3);
     let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
     assert_eq!(
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn at_the_limit_new_tokens_are_refused_and_none_forgotten() {
+fn at_the_limit_new_tokens_are_refused_and_none_evicted() {
     let mut rng = fastrand::Rng::with_seed(6);
     let mut ledger = ledger(1, 2);
     let first = ledger.issue(ms(0), &mut rng).expect("token");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn kept_answers_stay_within_their_bytes_and_an_outcome_without_one_is_still_an_outcome() {
+fn retained_bodies_stay_within_their_limit_and_outcomes_without_bodies_are_still_recorded() {
     let mut rng = fastrand::Rng::with_seed(13);
     let mut ledger = ledger(1, 1_000);
     let large = Outcome {
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn what_is_written_grows_with_the_rate_of_outcomes_and_not_with_their_number() {
+fn bytes_written_grow_with_the_rate_of_outcomes_and_not_with_their_number() {
     // The load and write interval of one daemon in a large fleet, see docs/CAPACITY.md.
     const RATE: u64 = 28;
     const WRITE_INTERVAL_S: u64 = 54;
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn one_that_never_came_is_refused_when_it_comes_late() {
+fn an_attempt_reported_as_never_arrived_is_refused_when_it_arrives_late() {
     let mut register = AttemptRegister::default();
     assert_eq!(
         register.status(at(1_000), attempt(1), at(500)),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn one_at_work_is_waited_for_and_one_that_has_ended_may_have_run() {
+fn an_attempt_is_in_progress_until_it_ends_and_may_have_run_afterwards() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(1_000), attempt(1)));
     assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_token_that_is_asked_for_twice_is_at_work_until_both_are_over() {
+fn a_token_requested_twice_is_in_progress_until_both_requests_end() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(0), attempt(1)));
     assert!(register.begin(at(10), attempt(1)));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_sender_that_stood_still_beyond_what_is_remembered_is_told_that_it_may_have_run() {
+fn an_attempt_may_have_run_if_its_status_is_queried_after_the_retention_time() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(0), attempt(1)));
     register.end(at(100), attempt(1));
@@ -73,7 +73,7 @@
 
 /// Guards against a second status query that doesn't extend the fence of an attempt reported as never arrived.
 #[test]
-fn one_that_is_asked_about_again_is_fenced_off_anew() {
+fn a_repeated_query_extends_the_fence_of_an_attempt() {
     let mut register = AttemptRegister::default();
     for ms in [0, 30_000] {
         let status = register.status(at(ms), attempt(1), at(ms));
--- a/crates/sorrelturn-quota/tests/accountant.rs
+++ b/crates/sorrelturn-quota/tests/accountant.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn it_grants_as_much_of_the_rate_as_is_lent() {
+fn grants_are_proportional_to_the_leased_shares() {
     for (lessors, fraction) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
         let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
         let granted_count = acquire_in_steps(&mut accountant, lessors, 4, 0..5_000);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_share_of_a_member_that_has_gone_is_not_the_others_before_its_loan_is_over() {
+fn the_share_of_a_departed_member_is_not_redistributed_before_its_lease_expires() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     acquire_in_steps(&mut accountant, &[1, 2, 3], 3, 0..2_000);
     // The third member has gone; the lease of its share ends at 2,990 ms.
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_loan_that_arrives_late_counts_from_its_stamp() {
+fn a_lease_that_arrives_late_counts_from_its_clock_reading() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     let late_request = request(1, at_ms(0), 100);
     let reply = accountant.acquire(at_ms(1_500), &late_request, Some(LIMIT), 1);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_stamp_of_an_earlier_run_lends_nothing() {
+fn a_clock_reading_of_an_earlier_incarnation_gives_no_lease() {
     let mut accountant = Accountant::new(Incarnation(8), TERMS, Now::ZERO);
     accountant.acquire(at_ms(10), &request(1, at_ms(10), 1), Some(LIMIT), 1);
     assert_eq!(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn whoever_presses_more_is_told_to_come_back_later() {
+fn retry_after_grows_with_the_number_of_refused_requests() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     acquire_in_steps(&mut accountant, &[1], 1, 0..1_000);
     let retry_after = |accountant: &mut Accountant, ms| match accountant
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_lower_limit_takes_what_had_gathered() {
+fn a_lowered_limit_caps_accumulated_tokens() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     for ms in (0..2_000).step_by(100) {
         let idle = AcquireRequest {
@@ -160,7 +160,7 @@
 /// A thread may be delayed between its clock reading and its call of the accountant, for instance while its VM is
 /// suspended.
 #[test]
-fn a_reading_of_the_clock_that_comes_out_of_order_counts_no_time_twice() {
+fn an_out_of_order_clock_reading_counts_no_time_twice() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     let mut granted_count = 0;
     for ms in (0..5_000u64).step_by(10) {
@@ -179,7 +179,7 @@
 
 /// While the settings of a fleet change, lessors and accountants may use different ones.
 #[test]
-fn a_loan_is_over_when_it_is_for_its_lender() {
+fn a_lease_expires_no_later_than_its_lessor_assumes() {
     let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
     let mut short = request(1, at_ms(0), 1);
     if let Some(lease) = &mut short.lease {
--- a/crates/sorrelturn-quota/tests/bound.rs
+++ b/crates/sorrelturn-quota/tests/bound.rs
@@ -6,7 +6,7 @@
 const GRANT: Duration = Duration::from_millis(150);
 
 #[test]
-fn in_no_window_more_can_be_let_in_than_the_bound_allows() {
+fn no_window_admits_more_than_the_bound_allows() {
     for rate in [0.5, 8.0, 343.0, 10_000.0] {
         for burst in [0.0, 1.0, 0.2 * rate, rate, 5.0 * rate] {
             for (window, overage, slack) in [
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_anew_has_its_shares_lent_soon_after_one_lease() {
+fn shares_are_leased_soon_after_one_lease_duration_when_a_fleet_starts() {
     for lease_ms in LEASES_MS {
         let lease = Duration::from_millis(lease_ms);
         let simulated = simulate(DAEMONS, lease, NEAR);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn shares_lie_unused_where_a_lease_is_less_than_ten_round_trips() {
+fn shares_are_unused_if_a_lease_is_shorter_than_ten_round_trips() {
     let long = simulate(DAEMONS, Duration::from_secs(2), FAR);
     assert!(long.least > 0.99, "{long:?}");
     let short = simulate(DAEMONS, Duration::from_secs(1), FAR);
@@ -128,7 +128,7 @@
 
 /// The minimum lease duration depends on the fleet size, regardless of the settings.
 #[test]
-fn an_accountant_answers_some_hundred_renewals_a_second_however_many_daemons_there_are() {
+fn renewals_per_accountant_are_limited_regardless_of_the_fleet_size() {
     let few = simulate(DAEMONS, Duration::from_millis(250), NEAR);
     let many = simulate(MANY_DAEMONS, Duration::from_millis(250), NEAR);
     for (members, simulated) in [(DAEMONS, &few), (MANY_DAEMONS, &many)] {
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn a_grant_that_is_honoured_twice_is_found() {
+fn the_search_detects_a_reply_that_is_accepted_twice() {
     let (trace, violation) = search(Mutation::AcceptsReplyTwice, MAX_STATES)
         .trace
         .expect("the search finds a violation");
@@ -424,14 +424,14 @@
 }
 
 #[test]
-fn a_successor_that_begins_at_once_is_found() {
+fn the_search_detects_a_lease_right_after_a_restart() {
     let result = search(Mutation::LeasesAtOnceAfterRestart, MAX_STATES);
     let (trace, violation) = result.trace.expect("the search finds a violation");
     println!("{violation} after {trace:?}");
 }
 
 #[test]
-fn what_is_granted_is_used_once() {
+fn a_grant_is_used_once() {
     let mut entry = Entry::new(Incarnation(1), TERMS, Now::ZERO);
     let clock_reading = sorrelturn_quota::ClockReading {
         incarnation: Incarnation(2),
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -270,5 +270,5 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_schedule_lends_more_than_all_shares_or_runs_more_than_the_limit(sequential STEPS..STEPS + 1 => Fleet);
+    fn no_schedule_leases_more_than_all_shares_or_runs_more_than_the_limit(sequential STEPS..STEPS + 1 => Fleet);
 }
--- a/crates/sorrelturn-quota/tests/ways.rs
+++ b/crates/sorrelturn-quota/tests/ways.rs
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn shares_that_are_lent_keep_the_bound_and_refuse_little_of_what_is_due() {
+fn leased_shares_keep_the_bound_and_refuse_little_within_the_limit() {
     println!(
         "load: refused fraction within the limit, peak window as a fraction of the bound, for static shares, counting, leased shares"
     );
