--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -305,7 +305,7 @@
     End(prop::sample::Index),
     Refuse(prop::sample::Index),
     Restart,
-    Advance(u64),
+    Pass(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -316,7 +316,7 @@
         any::<prop::sample::Index>().prop_map(Event::End),
         any::<prop::sample::Index>().prop_map(Event::Refuse),
         Just(Event::Restart),
-        (0u64..40_000).prop_map(Event::Advance),
+        (0u64..40_000).prop_map(Event::Pass),
     ]
 }
 
@@ -349,7 +349,9 @@
                 }
                 Event::Refuse(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if !run_counts.contains_key(&token) && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run {
+                    if !run_counts.contains_key(&token)
+                        && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run
+                    {
                         current.refuse(&token);
                         reported_not_run.insert(token);
                     }
@@ -359,7 +361,7 @@
                     owner_started = now;
                     current = ledger(owner, 8);
                 }
-                Event::Advance(elapsed_ms) => now += ms(elapsed_ms),
+                Event::Pass(elapsed_ms) => now += ms(elapsed_ms),
                 _ => {}
             }
             current.evict_expired(now - owner_started);
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -85,18 +85,18 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive(u64),
-    End(u64),
-    Query(u64),
-    Advance(u64),
+    Arrives(u64),
+    Ends(u64),
+    Asks(u64),
+    Passes(u64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        (0..20u64).prop_map(Step::Arrive),
-        (0..20u64).prop_map(Step::End),
-        (0..20u64).prop_map(Step::Query),
-        (0..4_000u64).prop_map(Step::Advance),
+        (0..20u64).prop_map(Step::Arrives),
+        (0..20u64).prop_map(Step::Ends),
+        (0..20u64).prop_map(Step::Asks),
+        (0..4_000u64).prop_map(Step::Passes),
     ];
     prop::collection::vec(step, 1..120)
 }
@@ -113,8 +113,8 @@
         let mut in_progress = std::collections::HashSet::new();
         for step in steps {
             match step {
-                Step::Advance(ms) => now += at(ms),
-                Step::Arrive(number) => {
+                Step::Passes(ms) => now += at(ms),
+                Step::Arrives(number) => {
                     if register.begin(now, attempt(number)) {
                         let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
                         prop_assert!(fence_expired, "attempt {number} ran after it was fenced");
@@ -124,12 +124,12 @@
                         }
                     }
                 }
-                Step::End(number) => {
+                Step::Ends(number) => {
                     if in_progress.remove(&number) {
                         register.end(now, attempt(number));
                     }
                 }
-                Step::Query(number) => {
+                Step::Asks(number) => {
                     // All attempts were sent at the start of the schedule.
                     let status = register.status(now, attempt(number), now);
                     if status == Fate::NeverCame {
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/accountant.rs
@@ -106,7 +106,7 @@
         self.leased_fraction[shard.index()]
     }
 
-    fn lease(&self, members: u32) -> Duration {
+    fn lease_duration(&self, members: u32) -> Duration {
         self.terms.lease_duration(members.max(self.members.0))
     }
 
@@ -124,7 +124,7 @@
             return;
         };
         // If the settings of lessor and accountant differ, the shorter duration applies.
-        let until = lease.clock_reading.at + self.lease(members).min(lease.duration);
+        let until = lease.clock_reading.at + self.lease_duration(members).min(lease.duration);
         if until <= now {
             return;
         }
@@ -170,7 +170,7 @@
         let members = reported.unwrap_or(1).max(members).max(1);
         let (before, locked_until) = self.members;
         if members >= before || now >= locked_until {
-            self.members = (members, now + self.lease(members.max(before)));
+            self.members = (members, now + self.lease_duration(members.max(before)));
         }
         self.members.0
     }
--- a/crates/sorrelturn-quota/src/entry.rs
+++ b/crates/sorrelturn-quota/src/entry.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns one shard for each accountant whose lease is due for renewal.
+    /// Returns one shard for each accountant whose lease is due for renewal or not yet established.
     pub fn due_renewals(&self, now: Now) -> Vec<Shard> {
         let renew_after = self.lease.mul_f64(RENEW_AFTER_FRACTION);
         let mut due: Vec<Shard> = Vec::new();
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -13,19 +13,19 @@
 const ACCOUNTANT: Incarnation = Incarnation(100);
 const SHARD: Shard = Shard(0);
 const STEP: Duration = Duration::from_millis(5);
-const SIMULATED: Duration = Duration::from_secs(10);
+const SIMULATED_DURATION: Duration = Duration::from_secs(10);
 /// The time after which the startup phase is over for every lease duration.
-const SETTLED: Duration = Duration::from_secs(4);
-const LEASES_MS: [u64; 3] = [1_000, 500, 250];
+const STARTUP_DURATION: Duration = Duration::from_secs(4);
+const LEASE_DURATIONS_MS: [u64; 3] = [1_000, 500, 250];
 /// One-way network delays between neighbouring failure domains and between continents.
 const NEAR: Duration = Duration::from_millis(1);
 const FAR: Duration = Duration::from_millis(80);
 
 /// The result of a simulation.
 #[derive(Debug)]
-struct Simulated {
+struct Played {
     /// The time from the start until nearly all shares are leased.
-    until_leased: Now,
+    until_lent: Now,
     /// The minimum and mean fraction of shares leased after startup.
     least: f64,
     mean: f64,
@@ -36,10 +36,10 @@
 struct Daemon {
     entry: Entry,
     /// The reply to a renewal in transit, with its arrival time.
-    answer: Option<(Now, AcquireReply)>,
+    reply_in_transit: Option<(Now, AcquireReply)>,
 }
 
-fn simulate(members: u32, lease: Duration, one_way_delay: Duration) -> Simulated {
+fn simulate(members: u32, lease: Duration, one_way_delay: Duration) -> Played {
     let terms = Terms {
         lease,
         grant: Duration::from_millis(150),
@@ -51,20 +51,23 @@
             entry.set_preferred(members, |shard| (shard == SHARD).then_some(ACCOUNTANT));
             Daemon {
                 entry,
-                answer: None,
+                reply_in_transit: None,
             }
         })
         .collect();
     let mut in_transit: Vec<(Now, usize, AcquireRequest)> = Vec::new();
-    let (mut until_leased, mut fractions, mut renewals) = (None, Vec::new(), 0);
+    let (mut until_lent, mut fractions, mut renewals) = (None, Vec::new(), 0);
     let mut now = Now::ZERO;
-    while now < SIMULATED {
+    while now < SIMULATED_DURATION {
         for (at, daemon) in daemons.iter_mut().enumerate() {
-            if let Some((_, reply)) = daemon.answer.take_if(|(arrives, _)| *arrives <= now) {
+            if let Some((_, reply)) = daemon
+                .reply_in_transit
+                .take_if(|(arrives, _)| *arrives <= now)
+            {
                 daemon.entry.record_reading(now, reply.clock_reading);
             }
-            let is_waiting =
-                daemon.answer.is_some() || in_transit.iter().any(|(_, by, _)| *by == at);
+            let is_waiting = daemon.reply_in_transit.is_some()
+                || in_transit.iter().any(|(_, sender, _)| *sender == at);
             let due = daemon.entry.due_renewals(now);
             if !is_waiting && !due.is_empty() {
                 let target = daemon
@@ -78,22 +81,22 @@
         }
         for (_, at, req) in in_transit.extract_if(.., |(arrives, ..)| *arrives <= now) {
             let reply = accountant.acquire(now, &req, None, members);
-            daemons[at].answer = Some((now + one_way_delay, reply));
+            daemons[at].reply_in_transit = Some((now + one_way_delay, reply));
         }
         let fraction = accountant.leased_fraction(now, SHARD, members);
         if fraction > 0.95 {
-            until_leased.get_or_insert(now);
+            until_lent.get_or_insert(now);
         }
-        if now >= SETTLED {
+        if now >= STARTUP_DURATION {
             fractions.push(fraction);
         }
         now += STEP;
     }
-    let simulated = Simulated {
-        until_leased: until_leased.unwrap_or(SIMULATED),
+    let simulated = Played {
+        until_lent: until_lent.unwrap_or(SIMULATED_DURATION),
         least: fractions.iter().copied().fold(1.0, f64::min),
         mean: fractions.iter().sum::<f64>() / fractions.len() as f64,
-        renewals: f64::from(renewals) / f64::from(members) / SIMULATED.as_secs_f64(),
+        renewals: f64::from(renewals) / f64::from(members) / SIMULATED_DURATION.as_secs_f64(),
     };
     // For docs/design/quotas.md.
     println!(
@@ -104,12 +107,12 @@
 
 #[test]
 fn shares_are_leased_soon_after_one_lease_duration_when_a_fleet_starts() {
-    for lease_ms in LEASES_MS {
+    for lease_ms in LEASE_DURATIONS_MS {
         let lease = Duration::from_millis(lease_ms);
         let simulated = simulate(DAEMONS, lease, NEAR);
-        assert!(simulated.until_leased >= lease, "{simulated:?}");
+        assert!(simulated.until_lent >= lease, "{simulated:?}");
         assert!(
-            simulated.until_leased <= lease.mul_f64(1.5) + STEP,
+            simulated.until_lent <= lease.mul_f64(1.5) + STEP,
             "{simulated:?}"
         );
         assert!(simulated.least > 0.99, "{simulated:?}");
@@ -139,5 +142,5 @@
         assert!(simulated.least > 0.99, "{members}: {simulated:?}");
     }
     // The price: a large fleet needs longer after a start.
-    assert!(many.until_leased > few.until_leased);
+    assert!(many.until_lent > few.until_lent);
 }
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -82,10 +82,10 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Tick,
-    Request(usize),
+    Ask(usize),
     Deliver(usize),
     DeliverAndKeep(usize),
-    Drop(usize),
+    Lose(usize),
     Prefer(usize),
     Restart(usize),
     LowerLimit,
@@ -149,10 +149,10 @@
             steps.push(Step::Tick);
         }
         if self.messages.len() < MAX_MESSAGES {
-            steps.extend((0..DAEMONS).map(Step::Request));
+            steps.extend((0..DAEMONS).map(Step::Ask));
         }
         for (at, message) in self.messages.iter().enumerate() {
-            steps.extend([Step::Deliver(at), Step::Drop(at)]);
+            steps.extend([Step::Deliver(at), Step::Lose(at)]);
             let is_request = matches!(message, Message::Request { .. });
             if (is_request || mutation == Mutation::AcceptsReplyTwice)
                 && self.messages.len() < MAX_MESSAGES
@@ -176,7 +176,7 @@
         let mut next = self.clone();
         match step {
             Step::Tick => next.ticks += 1,
-            Step::Request(at) => next.request(at),
+            Step::Ask(at) => next.request(at),
             Step::Deliver(at) => {
                 let message = next.messages.remove(at);
                 next.deliver(message);
@@ -185,7 +185,7 @@
                 let message = next.messages[at].clone();
                 next.deliver(message);
             }
-            Step::Drop(at) => drop(next.messages.remove(at)),
+            Step::Lose(at) => drop(next.messages.remove(at)),
             Step::Prefer(at) => {
                 next.switches += 1;
                 next.daemons[at].preferred = 1 - next.daemons[at].preferred;
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -28,13 +28,13 @@
 /// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    Advance(u64),
+    Pass(u64),
     /// A daemon and the number of requests that arrive at once.
-    Request(usize, usize),
+    Ask(usize, usize),
     Renew(usize),
     Deliver(Index),
     DeliverTwice(Index),
-    Drop(Index),
+    Lose(Index),
     Prefer(usize, usize),
     Restart(usize),
 }
@@ -53,12 +53,12 @@
     fn transitions(_: &()) -> BoxedStrategy<Step> {
         let daemon = || 0..DAEMONS as usize;
         prop_oneof![
-            10 => (1..40u64).prop_map(Step::Advance),
-            6 => (daemon(), 1..6usize).prop_map(|(at, requests)| Step::Request(at, requests)),
+            10 => (1..40u64).prop_map(Step::Pass),
+            6 => (daemon(), 1..6usize).prop_map(|(at, requests)| Step::Ask(at, requests)),
             24 => daemon().prop_map(Step::Renew),
             80 => any::<Index>().prop_map(Step::Deliver),
             2 => any::<Index>().prop_map(Step::DeliverTwice),
-            1 => any::<Index>().prop_map(Step::Drop),
+            1 => any::<Index>().prop_map(Step::Lose),
             1 => (daemon(), daemon()).prop_map(|(at, preferred)| Step::Prefer(at, preferred)),
             1 => daemon().prop_map(Step::Restart),
         ]
@@ -204,8 +204,8 @@
 
     fn apply(mut fleet: Self, _: &(), step: Step) -> Self {
         match step {
-            Step::Advance(ms) => fleet.now += Duration::from_millis(ms),
-            Step::Request(at, requests) => {
+            Step::Pass(ms) => fleet.now += Duration::from_millis(ms),
+            Step::Ask(at, requests) => {
                 (0..requests).for_each(|_| fleet.request(at, Some(WORKSPACE)));
             }
             Step::Renew(at) => fleet.request(at, None),
@@ -222,7 +222,7 @@
                     fleet.deliver(message);
                 }
             }
-            Step::Drop(index) => {
+            Step::Lose(index) => {
                 if let Some(at) = fleet.any_message(&index) {
                     fleet.messages.remove(at);
                 }
--- a/crates/sorrelturn-quota/tests/ways.rs
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -35,13 +35,13 @@
     /// The largest workspace sends 7.5 times its usual load.
     Hot,
     /// Like `Hot`, while a third of the entries is partitioned from the rest.
-    HotAndCut,
+    HotAndPartitioned,
 }
 
 /// Decides whether a request of a workspace that arrives at an entry may run.
 trait QuotaScheme {
-    fn advance(&mut self, now: Now, is_cut: bool);
-    fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
+    fn advance(&mut self, now: Now, is_partitioned: bool);
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
 }
 
 /// A token bucket.
@@ -67,7 +67,7 @@
         self.at = now;
     }
 
-    fn take(&mut self, now: Now) -> bool {
+    fn try_accept(&mut self, now: Now) -> bool {
         self.fill(now);
         let accepted = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(accepted));
@@ -91,13 +91,13 @@
 }
 
 /// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
-struct Due {
+struct LimitTracker {
     steps: VecDeque<u32>,
     in_window: u32,
     max_count: f64,
 }
 
-impl Due {
+impl LimitTracker {
     fn new(workspace: usize) -> Self {
         let Limit { rate, burst } = limit(workspace);
         Self {
@@ -114,20 +114,20 @@
         }
     }
 
-    fn take(&mut self) -> bool {
-        let is_due = f64::from(self.in_window) + 1.0 <= self.max_count;
-        if let Some(step) = self.steps.back_mut().filter(|_| is_due) {
+    fn try_accept(&mut self) -> bool {
+        let is_within_limit = f64::from(self.in_window) + 1.0 <= self.max_count;
+        if let Some(step) = self.steps.back_mut().filter(|_| is_within_limit) {
             *step += 1;
             self.in_window += 1;
         }
-        is_due
+        is_within_limit
     }
 }
 
 /// Each entry has a fixed share of each limit.
-struct Static(Vec<Vec<Bucket>>);
+struct StaticShares(Vec<Vec<Bucket>>);
 
-impl Static {
+impl StaticShares {
     fn new() -> Self {
         let of_entry = |workspace| {
             let Limit { rate, burst } = bucket(workspace);
@@ -142,70 +142,73 @@
     }
 }
 
-impl QuotaScheme for Static {
+impl QuotaScheme for StaticShares {
     fn advance(&mut self, _: Now, _: bool) {}
 
-    fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
-        self.0[entry][workspace].take(now)
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
+        self.0[entry][workspace].try_accept(now)
     }
 }
 
 /// Entries accept what remains after the last report and report five times a second; each side of a partition counts
 /// separately.
-struct Counting {
+struct ReportedCounts {
     buckets: [Vec<Bucket>; 2],
     /// The tokens that remained at the last report.
-    left: [Vec<f64>; 2],
-    spent: Vec<Vec<f64>>,
-    reported: Now,
-    is_cut: bool,
+    remaining: [Vec<f64>; 2],
+    accepted_since_report: Vec<Vec<f64>>,
+    reported_at: Now,
+    is_partitioned: bool,
 }
 
-impl Counting {
+impl ReportedCounts {
     const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
     fn new() -> Self {
         let buckets: Vec<Bucket> = (0..WORKSPACES).map(|at| Bucket::new(bucket(at))).collect();
-        let left: Vec<f64> = buckets.iter().map(|bucket| bucket.tokens).collect();
+        let remaining: Vec<f64> = buckets.iter().map(|bucket| bucket.tokens).collect();
         Self {
             buckets: [buckets.clone(), buckets],
-            left: [left.clone(), left],
-            spent: vec![vec![0.0; WORKSPACES]; ENTRIES],
-            reported: Now::ZERO,
-            is_cut: false,
+            remaining: [remaining.clone(), remaining],
+            accepted_since_report: vec![vec![0.0; WORKSPACES]; ENTRIES],
+            reported_at: Now::ZERO,
+            is_partitioned: false,
         }
     }
 
-    fn side(&self, entry: usize) -> usize {
-        usize::from(self.is_cut && is_cut_off(entry))
+    fn partition(&self, entry: usize) -> usize {
+        usize::from(self.is_partitioned && is_in_second_partition(entry))
     }
 }
 
-impl QuotaScheme for Counting {
-    fn advance(&mut self, now: Now, is_cut: bool) {
-        self.is_cut = is_cut;
-        if now < self.reported + Self::REPORT_INTERVAL {
+impl QuotaScheme for ReportedCounts {
+    fn advance(&mut self, now: Now, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
+        if now < self.reported_at + Self::REPORT_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.reported_at = now;
         for workspace in 0..WORKSPACES {
-            for side in 0..2 {
-                let bucket = &mut self.buckets[side][workspace];
+            for partition in 0..2 {
+                let bucket = &mut self.buckets[partition][workspace];
                 bucket.fill(now);
-                let of_side = |entry: &usize| usize::from(is_cut && is_cut_off(*entry)) == side;
+                let of_side = |entry: &usize| {
+                    usize::from(is_partitioned && is_in_second_partition(*entry)) == partition
+                };
                 for entry in (0..ENTRIES).filter(of_side) {
-                    bucket.tokens -= std::mem::take(&mut self.spent[entry][workspace]);
+                    bucket.tokens -=
+                        std::mem::take(&mut self.accepted_since_report[entry][workspace]);
                 }
-                self.left[side][workspace] = bucket.tokens;
+                self.remaining[partition][workspace] = bucket.tokens;
             }
         }
     }
 
-    fn take(&mut self, _: Now, entry: usize, workspace: usize) -> bool {
-        let left = self.left[self.side(entry)][workspace];
-        let spent = &mut self.spent[entry][workspace];
-        let accepted = left - *spent >= 1.0;
-        *spent += f64::from(u8::from(accepted));
+    fn try_accept(&mut self, _: Now, entry: usize, workspace: usize) -> bool {
+        let remaining = self.remaining[self.partition(entry)][workspace];
+        let accepted_since_report = &mut self.accepted_since_report[entry][workspace];
+        let accepted = remaining - *accepted_since_report >= 1.0;
+        *accepted_since_report += f64::from(u8::from(accepted));
         accepted
     }
 }
@@ -214,8 +217,8 @@
 struct LeasedShares {
     entries: Vec<Entry>,
     accountants: Vec<Accountant>,
-    renewed: Now,
-    is_cut: bool,
+    renewed_at: Now,
+    is_partitioned: bool,
 }
 
 impl LeasedShares {
@@ -230,13 +233,13 @@
             accountants: (0..ENTRIES)
                 .map(|at| Accountant::new(incarnation(at), TERMS, Now::ZERO))
                 .collect(),
-            renewed: Now::ZERO,
-            is_cut: false,
+            renewed_at: Now::ZERO,
+            is_partitioned: false,
         }
     }
 
-    fn reaches(&self, entry: usize, other: usize) -> bool {
-        !self.is_cut || is_cut_off(entry) == is_cut_off(other)
+    fn is_reachable(&self, entry: usize, other: usize) -> bool {
+        !self.is_partitioned || is_in_second_partition(entry) == is_in_second_partition(other)
     }
 
     fn acquire(&mut self, now: Now, entry: usize, shard: Shard, workspace: Option<usize>) -> bool {
@@ -244,7 +247,7 @@
             return false;
         };
         let accountant = target.accountant.0 as usize;
-        if !self.reaches(entry, accountant) {
+        if !self.is_reachable(entry, accountant) {
             self.entries[entry].mark_unresponsive(now, target.accountant);
             self.set_preferred(now, entry);
             return false;
@@ -268,13 +271,13 @@
 
     fn set_preferred(&mut self, now: Now, entry: usize) {
         let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
-        let lender = &self.entries[entry];
+        let own_entry = &self.entries[entry];
         let of_shard = |shard| {
             let members = names.iter().enumerate();
             let members = members.map(|(at, name)| (name.as_str(), Incarnation(at as u64)));
             preferred_accountant(
                 shard,
-                members.filter(|(_, incarnation)| !lender.is_unresponsive(now, *incarnation)),
+                members.filter(|(_, incarnation)| !own_entry.is_unresponsive(now, *incarnation)),
             )
         };
         let chosen: Vec<Option<Incarnation>> = Shard::all().map(of_shard).collect();
@@ -283,12 +286,12 @@
 }
 
 impl QuotaScheme for LeasedShares {
-    fn advance(&mut self, now: Now, is_cut: bool) {
-        self.is_cut = is_cut;
-        if now < self.renewed + Self::RENEW_INTERVAL {
+    fn advance(&mut self, now: Now, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
+        if now < self.renewed_at + Self::RENEW_INTERVAL {
             return;
         }
-        self.renewed = now;
+        self.renewed_at = now;
         for entry in 0..ENTRIES {
             self.set_preferred(now, entry);
             for shard in self.entries[entry].due_renewals(now) {
@@ -297,7 +300,7 @@
         }
     }
 
-    fn take(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
         let id = CallerId(workspace as u64);
         if self.entries[entry].retry_after(now, id).is_some() {
             return false;
@@ -307,7 +310,7 @@
     }
 }
 
-fn is_cut_off(entry: usize) -> bool {
+fn is_in_second_partition(entry: usize) -> bool {
     entry.is_multiple_of(3)
 }
 
@@ -321,35 +324,35 @@
 
 fn simulate(scheme: &mut dyn QuotaScheme, load: Load, seed: u64) -> Result {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut due: Vec<Due> = (0..WORKSPACES).map(Due::new).collect();
+    let mut trackers: Vec<LimitTracker> = (0..WORKSPACES).map(LimitTracker::new).collect();
     let mut accepted_per_step: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
-    let (mut due_count, mut refused) = (0u32, 0u32);
+    let (mut within_limit_count, mut refused) = (0u32, 0u32);
     // The first leases take some seconds to be established.
-    let begin = Duration::from_secs(4);
+    let warmup_end = Duration::from_secs(4);
     let mut now = Now::ZERO;
-    while now < begin + Duration::from_secs(SECONDS) {
+    while now < warmup_end + Duration::from_secs(SECONDS) {
         now += STEP;
-        let under_load = now >= begin + Duration::from_secs(3);
-        scheme.advance(now, under_load && load == Load::HotAndCut);
-        if now < begin {
+        let under_load = now >= warmup_end + Duration::from_secs(3);
+        scheme.advance(now, under_load && load == Load::HotAndPartitioned);
+        if now < warmup_end {
             continue;
         }
         for workspace in 0..WORKSPACES {
             let load_factor = match load {
                 Load::Burst if under_load => 1.7,
-                Load::Hot | Load::HotAndCut if under_load && workspace == 0 => 7.5,
+                Load::Hot | Load::HotAndPartitioned if under_load && workspace == 0 => 7.5,
                 _ => 1.0,
             };
             let mean = usual_rate(workspace) * load_factor * STEP.as_secs_f64();
             let arrivals = mean as u32 + u32::from(rng.f64() < mean.fract());
-            due[workspace].advance();
+            trackers[workspace].advance();
             let mut accepted_count = 0;
             for _ in 0..arrivals {
-                let is_due = due[workspace].take();
-                let accepted = scheme.take(now, rng.usize(..ENTRIES), workspace);
+                let is_within_limit = trackers[workspace].try_accept();
+                let accepted = scheme.try_accept(now, rng.usize(..ENTRIES), workspace);
                 accepted_count += u32::from(accepted);
-                due_count += u32::from(is_due);
-                refused += u32::from(is_due && !accepted);
+                within_limit_count += u32::from(is_within_limit);
+                refused += u32::from(is_within_limit && !accepted);
             }
             accepted_per_step[workspace].push(accepted_count);
         }
@@ -367,12 +370,12 @@
             f64::from(max_count.unwrap_or(0)) / allowed
         });
     Result {
-        refused: f64::from(refused) / f64::from(due_count),
+        refused: f64::from(refused) / f64::from(within_limit_count),
         peak_fraction: peak_fraction.fold(0.0, f64::max),
     }
 }
 
-fn mean_of_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> Result {
+fn simulate_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> Result {
     let results: Vec<Result> = (1..=3)
         .map(|seed| simulate(&mut *new(), load, seed))
         .collect();
@@ -388,17 +391,17 @@
 #[test]
 fn leased_shares_keep_the_bound_and_refuse_little_within_the_limit() {
     println!(
-        "load: refused fraction within the limit, peak window as a fraction of the bound, for static shares, counting, leased shares"
+        "load: refused fraction and peak window per bound, for static shares, reported counts, leased shares"
     );
     for (name, load) in [
         ("calm", Load::Calm),
         ("burst", Load::Burst),
         ("hot", Load::Hot),
-        ("hot and cut", Load::HotAndCut),
+        ("hot and partitioned", Load::HotAndPartitioned),
     ] {
-        let fixed = mean_of_seeds(|| Box::new(Static::new()), load);
-        let counting = mean_of_seeds(|| Box::new(Counting::new()), load);
-        let leased = mean_of_seeds(|| Box::new(LeasedShares::new()), load);
+        let fixed = simulate_seeds(|| Box::new(StaticShares::new()), load);
+        let counting = simulate_seeds(|| Box::new(ReportedCounts::new()), load);
+        let leased = simulate_seeds(|| Box::new(LeasedShares::new()), load);
         println!(
             "{name}: {:.3} {:.2}, {:.3} {:.2}, {:.3} {:.2}",
             fixed.refused,
