--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -1,7 +1,7 @@
 //! The decisions of a request's path in a loop, the same in every run, so that their instructions
 //! can be counted.
 
-use sorrelturn_once::{Begin, Fingerprint, Ledger, LedgerConfig, Outcome as Recorded};
+use sorrelturn_once::{BeginResult, Fingerprint, Ledger, LedgerConfig, Outcome as Recorded};
 use sorrelturn_policy::{
     Arrival, Attempt, Decision as Admission, Gate, GateConfig, Instance, InstanceReport,
     LearnedThreshold, Outcome, choose, next_step,
@@ -164,7 +164,7 @@
     let cfg = LedgerConfig {
         ttl: Duration::from_millis(100),
         capacity: 1_000,
-        kept_bytes: 1_000_000,
+        max_retained_bytes: 1_000_000,
     };
     let mut ledger = Ledger::new(Incarnation(1), cfg, [7; 32]);
     let mut rng = fastrand::Rng::with_seed(1);
@@ -174,7 +174,7 @@
         let Some(token) = ledger.issue(now, &mut rng) else {
             return;
         };
-        if ledger.begin(now, &token, print) == Begin::Run {
+        if ledger.begin(now, &token, print) == BeginResult::Run {
             ledger.end(
                 &token,
                 Recorded {
@@ -186,6 +186,6 @@
             );
         }
         black_box(ledger.begin(now, &token, print));
-        ledger.forget(now);
+        ledger.evict_expired(now);
     }
 }
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The memory of one daemon process about the tokens that it issued.
+//! The tokens that one daemon process issued, with their states and outcomes.
 //! See `docs/design/at-most-once.md`.
 
 use crate::{ClosingRecord, OutcomeSegment, RecordedOutcome};
@@ -11,114 +11,113 @@
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// How long a token can be used and its outcome be asked for.
+    /// How long a token can be used and its outcome can be queried.
     pub ttl: Duration,
-    /// The most tokens that are out at once. At the limit new ones are refused, none forgotten.
+    /// The maximum number of unexpired tokens. At the limit no new tokens are issued, and none are evicted.
     pub capacity: usize,
-    /// The most bytes of answers that are kept for repeats; outcomes beyond it are kept without
-    /// their answers.
-    pub kept_bytes: usize,
+    /// The maximum number of response body bytes retained for repeats. Further outcomes are retained without bodies.
+    pub max_retained_bytes: usize,
 }
 
-/// What a token was first used for: a hash over caller, kind and target.
+/// Identifies the request that a token was first used for: a hash over caller, kind and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// How a request ended, as its caller gets it again when it asks once more.
+/// The result of a request, which is returned again if the caller repeats it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: Verdict,
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// The whole body, or `None` where it was too large to keep.
+    /// The whole body, or `None` if it was too large to retain.
     pub body: Option<Vec<u8>>,
 }
 
 impl Outcome {
-    fn kept_bytes(&self) -> usize {
+    fn retained_bytes(&self) -> usize {
         self.body.as_ref().map_or(0, Vec::len)
     }
 }
 
-/// Whether a request may be forwarded.
+/// The result of [`Ledger::begin`]: whether a request may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
-    /// Forward it: this is the token's one execution.
+pub enum BeginResult {
+    /// The request may be forwarded, as the token's only execution.
     Run,
-    /// It is running now.
+    /// A request with the token is in progress.
     Running,
-    /// It ended; this is its answer.
+    /// The request ended with this outcome.
     Recorded(Outcome),
-    /// It was refused, and stays refused.
+    /// The request was refused and stays refused.
     Refused,
-    /// The token was never issued here, or was issued for another request.
+    /// The token was not issued by this process, or was first used for another request.
     Rejected,
-    /// The token is too old to be remembered.
+    /// The token has expired.
     Expired,
-    /// This process runs no tokens any more and has not run this one.
+    /// The ledger is closed and the token was never executed.
     Closed,
 }
 
 #[derive(Clone, Debug)]
-enum Entry {
+enum TokenState {
     Running,
     Refused,
     Ended(Outcome),
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct UsedToken {
     fingerprint: Fingerprint,
-    entry: Entry,
+    state: TokenState,
 }
 
-/// Issues tokens and sees to it that each is forwarded at most once.
+/// Issues tokens and ensures that each is forwarded at most once.
 ///
-/// A token's memory is reserved when it is issued. Tokens are sealed with a key that only this
-/// process has, so forged ones take no memory.
+/// Capacity for a token is reserved when it is issued. Tokens are sealed with a key that only this process has, so
+/// forged tokens use no memory.
 pub struct Ledger {
     owner: Incarnation,
     cfg: LedgerConfig,
     seal_key: [u8; 32],
-    seen: HashMap<u128, Seen>,
-    by_age: BTreeSet<(u64, u128)>,
-    issued: VecDeque<u64>,
-    kept_bytes: usize,
-    closed: bool,
+    used: HashMap<u128, UsedToken>,
+    used_by_age: BTreeSet<(u64, u128)>,
+    unexpired: VecDeque<u64>,
+    retained_bytes: usize,
+    is_closed: bool,
     segments: BTreeMap<u64, OutcomeSegment>,
-    unsaved: BTreeSet<u64>,
+    unsaved_segments: BTreeSet<u64>,
     complete_since_ms: u64,
 }
 
 impl Ledger {
-    /// The ledger of a process that just started; `seal_key` must be secret and fresh.
+    /// Creates the ledger of a process that just started; `seal_key` must be secret and newly generated.
     pub fn new(owner: Incarnation, cfg: LedgerConfig, seal_key: [u8; 32]) -> Self {
         Self {
             owner,
             cfg,
             seal_key,
-            seen: HashMap::new(),
-            by_age: BTreeSet::new(),
-            issued: VecDeque::new(),
-            kept_bytes: 0,
-            closed: false,
+            used: HashMap::new(),
+            used_by_age: BTreeSet::new(),
+            unexpired: VecDeque::new(),
+            retained_bytes: 0,
+            is_closed: false,
             segments: BTreeMap::new(),
-            unsaved: BTreeSet::new(),
+            unsaved_segments: BTreeSet::new(),
             complete_since_ms: 0,
         }
     }
 
-    /// Issues a token; `None` at the limit, or once the ledger is closed.
+    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
-        self.forget(now);
-        if self.closed || self.issued.len() >= self.cfg.capacity {
+        self.evict_expired(now);
+        if self.is_closed || self.unexpired.len() >= self.cfg.capacity {
             return None;
         }
         let issued_ms = now.as_millis() as u64;
-        self.issued.push_back(issued_ms);
+        self.unexpired.push_back(issued_ms);
         let random = rng.u64(..);
         Some(ExecutionToken {
             owner: self.owner,
@@ -127,152 +126,154 @@
         })
     }
 
-    /// A request with a token arrived: may it be forwarded?
+    /// Registers a request that arrived with a token; returns whether it may be forwarded.
     pub fn begin(
         &mut self,
         now: Duration,
         token: &ExecutionToken,
         fingerprint: Fingerprint,
-    ) -> Begin {
+    ) -> BeginResult {
         if token.owner != self.owner || !self.is_sealed(token) {
-            return Begin::Rejected;
+            return BeginResult::Rejected;
         }
-        if let Some(seen) = self.seen.get(&token.nonce) {
-            return answer_again(seen, fingerprint);
+        if let Some(used) = self.used.get(&token.nonce) {
+            return repeat_result(used, fingerprint);
         }
         if self.is_expired(now, token.issued_ms) {
-            return Begin::Expired;
+            return BeginResult::Expired;
         }
-        if self.closed {
-            return Begin::Closed;
+        if self.is_closed {
+            return BeginResult::Closed;
         }
-        self.by_age.insert((token.issued_ms, token.nonce));
-        let entry = Entry::Running;
-        self.seen.insert(token.nonce, Seen { fingerprint, entry });
-        Begin::Run
+        self.used_by_age.insert((token.issued_ms, token.nonce));
+        let state = TokenState::Running;
+        self.used
+            .insert(token.nonce, UsedToken { fingerprint, state });
+        BeginResult::Run
     }
 
-    /// The request was refused before a byte of it was forwarded.
+    /// Records that a request was refused before any byte of it was forwarded.
     ///
-    /// It must be noted before the refusal is answered: a delayed copy of the request stays
-    /// refused, so the caller can safely take a new token.
+    /// This must happen before the refusal is sent: a delayed copy of the request then stays refused, so the caller can
+    /// safely use a new token.
     pub fn refuse(&mut self, token: &ExecutionToken) {
-        if let Some(seen) = self.seen.get_mut(&token.nonce) {
-            seen.entry = Entry::Refused;
+        if let Some(used) = self.used.get_mut(&token.nonce) {
+            used.state = TokenState::Refused;
         }
     }
 
-    /// The request ended.
+    /// Records the outcome of a request.
     pub fn end(&mut self, token: &ExecutionToken, mut outcome: Outcome) {
         let recorded = RecordedOutcome {
             verdict: outcome.verdict,
             status: outcome.status,
         };
-        if self.kept_bytes + outcome.kept_bytes() > self.cfg.kept_bytes {
+        if self.retained_bytes + outcome.retained_bytes() > self.cfg.max_retained_bytes {
             outcome.body = None;
         }
-        if let Some(seen) = self.seen.get_mut(&token.nonce) {
-            self.kept_bytes += outcome.kept_bytes();
-            seen.entry = Entry::Ended(outcome);
+        if let Some(used) = self.used.get_mut(&token.nonce) {
+            self.retained_bytes += outcome.retained_bytes();
+            used.state = TokenState::Ended(outcome);
             let number = OutcomeSegment::number_of(token);
             self.segments
                 .entry(number)
                 .or_insert_with(|| OutcomeSegment::new(self.owner, number))
                 .add(token, recorded);
-            self.unsaved.insert(number);
+            self.unsaved_segments.insert(number);
         }
     }
 
-    /// The process stops: no token is issued and no unseen one run from now on.
+    /// Closes the ledger when the process stops: no token is issued and no unused token is executed afterwards.
     pub fn close(&mut self) {
-        self.closed = true;
+        self.is_closed = true;
     }
 
-    /// The segments to write to the store: those in which something is new since they were taken.
+    /// Takes the segments to write to the store: those that changed since they were last taken.
     pub fn take_unsaved(&mut self) -> Vec<OutcomeSegment> {
-        std::mem::take(&mut self.unsaved)
+        std::mem::take(&mut self.unsaved_segments)
             .iter()
             .filter_map(|number| self.segments.get(number).cloned())
             .collect()
     }
 
-    /// A segment could not be written: it will be taken again.
-    pub fn save_failed(&mut self, number: u64) {
-        self.unsaved.insert(number);
+    /// Marks a segment that could not be written, so that it is taken again.
+    pub fn mark_unsaved(&mut self, number: u64) {
+        self.unsaved_segments.insert(number);
     }
 
-    /// Forgets the segments none of whose tokens can be asked for any more, and returns their
-    /// numbers, to delete them in the store.
-    pub fn drop_expired_segments(&mut self, now: Duration) -> Vec<u64> {
-        let mut dropped = Vec::new();
+    /// Removes the segments whose tokens have all expired; returns their numbers for deletion from the store.
+    pub fn remove_expired_segments(&mut self, now: Duration) -> Vec<u64> {
+        let mut removed = Vec::new();
         while let Some(number) = self.segments.keys().next().copied() {
-            let end_ms = OutcomeSegment::end_ms(number);
-            if !self.is_expired(now, end_ms) {
+            let segment_end_ms = OutcomeSegment::segment_end_ms(number);
+            if !self.is_expired(now, segment_end_ms) {
                 break;
             }
             self.segments.remove(&number);
-            self.unsaved.remove(&number);
-            self.complete_since_ms = end_ms;
-            dropped.push(number);
+            self.unsaved_segments.remove(&number);
+            self.complete_since_ms = segment_end_ms;
+            removed.push(number);
         }
-        dropped
+        removed
     }
 
-    /// The record to write last: there is one once the ledger is closed, no request is running, and
-    /// every segment was taken. Whoever writes it must have written those before.
-    pub fn closing(&self) -> Option<ClosingRecord> {
-        let whole = self.closed && self.unsaved.is_empty() && self.running() == 0;
-        whole.then_some(ClosingRecord {
+    /// Returns the closing record, once the ledger is closed, no request is in progress and every segment was taken.
+    ///
+    /// The segments must be written to the store before the closing record.
+    pub fn closing_record(&self) -> Option<ClosingRecord> {
+        let is_complete =
+            self.is_closed && self.unsaved_segments.is_empty() && self.running_count() == 0;
+        is_complete.then_some(ClosingRecord {
             owner: self.owner,
             complete_since_ms: self.complete_since_ms,
         })
     }
 
-    /// Requests that are running under a token.
-    pub fn running(&self) -> usize {
-        self.seen
+    /// Returns the number of requests in progress.
+    pub fn running_count(&self) -> usize {
+        self.used
             .values()
-            .filter(|seen| matches!(seen.entry, Entry::Running))
+            .filter(|used| matches!(used.state, TokenState::Running))
             .count()
     }
 
-    /// The bytes of answers that are kept.
-    pub fn kept_bytes(&self) -> usize {
-        self.kept_bytes
+    /// Returns the number of retained response body bytes.
+    pub fn retained_bytes(&self) -> usize {
+        self.retained_bytes
     }
 
-    /// Tokens that are out and not expired.
+    /// Returns the number of issued tokens that have not expired.
     pub fn outstanding(&self) -> usize {
-        self.issued.len()
+        self.unexpired.len()
     }
 
-    /// Forgets what can't be asked for any more; running requests are never forgotten.
-    pub fn forget(&mut self, now: Duration) {
+    /// Evicts expired tokens and outcomes, but no request in progress.
+    pub fn evict_expired(&mut self, now: Duration) {
         while self
-            .issued
+            .unexpired
             .front()
             .is_some_and(|issued_ms| self.is_expired(now, *issued_ms))
         {
-            self.issued.pop_front();
+            self.unexpired.pop_front();
         }
-        while let Some((issued_ms, nonce)) = self.by_age.first().copied() {
-            let running = matches!(
-                self.seen.get(&nonce),
-                Some(Seen {
-                    entry: Entry::Running,
+        while let Some((issued_ms, nonce)) = self.used_by_age.first().copied() {
+            let is_running = matches!(
+                self.used.get(&nonce),
+                Some(UsedToken {
+                    state: TokenState::Running,
                     ..
                 })
             );
-            if running || !self.is_expired(now, issued_ms) {
+            if is_running || !self.is_expired(now, issued_ms) {
                 break;
             }
-            self.by_age.pop_first();
-            if let Some(Seen {
-                entry: Entry::Ended(outcome),
+            self.used_by_age.pop_first();
+            if let Some(UsedToken {
+                state: TokenState::Ended(outcome),
                 ..
-            }) = self.seen.remove(&nonce)
+            }) = self.used.remove(&nonce)
             {
-                self.kept_bytes -= outcome.kept_bytes();
+                self.retained_bytes -= outcome.retained_bytes();
             }
         }
     }
@@ -296,13 +297,13 @@
     }
 }
 
-fn answer_again(seen: &Seen, fingerprint: Fingerprint) -> Begin {
-    if seen.fingerprint != fingerprint {
-        return Begin::Rejected;
+fn repeat_result(used: &UsedToken, fingerprint: Fingerprint) -> BeginResult {
+    if used.fingerprint != fingerprint {
+        return BeginResult::Rejected;
     }
-    match &seen.entry {
-        Entry::Running => Begin::Running,
-        Entry::Refused => Begin::Refused,
-        Entry::Ended(outcome) => Begin::Recorded(outcome.clone()),
+    match &used.state {
+        TokenState::Running => BeginResult::Running,
+        TokenState::Refused => BeginResult::Refused,
+        TokenState::Ended(outcome) => BeginResult::Recorded(outcome.clone()),
     }
 }
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! What an owner says of an attempt whose sender misses the answer: it may be sent again as not run only
-//! if it has not run and never will.
+//! Guards against an owner that reports an attempt as never arrived although it ran or will run: the sender would then
+//! retry it and it would run twice.
 
 use proptest::prelude::*;
 use sorrelturn_once::AttemptRegister;
@@ -18,10 +18,10 @@
 }
 
 #[test]
-fn one_that_never_came_is_refused_when_it_comes_late() {
+fn an_attempt_reported_as_never_arrived_is_refused_when_it_arrives_late() {
     let mut register = AttemptRegister::default();
     assert_eq!(
-        register.fate(at(1_000), attempt(1), at(500)),
+        register.status(at(1_000), attempt(1), at(500)),
         Fate::NeverCame
     );
     assert!(!register.begin(at(1_200), attempt(1)));
@@ -29,28 +29,31 @@
 }
 
 #[test]
-fn one_at_work_is_waited_for_and_one_that_has_ended_may_have_run() {
+fn an_attempt_is_in_progress_until_it_ends_and_may_have_run_afterwards() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(1_000), attempt(1)));
     assert_eq!(
-        register.fate(at(2_000), attempt(1), at(1_000)),
+        register.status(at(2_000), attempt(1), at(1_000)),
         Fate::AtWork
     );
     register.end(at(2_100), attempt(1));
-    assert_eq!(register.fate(at(2_200), attempt(1), at(1_200)), Fate::Over);
+    assert_eq!(
+        register.status(at(2_200), attempt(1), at(1_200)),
+        Fate::Over
+    );
 }
 
 #[test]
-fn a_token_that_is_asked_for_twice_is_at_work_until_both_are_over() {
+fn a_token_requested_twice_is_in_progress_until_both_requests_end() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(0), attempt(1)));
     assert!(register.begin(at(10), attempt(1)));
     register.end(at(20), attempt(1));
-    assert_eq!(register.fate(at(30), attempt(1), at(30)), Fate::AtWork);
+    assert_eq!(register.status(at(30), attempt(1), at(30)), Fate::AtWork);
 }
 
 #[test]
-fn a_sender_that_stood_still_beyond_what_is_remembered_is_told_that_it_may_have_run() {
+fn an_attempt_may_have_run_if_its_status_is_queried_after_the_retention_time() {
     let mut register = AttemptRegister::default();
     assert!(register.begin(at(0), attempt(1)));
     register.end(at(100), attempt(1));
@@ -58,24 +61,23 @@
         assert!(register.begin(at(20_000), attempt(number)));
     }
     assert_eq!(
-        register.fate(at(20_000), attempt(1), at(20_000)),
+        register.status(at(20_000), attempt(1), at(20_000)),
         Fate::Over
     );
-    // What was sent after all that is forgotten had ended is known for sure.
+    // The status is certain for attempts sent after the end of every evicted attempt.
     assert_eq!(
-        register.fate(at(20_000), attempt(99), at(600)),
+        register.status(at(20_000), attempt(99), at(600)),
         Fate::NeverCame
     );
 }
 
-/// Seen in a random play: asked about again, an attempt was said to have never come, but was fenced off only as
-/// long as after the first question.
+/// Guards against a second status query that doesn't extend the fence of an attempt reported as never arrived.
 #[test]
-fn one_that_is_asked_about_again_is_fenced_off_anew() {
+fn a_repeated_query_extends_the_fence_of_an_attempt() {
     let mut register = AttemptRegister::default();
     for ms in [0, 30_000] {
-        let fate = register.fate(at(ms), attempt(1), at(ms));
-        assert_eq!(fate, Fate::NeverCame);
+        let status = register.status(at(ms), attempt(1), at(ms));
+        assert_eq!(status, Fate::NeverCame);
     }
     assert!(register.begin(at(61_000), attempt(2)));
     assert!(!register.begin(at(89_000), attempt(1)));
@@ -100,38 +102,38 @@
 }
 
 proptest! {
-    /// Whatever is sent, held up, ended and asked in whichever order: what ran before is never said to have never
-    /// come, and what was said to have never come never runs within a minute.
+    /// In every order of arrivals, ends and queries: an attempt that ran is never reported as never arrived, and an
+    /// attempt reported as never arrived doesn't run within a minute.
     #[test]
     fn never_came_is_true_before_and_after(steps in steps()) {
         let mut register = AttemptRegister::default();
         let mut now = at(0);
         let mut ran = HashMap::new();
         let mut fenced: HashMap<u64, Duration> = HashMap::new();
-        let mut at_work = std::collections::HashSet::new();
+        let mut in_progress = std::collections::HashSet::new();
         for step in steps {
             match step {
                 Step::Passes(ms) => now += at(ms),
                 Step::Arrives(number) => {
                     if register.begin(now, attempt(number)) {
-                        let old = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
-                        prop_assert!(old, "{number} ran after it was fenced off");
+                        let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
+                        prop_assert!(fence_expired, "attempt {number} ran after it was fenced");
                         ran.insert(number, ());
-                        if !at_work.insert(number) {
+                        if !in_progress.insert(number) {
                             register.end(now, attempt(number));
                         }
                     }
                 }
                 Step::Ends(number) => {
-                    if at_work.remove(&number) {
+                    if in_progress.remove(&number) {
                         register.end(now, attempt(number));
                     }
                 }
                 Step::Asks(number) => {
-                    // All were sent when the play began.
-                    let fate = register.fate(now, attempt(number), now);
-                    if fate == Fate::NeverCame {
-                        prop_assert!(!ran.contains_key(&number), "{number} had run");
+                    // All attempts were sent at the start of the schedule.
+                    let status = register.status(now, attempt(number), now);
+                    if status == Fate::NeverCame {
+                        prop_assert!(!ran.contains_key(&number), "attempt {number} had already run");
                         fenced.insert(number, now);
                     }
                 }
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -1,13 +1,10 @@
-//! Long random schedules of a small fleet, in virtual time: messages that are late, lost, sent twice or out of order, runs that
-//! end, daemons that disagree on the accountant, clocks that run unevenly.
-//!
-//! `model_check` sees all short schedules of two daemons; here three go on for many leases. It finds a run that lends as soon as
-//! it starts, and leases without a margin for the clocks.
+//! Long random schedules of three daemons with faulty networks, restarts and clock drift. Guards against leasing right
+//! after a restart and against leases without a clock margin; `model_check` covers short schedules exhaustively.
 
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use sorrelturn_protocol::{CallerId, Incarnation};
-use sorrelturn_quota::{Accountant, Draw, Drawn, Entry, Limit, Now, Shard, Terms};
+use sorrelturn_quota::{Accountant, AcquireReply, AcquireRequest, Entry, Limit, Now, Shard, Terms};
 use std::time::Duration;
 
 const DAEMONS: u32 = 3;
@@ -21,18 +18,18 @@
     rate: 20.0,
     burst: 2.0,
 };
-/// What runs is counted in windows of this length.
+/// The window in which accepted requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// By how much clocks run unevenly, in parts of a hundred; the lease's margin bears 5 between two of them.
-const UNEVEN_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
-/// Steps of one schedule: some ten leases.
+/// The rate of each daemon's clock in percent. The lease margin tolerates a difference of 5 between two clocks.
+const CLOCK_RATE_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
+/// Steps of one schedule, about ten lease durations.
 const STEPS: usize = 600;
 
-/// What happens next.
+/// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
     Pass(u64),
-    /// So many requests at once.
+    /// A daemon and the number of requests that arrive at once.
     Ask(usize, usize),
     Renew(usize),
     Deliver(Index),
@@ -42,7 +39,7 @@
     Restart(usize),
 }
 
-/// Any step may follow any other.
+/// Schedules in which any step may follow any other.
 struct AnySchedule;
 
 impl ReferenceStateMachine for AnySchedule {
@@ -62,7 +59,7 @@
             80 => any::<Index>().prop_map(Step::Deliver),
             2 => any::<Index>().prop_map(Step::DeliverTwice),
             1 => any::<Index>().prop_map(Step::Lose),
-            1 => (daemon(), daemon()).prop_map(|(at, prefers)| Step::Prefer(at, prefers)),
+            1 => (daemon(), daemon()).prop_map(|(at, preferred)| Step::Prefer(at, preferred)),
             1 => daemon().prop_map(Step::Restart),
         ]
         .boxed()
@@ -73,45 +70,45 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Asks {
+    Request {
         to: Incarnation,
         sent: Now,
-        draw: Draw,
+        req: AcquireRequest,
     },
-    Answers {
+    Reply {
         to: Incarnation,
         sent: Now,
-        drawn: Drawn,
+        reply: AcquireReply,
     },
 }
 
 struct Daemon {
-    run: Incarnation,
+    incarnation: Incarnation,
     entry: Entry,
     accountant: Accountant,
-    /// Which daemon it takes for the accountant.
-    prefers: usize,
-    uneven_percent: u32,
+    /// The index of the daemon that this one prefers as the accountant.
+    preferred: usize,
+    clock_rate_percent: u32,
 }
 
 impl Daemon {
-    fn new(run: Incarnation, uneven_percent: u32, now: Duration) -> Self {
+    fn new(incarnation: Incarnation, clock_rate_percent: u32, now: Duration) -> Self {
         let mut daemon = Self {
-            run,
-            entry: Entry::new(run, TERMS, Now::ZERO),
-            accountant: Accountant::new(run, TERMS, Now::ZERO),
-            prefers: 0,
-            uneven_percent,
+            incarnation,
+            entry: Entry::new(incarnation, TERMS, Now::ZERO),
+            accountant: Accountant::new(incarnation, TERMS, Now::ZERO),
+            preferred: 0,
+            clock_rate_percent,
         };
-        let now = daemon.reads(now);
-        daemon.entry = Entry::new(run, TERMS, now);
-        daemon.accountant = Accountant::new(run, TERMS, now);
+        let now = daemon.clock_time(now);
+        daemon.entry = Entry::new(incarnation, TERMS, now);
+        daemon.accountant = Accountant::new(incarnation, TERMS, now);
         daemon
     }
 
-    /// What its clock says.
-    fn reads(&self, now: Duration) -> Now {
-        now * self.uneven_percent / 100
+    /// Returns the time by this daemon's clock.
+    fn clock_time(&self, now: Duration) -> Now {
+        now * self.clock_rate_percent / 100
     }
 }
 
@@ -119,55 +116,61 @@
     now: Duration,
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
-    last_run: u64,
-    /// When requests ran.
+    last_incarnation: u64,
+    /// The times at which requests ran.
     ran: Vec<Duration>,
 }
 
 impl Fleet {
-    fn at_run(&self, run: Incarnation) -> Option<usize> {
-        self.daemons.iter().position(|daemon| daemon.run == run)
+    fn index_of(&self, incarnation: Incarnation) -> Option<usize> {
+        self.daemons
+            .iter()
+            .position(|daemon| daemon.incarnation == incarnation)
     }
 
-    fn prefer_anew(&mut self) {
-        let runs: Vec<Incarnation> = self.daemons.iter().map(|daemon| daemon.run).collect();
+    fn update_preferred(&mut self) {
+        let incarnations: Vec<Incarnation> = self
+            .daemons
+            .iter()
+            .map(|daemon| daemon.incarnation)
+            .collect();
         for daemon in &mut self.daemons {
-            let prefers = runs[daemon.prefers];
-            let of_shard = |shard| (shard == SHARD).then_some(prefers);
-            daemon.entry.prefer(DAEMONS, of_shard);
+            let preferred = incarnations[daemon.preferred];
+            let of_shard = |shard| (shard == SHARD).then_some(preferred);
+            daemon.entry.set_preferred(DAEMONS, of_shard);
         }
     }
 
-    fn ask(&mut self, at: usize, workspace: Option<CallerId>) {
+    fn request(&mut self, at: usize, workspace: Option<CallerId>) {
         let daemon = &mut self.daemons[at];
-        let sent = daemon.reads(self.now);
-        if workspace.is_some() && daemon.entry.take(sent, WORKSPACE) {
+        let sent = daemon.clock_time(self.now);
+        if workspace.is_some() && daemon.entry.use_grant(sent, WORKSPACE) {
             self.ran.push(self.now);
             return;
         }
         if let Some(target) = daemon.entry.target(sent, SHARD) {
-            let draw = daemon.entry.draw(target, DAEMONS, workspace);
+            let req = daemon.entry.acquire_request(target, DAEMONS, workspace);
             let to = target.accountant;
-            self.messages.push(Message::Asks { to, sent, draw });
+            self.messages.push(Message::Request { to, sent, req });
         }
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::Asks { to, sent, draw } => {
-                // A run that is over answers nothing.
-                let Some(at) = self.at_run(to) else { return };
+            Message::Request { to, sent, req } => {
+                // An incarnation that has ended doesn't reply.
+                let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
-                let now = daemon.reads(self.now);
-                let drawn = daemon.accountant.draw(now, &draw, Some(LIMIT), DAEMONS);
-                let to = draw.from;
-                self.messages.push(Message::Answers { to, sent, drawn });
+                let now = daemon.clock_time(self.now);
+                let reply = daemon.accountant.acquire(now, &req, Some(LIMIT), DAEMONS);
+                let to = req.from;
+                self.messages.push(Message::Reply { to, sent, reply });
             }
-            Message::Answers { to, sent, drawn } => {
-                let Some(at) = self.at_run(to) else { return };
+            Message::Reply { to, sent, reply } => {
+                let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
-                let now = daemon.reads(self.now);
-                if daemon.entry.drawn(now, sent, WORKSPACE, &drawn) {
+                let now = daemon.clock_time(self.now);
+                if daemon.entry.accept_reply(now, sent, WORKSPACE, &reply) {
                     self.ran.push(self.now);
                 }
             }
@@ -184,16 +187,18 @@
     type Reference = AnySchedule;
 
     fn init_test(_: &()) -> Self {
-        let daemons = (1u64..).zip(UNEVEN_PERCENT);
-        let daemon = |(run, uneven)| Daemon::new(Incarnation(run), uneven, Duration::ZERO);
+        let daemons = (1u64..).zip(CLOCK_RATE_PERCENT);
+        let daemon = |(incarnation, clock_rate)| {
+            Daemon::new(Incarnation(incarnation), clock_rate, Duration::ZERO)
+        };
         let mut fleet = Self {
             now: Duration::ZERO,
             daemons: daemons.map(daemon).collect(),
             messages: Vec::new(),
-            last_run: DAEMONS.into(),
+            last_incarnation: DAEMONS.into(),
             ran: Vec::new(),
         };
-        fleet.prefer_anew();
+        fleet.update_preferred();
         fleet
     }
 
@@ -201,19 +206,19 @@
         match step {
             Step::Pass(ms) => fleet.now += Duration::from_millis(ms),
             Step::Ask(at, requests) => {
-                (0..requests).for_each(|_| fleet.ask(at, Some(WORKSPACE)));
+                (0..requests).for_each(|_| fleet.request(at, Some(WORKSPACE)));
             }
-            Step::Renew(at) => fleet.ask(at, None),
+            Step::Renew(at) => fleet.request(at, None),
             Step::Deliver(index) => {
                 if let Some(at) = fleet.any_message(&index) {
                     let message = fleet.messages.remove(at);
                     fleet.deliver(message);
                 }
             }
-            // An answer comes once: connections between daemons are streams.
+            // A reply is never duplicated, because connections between daemons are streams.
             Step::DeliverTwice(index) => {
                 let message = fleet.any_message(&index).map(|at| &fleet.messages[at]);
-                if let Some(message @ Message::Asks { .. }) = message.cloned() {
+                if let Some(message @ Message::Request { .. }) = message.cloned() {
                     fleet.deliver(message);
                 }
             }
@@ -222,37 +227,42 @@
                     fleet.messages.remove(at);
                 }
             }
-            Step::Prefer(at, prefers) => {
-                fleet.daemons[at].prefers = prefers;
-                fleet.prefer_anew();
+            Step::Prefer(at, preferred) => {
+                fleet.daemons[at].preferred = preferred;
+                fleet.update_preferred();
             }
             Step::Restart(at) => {
-                fleet.last_run += 1;
-                let (run, before) = (Incarnation(fleet.last_run), &fleet.daemons[at]);
-                let mut daemon = Daemon::new(run, before.uneven_percent, fleet.now);
-                daemon.prefers = before.prefers;
+                fleet.last_incarnation += 1;
+                let (incarnation, before) =
+                    (Incarnation(fleet.last_incarnation), &fleet.daemons[at]);
+                let mut daemon = Daemon::new(incarnation, before.clock_rate_percent, fleet.now);
+                daemon.preferred = before.preferred;
                 fleet.daemons[at] = daemon;
-                fleet.prefer_anew();
+                fleet.update_preferred();
             }
         }
         fleet
     }
 
     fn check_invariants(fleet: &Self, _: &()) {
-        let lent = |daemon: &Daemon| {
+        let leased = |daemon: &Daemon| {
             let mut accountant = daemon.accountant.clone();
-            accountant.part_lent(daemon.reads(fleet.now), SHARD, DAEMONS)
+            accountant.leased_fraction(daemon.clock_time(fleet.now), SHARD, DAEMONS)
         };
-        let lent: f64 = fleet.daemons.iter().map(lent).sum();
-        assert!(lent <= 1.0 + 1e-9, "{lent} of the shares are lent");
+        let leased: f64 = fleet.daemons.iter().map(leased).sum();
+        assert!(leased <= 1.0 + 1e-9, "{leased} of the shares are leased");
 
         let ran = fleet.ran.iter().rev();
         let in_window = ran.take_while(|at| fleet.now - **at <= WINDOW).count();
-        let most_uneven = f64::from(UNEVEN_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
-        let earned = LIMIT.rate * most_uneven * (WINDOW + TERMS.grant).as_secs_f64();
-        // A request fits into each fragment of the fleet, however small its part of the burst is.
-        let most = earned + LIMIT.burst + f64::from(DAEMONS - 1);
-        assert!(in_window as f64 <= most, "{in_window} ran where {most} may");
+        let max_clock_factor =
+            f64::from(CLOCK_RATE_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
+        let earned = LIMIT.rate * max_clock_factor * (WINDOW + TERMS.grant).as_secs_f64();
+        // Each fragment of the fleet can grant one request, however small its share of the burst is.
+        let max_count = earned + LIMIT.burst + f64::from(DAEMONS - 1);
+        assert!(
+            in_window as f64 <= max_count,
+            "{in_window} requests ran; at most {max_count} are allowed"
+        );
     }
 }
 
@@ -260,5 +270,5 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_schedule_lends_more_than_all_shares_or_runs_more_than_the_limit(sequential STEPS..STEPS + 1 => Fleet);
+    fn no_schedule_leases_more_than_all_shares_or_runs_more_than_the_limit(sequential STEPS..STEPS + 1 => Fleet);
 }
--- /dev/null
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -0,0 +1,444 @@
+//! Compares schemes that enforce a quota over a fleet: static shares, counting with reports, and leased shares. Guards
+//! against leased shares that exceed the bound or refuse requests within the limit. Messages are not simulated.
+
+use sorrelturn_protocol::{CallerId, Incarnation};
+use sorrelturn_quota::{
+    Accountant, Bound, Entry, Limit, Now, Outcome, SHARDS, Shard, Terms, preferred_accountant,
+};
+use std::{collections::VecDeque, time::Duration};
+
+const ENTRIES: usize = 68;
+const WORKSPACES: usize = 76;
+/// The usual load of all workspaces, in requests per second.
+const USUAL_RATE: f64 = 2_100.0;
+const LIMIT_FACTOR: f64 = 1.6;
+const SECONDS: u64 = 16;
+const STEP: Duration = Duration::from_millis(10);
+const TERMS: Terms = Terms {
+    lease: Duration::from_secs(1),
+    grant: Duration::from_millis(150),
+};
+/// The window of `BOUND` in steps.
+const WINDOW_STEPS: usize = 500;
+const BOUND: Bound = Bound {
+    window: Duration::from_secs(5),
+    overage: 0.1,
+    slack: 20.0,
+};
+
+#[derive(Clone, Copy, PartialEq)]
+enum Load {
+    /// The usual load.
+    Calm,
+    /// All workspaces send 1.7 times their usual load.
+    Burst,
+    /// The largest workspace sends 7.5 times its usual load.
+    Hot,
+    /// Like `Hot`, while a third of the entries is partitioned from the rest.
+    HotAndPartitioned,
+}
+
+/// Decides whether a request of a workspace that arrives at an entry may run.
+trait QuotaScheme {
+    fn advance(&mut self, now: Now, is_partitioned: bool);
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
+}
+
+/// A token bucket.
+#[derive(Clone, Copy)]
+struct Bucket {
+    limit: Limit,
+    tokens: f64,
+    at: Now,
+}
+
+impl Bucket {
+    fn new(limit: Limit) -> Self {
+        Self {
+            limit,
+            tokens: limit.burst,
+            at: Now::ZERO,
+        }
+    }
+
+    fn fill(&mut self, now: Now) {
+        let passed = now.saturating_sub(self.at).as_secs_f64();
+        self.tokens = (self.tokens + self.limit.rate * passed).min(self.limit.burst);
+        self.at = now;
+    }
+
+    fn try_accept(&mut self, now: Now) -> bool {
+        self.fill(now);
+        let accepted = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(accepted));
+        accepted
+    }
+}
+
+/// Returns the usual rate of a workspace. The rates follow Zipf's law: a few large workspaces and many small ones.
+fn usual_rate(workspace: usize) -> f64 {
+    let weights: f64 = (1..=WORKSPACES).map(|rank| 1.0 / rank as f64).sum();
+    USUAL_RATE / (workspace + 1) as f64 / weights
+}
+
+fn limit(workspace: usize) -> Limit {
+    let rate = usual_rate(workspace) * LIMIT_FACTOR;
+    Limit { rate, burst: rate }
+}
+
+fn bucket(workspace: usize) -> Limit {
+    BOUND.bucket(limit(workspace), TERMS.grant)
+}
+
+/// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
+struct LimitTracker {
+    steps: VecDeque<u32>,
+    in_window: u32,
+    max_count: f64,
+}
+
+impl LimitTracker {
+    fn new(workspace: usize) -> Self {
+        let Limit { rate, burst } = limit(workspace);
+        Self {
+            steps: VecDeque::new(),
+            in_window: 0,
+            max_count: rate * BOUND.window.as_secs_f64() + burst,
+        }
+    }
+
+    fn advance(&mut self) {
+        self.steps.push_back(0);
+        if self.steps.len() > WINDOW_STEPS {
+            self.in_window -= self.steps.pop_front().unwrap_or(0);
+        }
+    }
+
+    fn try_accept(&mut self) -> bool {
+        let is_within_limit = f64::from(self.in_window) + 1.0 <= self.max_count;
+        if let Some(step) = self.steps.back_mut().filter(|_| is_within_limit) {
+            *step += 1;
+            self.in_window += 1;
+        }
+        is_within_limit
+    }
+}
+
+/// Each entry has a fixed share of each limit.
+struct StaticShares(Vec<Vec<Bucket>>);
+
+impl StaticShares {
+    fn new() -> Self {
+        let of_entry = |workspace| {
+            let Limit { rate, burst } = bucket(workspace);
+            let divisor = ENTRIES as f64;
+            Bucket::new(Limit {
+                rate: rate / divisor,
+                burst: (burst / divisor).max(1.0),
+            })
+        };
+        let entry: Vec<Bucket> = (0..WORKSPACES).map(of_entry).collect();
+        Self(vec![entry; ENTRIES])
+    }
+}
+
+impl QuotaScheme for StaticShares {
+    fn advance(&mut self, _: Now, _: bool) {}
+
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
+        self.0[entry][workspace].try_accept(now)
+    }
+}
+
+/// Entries accept what remains after the last report and report five times a second; each side of a partition counts
+/// separately.
+struct ReportedCounts {
+    buckets: [Vec<Bucket>; 2],
+    /// The tokens that remained at the last report.
+    remaining: [Vec<f64>; 2],
+    accepted_since_report: Vec<Vec<f64>>,
+    reported_at: Now,
+    is_partitioned: bool,
+}
+
+impl ReportedCounts {
+    const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+
+    fn new() -> Self {
+        let buckets: Vec<Bucket> = (0..WORKSPACES).map(|at| Bucket::new(bucket(at))).collect();
+        let remaining: Vec<f64> = buckets.iter().map(|bucket| bucket.tokens).collect();
+        Self {
+            buckets: [buckets.clone(), buckets],
+            remaining: [remaining.clone(), remaining],
+            accepted_since_report: vec![vec![0.0; WORKSPACES]; ENTRIES],
+            reported_at: Now::ZERO,
+            is_partitioned: false,
+        }
+    }
+
+    fn partition(&self, entry: usize) -> usize {
+        usize::from(self.is_partitioned && is_in_second_partition(entry))
+    }
+}
+
+impl QuotaScheme for ReportedCounts {
+    fn advance(&mut self, now: Now, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
+        if now < self.reported_at + Self::REPORT_INTERVAL {
+            return;
+        }
+        self.reported_at = now;
+        for workspace in 0..WORKSPACES {
+            for partition in 0..2 {
+                let bucket = &mut self.buckets[partition][workspace];
+                bucket.fill(now);
+                let of_side = |entry: &usize| {
+                    usize::from(is_partitioned && is_in_second_partition(*entry)) == partition
+                };
+                for entry in (0..ENTRIES).filter(of_side) {
+                    bucket.tokens -=
+                        std::mem::take(&mut self.accepted_since_report[entry][workspace]);
+                }
+                self.remaining[partition][workspace] = bucket.tokens;
+            }
+        }
+    }
+
+    fn try_accept(&mut self, _: Now, entry: usize, workspace: usize) -> bool {
+        let remaining = self.remaining[self.partition(entry)][workspace];
+        let accepted_since_report = &mut self.accepted_since_report[entry][workspace];
+        let accepted = remaining - *accepted_since_report >= 1.0;
+        *accepted_since_report += f64::from(u8::from(accepted));
+        accepted
+    }
+}
+
+/// The scheme of this crate.
+struct LeasedShares {
+    entries: Vec<Entry>,
+    accountants: Vec<Accountant>,
+    renewed_at: Now,
+    is_partitioned: bool,
+}
+
+impl LeasedShares {
+    const RENEW_INTERVAL: Duration = Duration::from_millis(400);
+
+    fn new() -> Self {
+        let incarnation = |at: usize| Incarnation(at as u64);
+        Self {
+            entries: (0..ENTRIES)
+                .map(|at| Entry::new(incarnation(at), TERMS, Now::ZERO))
+                .collect(),
+            accountants: (0..ENTRIES)
+                .map(|at| Accountant::new(incarnation(at), TERMS, Now::ZERO))
+                .collect(),
+            renewed_at: Now::ZERO,
+            is_partitioned: false,
+        }
+    }
+
+    fn is_reachable(&self, entry: usize, other: usize) -> bool {
+        !self.is_partitioned || is_in_second_partition(entry) == is_in_second_partition(other)
+    }
+
+    fn acquire(&mut self, now: Now, entry: usize, shard: Shard, workspace: Option<usize>) -> bool {
+        let Some(target) = self.entries[entry].target(now, shard) else {
+            return false;
+        };
+        let accountant = target.accountant.0 as usize;
+        if !self.is_reachable(entry, accountant) {
+            self.entries[entry].mark_unresponsive(now, target.accountant);
+            self.set_preferred(now, entry);
+            return false;
+        }
+        let id = workspace.map(|workspace| CallerId(workspace as u64));
+        let request = self.entries[entry].acquire_request(target, ENTRIES as u32, id);
+        let reply = self.accountants[accountant].acquire(
+            now,
+            &request,
+            workspace.map(bucket),
+            ENTRIES as u32,
+        );
+        match id {
+            Some(id) => self.entries[entry].accept_reply(now, now, id, &reply),
+            None => {
+                self.entries[entry].record_reading(now, reply.clock_reading);
+                reply.outcome != Outcome::Nothing
+            }
+        }
+    }
+
+    fn set_preferred(&mut self, now: Now, entry: usize) {
+        let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
+        let own_entry = &self.entries[entry];
+        let of_shard = |shard| {
+            let members = names.iter().enumerate();
+            let members = members.map(|(at, name)| (name.as_str(), Incarnation(at as u64)));
+            preferred_accountant(
+                shard,
+                members.filter(|(_, incarnation)| !own_entry.is_unresponsive(now, *incarnation)),
+            )
+        };
+        let chosen: Vec<Option<Incarnation>> = Shard::all().map(of_shard).collect();
+        self.entries[entry].set_preferred(ENTRIES as u32, |shard| chosen[usize::from(shard.0)]);
+    }
+}
+
+impl QuotaScheme for LeasedShares {
+    fn advance(&mut self, now: Now, is_partitioned: bool) {
+        self.is_partitioned = is_partitioned;
+        if now < self.renewed_at + Self::RENEW_INTERVAL {
+            return;
+        }
+        self.renewed_at = now;
+        for entry in 0..ENTRIES {
+            self.set_preferred(now, entry);
+            for shard in self.entries[entry].due_renewals(now) {
+                self.acquire(now, entry, shard, None);
+            }
+        }
+    }
+
+    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
+        let id = CallerId(workspace as u64);
+        if self.entries[entry].retry_after(now, id).is_some() {
+            return false;
+        }
+        self.entries[entry].use_grant(now, id)
+            || self.acquire(now, entry, Shard::of(id), Some(workspace))
+    }
+}
+
+fn is_in_second_partition(entry: usize) -> bool {
+    entry.is_multiple_of(3)
+}
+
+/// The result of a simulation.
+struct Result {
+    /// The fraction of requests within the limits that was refused.
+    refused: f64,
+    /// The maximum number of requests accepted in a window, as a fraction of the bound.
+    peak_fraction: f64,
+}
+
+fn simulate(scheme: &mut dyn QuotaScheme, load: Load, seed: u64) -> Result {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut trackers: Vec<LimitTracker> = (0..WORKSPACES).map(LimitTracker::new).collect();
+    let mut accepted_per_step: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
+    let (mut within_limit_count, mut refused) = (0u32, 0u32);
+    // The first leases take some seconds to be established.
+    let warmup_end = Duration::from_secs(4);
+    let mut now = Now::ZERO;
+    while now < warmup_end + Duration::from_secs(SECONDS) {
+        now += STEP;
+        let under_load = now >= warmup_end + Duration::from_secs(3);
+        scheme.advance(now, under_load && load == Load::HotAndPartitioned);
+        if now < warmup_end {
+            continue;
+        }
+        for workspace in 0..WORKSPACES {
+            let load_factor = match load {
+                Load::Burst if under_load => 1.7,
+                Load::Hot | Load::HotAndPartitioned if under_load && workspace == 0 => 7.5,
+                _ => 1.0,
+            };
+            let mean = usual_rate(workspace) * load_factor * STEP.as_secs_f64();
+            let arrivals = mean as u32 + u32::from(rng.f64() < mean.fract());
+            trackers[workspace].advance();
+            let mut accepted_count = 0;
+            for _ in 0..arrivals {
+                let is_within_limit = trackers[workspace].try_accept();
+                let accepted = scheme.try_accept(now, rng.usize(..ENTRIES), workspace);
+                accepted_count += u32::from(accepted);
+                within_limit_count += u32::from(is_within_limit);
+                refused += u32::from(is_within_limit && !accepted);
+            }
+            accepted_per_step[workspace].push(accepted_count);
+        }
+    }
+    let peak_fraction = accepted_per_step
+        .iter()
+        .enumerate()
+        .map(|(workspace, steps)| {
+            let Limit { rate, burst } = limit(workspace);
+            let allowed = (rate * 5.0 + burst) * (1.0 + BOUND.overage) + BOUND.slack;
+            let max_count = steps
+                .windows(WINDOW_STEPS)
+                .map(|window| window.iter().sum::<u32>())
+                .max();
+            f64::from(max_count.unwrap_or(0)) / allowed
+        });
+    Result {
+        refused: f64::from(refused) / f64::from(within_limit_count),
+        peak_fraction: peak_fraction.fold(0.0, f64::max),
+    }
+}
+
+fn simulate_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> Result {
+    let results: Vec<Result> = (1..=3)
+        .map(|seed| simulate(&mut *new(), load, seed))
+        .collect();
+    Result {
+        refused: results.iter().map(|result| result.refused).sum::<f64>() / results.len() as f64,
+        peak_fraction: results
+            .iter()
+            .map(|result| result.peak_fraction)
+            .fold(0.0, f64::max),
+    }
+}
+
+#[test]
+fn leased_shares_keep_the_bound_and_refuse_little_within_the_limit() {
+    println!(
+        "load: refused fraction and peak window per bound, for static shares, reported counts, leased shares"
+    );
+    for (name, load) in [
+        ("calm", Load::Calm),
+        ("burst", Load::Burst),
+        ("hot", Load::Hot),
+        ("hot and partitioned", Load::HotAndPartitioned),
+    ] {
+        let fixed = simulate_seeds(|| Box::new(StaticShares::new()), load);
+        let counting = simulate_seeds(|| Box::new(ReportedCounts::new()), load);
+        let leased = simulate_seeds(|| Box::new(LeasedShares::new()), load);
+        println!(
+            "{name}: {:.3} {:.2}, {:.3} {:.2}, {:.3} {:.2}",
+            fixed.refused,
+            fixed.peak_fraction,
+            counting.refused,
+            counting.peak_fraction,
+            leased.refused,
+            leased.peak_fraction
+        );
+        assert!(
+            leased.peak_fraction <= 1.0,
+            "{name}: {:.2} of the bound",
+            leased.peak_fraction
+        );
+        assert!(
+            leased.refused < fixed.refused,
+            "{name}: static shares refuse less than leased shares"
+        );
+        // The objective at usual load: fewer than one in 200.
+        assert!(
+            load != Load::Calm || leased.refused < 0.005,
+            "{:.4}",
+            leased.refused
+        );
+    }
+}
+
+#[test]
+fn all_shards_are_spread_over_many_accountants() {
+    let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
+    let chosen = Shard::all().filter_map(|shard| {
+        let members = names.iter().enumerate();
+        preferred_accountant(
+            shard,
+            members.map(|(at, name)| (name.as_str(), Incarnation(at as u64))),
+        )
+    });
+    let distinct: std::collections::HashSet<Incarnation> = chosen.collect();
+    assert!(distinct.len() > SHARDS / 2, "{}", distinct.len());
+}
