--- a/crates/sorrelturn-bench/src/experiment/play/crashes.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/crashes.rs
@@ -2,7 +2,7 @@
 
 use super::{Caller, Ended, Event, Play, seconds};
 use crate::experiment::file::{FaultSpec, Mechanism};
-use sorrelturn_protocol::{CrashId, CrashNews, CrashReport, RequestFingerprint};
+use sorrelturn_protocol::{CrashId, CrashReport, CrashUpdate, RequestFingerprint};
 use std::time::Duration;
 
 /// All daemons have heard of a crash after this time: it is noticed within 5 ms, and news takes a few hops.
@@ -70,7 +70,7 @@
             age_ms: 0,
             running: calls.map(|call| call.caller.request).collect(),
         };
-        let news = CrashNews {
+        let news = CrashUpdate {
             crashes: vec![report],
             cleared: Vec::new(),
         };
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(super) fn heard(&mut self, news: &CrashNews) {
+    pub(super) fn heard(&mut self, news: &CrashUpdate) {
         self.quarantine.hear(self.now, news);
     }
 }
--- a/crates/sorrelturn-bench/src/experiment/play/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/mod.rs
@@ -13,7 +13,7 @@
 };
 use fastrand::Rng;
 use sorrelturn_policy::{Arrival, Began, Now, Quarantine};
-use sorrelturn_protocol::{CrashNews, Importance, Incarnation, Refusal, RequestFingerprint};
+use sorrelturn_protocol::{CrashUpdate, Importance, Incarnation, Refusal, RequestFingerprint};
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BinaryHeap, HashMap},
@@ -156,7 +156,7 @@
     WaitOver(u64),
     NotBegun(u64, Refusal),
     CrashDue(usize),
-    Heard(CrashNews),
+    Heard(CrashUpdate),
     PieceDone(u64),
     Answer(u64, Ended, Option<Told>),
     Sample,
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -53,7 +53,7 @@
         let given_up = std::mem::take(&mut self.given_up);
         let lately = move |at: Now| at + GIVEN_UP_KEPT >= now;
         let names = given_up.into_iter().filter(move |(at, _)| lately(*at));
-        names.flat_map(|(_, request)| request.each())
+        names.flat_map(|(_, request)| request.iter())
     }
 }
 
@@ -115,7 +115,7 @@
     let look = {
         let mut state = lock(&node.crashes.0);
         let look = state.look.get_or_insert_with(|| start_look(node));
-        lock(&look.broke).extend(request.each());
+        lock(&look.broke).extend(request.iter());
         Arc::clone(look)
     };
     *look.is_gone.wait().await
--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -42,7 +42,7 @@
     if version <= node.bundle_version() {
         return;
     }
-    let fetch = lock(&node.spread).heard(node.now(), version, source);
+    let fetch = lock(&node.spread).version_announced(node.now(), version, source);
     if let Some(fetch) = fetch {
         let node = Arc::clone(node);
         let ex = Arc::clone(&node.ex);
@@ -67,7 +67,7 @@
                 ],
             );
         }
-        next = lock(&node.spread).fetch_over(node.now(), &fetch);
+        next = lock(&node.spread).fetch_finished(node.now(), &fetch);
     }
 }
 
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -18,7 +18,7 @@
 use sorrelturn_bundle::{ContentHash, SectionBytes, SignedManifest};
 use sorrelturn_fleet::{Digest, DigestReply, Report};
 use sorrelturn_policy::LeavingCause;
-use sorrelturn_protocol::{CrashNews, Incarnation, MemberRecord};
+use sorrelturn_protocol::{CrashUpdate, Incarnation, MemberRecord};
 use sorrelturn_quota::{Draw, Drawn};
 use sorrelturn_telemetry::{EventRecord, Field, events};
 use std::sync::Arc;
@@ -52,7 +52,7 @@
         /// Lends shares of quotas, and draws from one.
         async fn draw(draw: Draw) -> Drawn;
         /// What the sender knows of crashes of backend servers.
-        async fn crashes(news: CrashNews);
+        async fn crashes(news: CrashUpdate);
         /// The manifest in force.
         async fn manifest() -> Option<SignedManifest>;
         /// The route table in force, as operators wrote it.
@@ -119,7 +119,7 @@
         quota::answer(&self.node, &draw)
     }
 
-    async fn crashes(self, _: context::Context, news: CrashNews) {
+    async fn crashes(self, _: context::Context, news: CrashUpdate) {
         suspects::heard(&self.node, &news);
     }
 
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -15,7 +15,7 @@
 use smol::Timer;
 use sorrelturn_fleet::{Digest, PUSH_FAN_OUT, Source, push_targets};
 use sorrelturn_policy::LeavingCause;
-use sorrelturn_protocol::{CrashNews, MemberRecord, MemberState};
+use sorrelturn_protocol::{CrashUpdate, MemberRecord, MemberState};
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 use tarpc::{client::RpcError, context::Context};
 
@@ -116,7 +116,7 @@
 }
 
 /// Tells some peers what was learnt of crashes of backend servers.
-pub(crate) fn tell_of_crashes(node: &Arc<Node>, news: CrashNews) {
+pub(crate) fn tell_of_crashes(node: &Arc<Node>, news: CrashUpdate) {
     tell_neighbours(node, move |client, cx| async move {
         client.crashes(cx, news).await
     });
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -12,7 +12,9 @@
 use smol::{Executor, future::FutureExt, net::TcpStream};
 use socket2::{SockRef, TcpKeepalive};
 use sorrelturn_policy::Now;
-use sorrelturn_protocol::{AttemptId, Fate, FateQuestion, Incarnation, headers::FATE};
+use sorrelturn_protocol::{
+    AttemptId, AttemptStatus, AttemptStatusQuery, Incarnation, headers::ATTEMPT_STATUS,
+};
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
 /// The longest time for a new connection. Peers are about 1 ms apart; an opening packet that was
@@ -152,13 +154,13 @@
                 None
             };
             match self.ask(runtime, attempt, sent).or(too_late).await {
-                Some(Fate::NeverCame) => return SendError::NeverCame,
-                Some(Fate::Over) => {
+                Some(AttemptStatus::NeverCame) => return SendError::NeverCame,
+                Some(AttemptStatus::Over) => {
                     runtime.timers.after(ANSWER_TRAVELS).await;
                     return SendError::AnswerLost;
                 }
                 // Of a peer that answers nowhere nothing is known.
-                Some(Fate::AtWork) | None => {}
+                Some(AttemptStatus::AtWork) | None => {}
             }
             runtime.timers.after(pause).await;
             pause = (pause * 2).min(ASK_AGAIN_MOST);
@@ -166,22 +168,27 @@
     }
 
     /// Asks over a new connection, which is kept.
-    async fn ask(&self, runtime: &Runtime<'_>, attempt: SentAttempt, sent: Now) -> Option<Fate> {
-        let question = FateQuestion {
+    async fn ask(
+        &self,
+        runtime: &Runtime<'_>,
+        attempt: SentAttempt,
+        sent: Now,
+    ) -> Option<AttemptStatus> {
+        let question = AttemptStatusQuery {
             owner: attempt.owner,
             attempt: attempt.id,
             sent_ms_ago: self.clock.since(sent).as_millis() as u32,
         };
         let mut req = Request::new(body::full(""));
-        headers::set(req.headers_mut(), FATE, &question.encode());
+        headers::set(req.headers_mut(), ATTEMPT_STATUS, &question.encode());
         let connect = self.connect(runtime.keys, true);
         let answered = self
             .watched
             .send_new(runtime.ex, req, CONNECT_TIME, connect);
         let (res, lease) = answered.await.ok()?;
         lease.give_back();
-        let fate = res.headers().get(FATE)?;
-        Fate::decode(fate.as_bytes()).ok()
+        let fate = res.headers().get(ATTEMPT_STATUS)?;
+        AttemptStatus::decode(fate.as_bytes()).ok()
     }
 
     /// Drops the idle connections; the calls on others go on.
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -146,7 +146,7 @@
     request: RequestId,
     room_in: Duration,
 ) -> Reply {
-    node.events.note(
+    node.events.record(
         &events::QUOTA_USED_UP,
         Some(request),
         vec![
--- a/crates/sorrelturn-daemon/src/fleet/reports.rs
+++ b/crates/sorrelturn-daemon/src/fleet/reports.rs
@@ -5,7 +5,7 @@
     node::{Node, lock},
 };
 use smol::Timer;
-use sorrelturn_fleet::{Report, WATCHERS, ranked, report_pause};
+use sorrelturn_fleet::{Report, WATCHER_COUNT, ranked, report_interval};
 use sorrelturn_protocol::MemberRecord;
 use std::{sync::Arc, time::Duration};
 
@@ -17,7 +17,7 @@
     loop {
         let jitter = 0.75 + fastrand::f64() / 2.0;
         let due = node.counts.reported.elapsed_since(node.now());
-        if due >= report_pause(node.domain_members()) {
+        if due >= report_interval(node.domain_members()) {
             report(&node).await;
         }
         Timer::after(LOOK_EVERY.mul_f64(jitter)).await;
@@ -59,7 +59,7 @@
     let membership = lock(&node.membership);
     ranked(membership.present(), &node.settings.failure_domain)
         .into_iter()
-        .take(WATCHERS)
+        .take(WATCHER_COUNT)
         .cloned()
         .collect()
 }
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -7,7 +7,7 @@
 };
 use sorrelturn_policy::{Learnt, Now, Quarantine};
 use sorrelturn_protocol::{
-    Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint, RequestNames,
+    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestNames,
 };
 use sorrelturn_telemetry::{EventKind, Field, events};
 use std::{
@@ -55,7 +55,7 @@
         }
         let quarantine = lock(&self.quarantine);
         let held = request
-            .each()
+            .iter()
             .filter_map(|name| quarantine.held_for(now, name));
         held.max()
     }
@@ -69,7 +69,7 @@
     }
 
     /// All that is known.
-    pub(crate) fn news(&self, now: Now) -> CrashNews {
+    pub(crate) fn news(&self, now: Now) -> CrashUpdate {
         lock(&self.quarantine).news(now)
     }
 
@@ -85,7 +85,7 @@
 /// The backend server beside this daemon crashed.
 pub(crate) fn crashed_here(node: &Arc<Node>, report: CrashReport) {
     *lock(&node.suspects.own_crash) = Some(report.id);
-    let news = CrashNews {
+    let news = CrashUpdate {
         crashes: vec![report],
         cleared: Vec::new(),
     };
@@ -93,7 +93,7 @@
 }
 
 /// Takes what another daemon knows; what is new here goes on to the neighbours.
-pub(crate) fn heard(node: &Arc<Node>, news: &CrashNews) {
+pub(crate) fn heard(node: &Arc<Node>, news: &CrashUpdate) {
     let now = node.now();
     let suspects = &node.suspects;
     let mut quarantine = lock(&suspects.quarantine);
@@ -135,7 +135,7 @@
 /// A request ran to its end here, whatever its answer was: it isn't what crashes backend servers.
 pub(crate) fn ran_whole(node: &Arc<Node>, request: RequestNames) {
     let suspects = &node.suspects;
-    for name in request.each() {
+    for name in request.iter() {
         suspects.place(name).store(name.0, Ordering::Relaxed);
     }
     if !suspects.any.load(Ordering::Relaxed) {
@@ -143,7 +143,7 @@
     }
     let mut quarantine = lock(&suspects.quarantine);
     let cleared: Vec<RequestFingerprint> = request
-        .each()
+        .iter()
         .filter(|name| quarantine.holds(*name) && quarantine.clear(node.now(), *name))
         .collect();
     drop(quarantine);
@@ -151,15 +151,15 @@
         return;
     }
     note(node, &events::REQUESTS_CLEARED, &cleared);
-    let news = CrashNews {
+    let news = CrashUpdate {
         crashes: Vec::new(),
         cleared: cleared.into_iter().map(just_cleared).collect(),
     };
     gossip::tell_of_crashes(node, news);
 }
 
-fn just_cleared(request: RequestFingerprint) -> Cleared {
-    Cleared { request, age_ms: 0 }
+fn just_cleared(request: RequestFingerprint) -> ClearedRequest {
+    ClearedRequest { request, age_ms: 0 }
 }
 
 fn note(node: &Node, kind: &'static EventKind, requests: &[RequestFingerprint]) {
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -15,7 +15,9 @@
     future::FutureExt,
 };
 use sorrelturn_bundle::SignedManifest;
-use sorrelturn_fleet::{Source, VmAdvice, WATCHERS, advise, longest_silence, predecessors, ranked};
+use sorrelturn_fleet::{
+    Source, VmListDiff, WATCHER_COUNT, diff_vm_list, predecessors, ranked, silence_timeout,
+};
 use sorrelturn_platform::{Changes, Expected, Object, PlatformError, VmState, keys};
 use sorrelturn_policy::Now;
 use sorrelturn_protocol::{MemberRecord, MemberState};
@@ -85,12 +87,12 @@
     };
     let mut alive = 0;
     for record in before {
-        if alive == WATCHERS {
+        if alive == WATCHER_COUNT {
             break;
         }
         alive += usize::from(answers(node, &record).await);
     }
-    alive < WATCHERS
+    alive < WATCHER_COUNT
 }
 
 async fn answers(node: &Arc<Node>, record: &MemberRecord) -> bool {
@@ -275,19 +277,19 @@
             .iter()
             .map(|vm| (vm.instance.as_str(), vm.state == VmState::Leaving))
             .collect();
-        let advice = advise(
+        let advice = diff_vm_list(
             &lock(&node.membership),
             &node.settings.failure_domain,
             &listed,
         );
-        if advice.not_believed != not_believed && !listed.is_empty() {
-            for service in &advice.not_believed {
+        if advice.rejected_services != not_believed && !listed.is_empty() {
+            for service in &advice.rejected_services {
                 let fields = vec![Field::new("service", service)];
                 node.note(&events::VM_LIST_NOT_BELIEVED, fields);
             }
         }
         act_on(node, &advice).await;
-        not_believed = advice.not_believed;
+        not_believed = advice.rejected_services;
     }
 }
 
@@ -331,7 +333,7 @@
     next.or_else(|| of_domain().next()).cloned()
 }
 
-async fn act_on(node: &Arc<Node>, advice: &VmAdvice) {
+async fn act_on(node: &Arc<Node>, advice: &VmListDiff) {
     for (instances, leaving) in [(&advice.leaving, true), (&advice.staying, false)] {
         for instance in instances {
             let record = lock(&node.membership).get(instance).cloned();
@@ -368,11 +370,11 @@
         Timer::after(STATUS_EVERY.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let domain = &node.settings.failure_domain;
         let instance = &node.settings.instance;
-        let silence = longest_silence(node.domain_members());
+        let silence = silence_timeout(node.domain_members());
         let status = {
             let membership = lock(&node.membership);
             let mut view = lock(&node.view);
-            view.keep_only(|instance| {
+            view.retain_members(|instance| {
                 membership
                     .get(instance)
                     .is_some_and(|record| record.state != MemberState::Gone)
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -27,8 +27,8 @@
 };
 use sorrelturn_platform::{ReadySocket, hyper_server_io};
 use sorrelturn_protocol::{
-    AttemptId, CallContext, Fate, FateQuestion, Refusal,
-    headers::{CONTEXT, FATE},
+    AttemptId, AttemptStatus, AttemptStatusQuery, CallContext, Refusal,
+    headers::{ATTEMPT_STATUS, CONTEXT},
 };
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -305,23 +305,23 @@
     let Some(_guard) = AttemptGuard::begin(node, attempt_id(&context)) else {
         // Its sender was told that it never came, or had given the question up before this word was out: then it
         // hears it now, and may send another attempt.
-        return told(Fate::NeverCame);
+        return told(AttemptStatus::NeverCame);
     };
     owner::serve(node, context, req).await.into_peer_response()
 }
 
 /// The answer to a peer that asks what became of an attempt; `None` if it doesn't ask.
 fn fate(node: &Node, headers: &HeaderMap) -> Option<Response<Body>> {
-    let question = headers.get(FATE)?;
-    let question = FateQuestion::decode(question.as_bytes()).ok()?;
+    let question = headers.get(ATTEMPT_STATUS)?;
+    let question = AttemptStatusQuery::decode(question.as_bytes()).ok()?;
     let fate = if question.owner == node.incarnation {
         let sent_ago = Duration::from_millis(question.sent_ms_ago.into());
         lock(&node.attempts).fate(node.now(), question.attempt, sent_ago)
     } else {
         // An earlier run had it, or not.
-        Fate::Over
+        AttemptStatus::Over
     };
-    node.events.note(
+    node.events.record(
         &events::FATE_ASKED,
         Some(question.attempt.request),
         vec![
@@ -333,9 +333,9 @@
 }
 
 /// The word on what became of an attempt.
-fn told(fate: Fate) -> Response<Body> {
+fn told(fate: AttemptStatus) -> Response<Body> {
     let mut res = status(StatusCode::NO_CONTENT);
-    headers::set(res.headers_mut(), FATE, &fate.encode());
+    headers::set(res.headers_mut(), ATTEMPT_STATUS, &fate.encode());
     res
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -25,7 +25,7 @@
 use cadence::StatsdClient;
 use smol::{Executor, lock::Mutex as AsyncMutex};
 use sorrelturn_bundle::{Bundle, Service, TrustedKeys};
-use sorrelturn_fleet::{DomainView, Membership, Spread};
+use sorrelturn_fleet::{BundleTracker, DomainView, Membership};
 use sorrelturn_once::{AttemptRegister, Ledger};
 use sorrelturn_platform::Platform;
 use sorrelturn_policy::{GateConfig, Leaving, LeavingCause, Now};
@@ -79,7 +79,7 @@
     pub(crate) attempts: Mutex<AttemptRegister>,
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
-    pub(crate) spread: Mutex<Spread>,
+    pub(crate) spread: Mutex<BundleTracker>,
     pub(crate) view: Mutex<DomainView>,
     pub(crate) control_links: ControlLinks,
     pub(crate) neighbours: Mutex<VecDeque<String>>,
@@ -196,7 +196,7 @@
 
     /// Notes an event that concerns no single request.
     pub(crate) fn note(&self, kind: &'static EventKind, fields: Vec<Field>) {
-        self.events.note(kind, None, fields);
+        self.events.record(kind, None, fields);
     }
 
     /// The version of the bundle in force; 0 before the first.
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -34,7 +34,7 @@
     match (req.method(), path.as_str()) {
         (&Method::GET, "/status") => json(&report(node)),
         (&Method::GET, "/metrics") => Response::new(body::full(node.metrics_page.text())),
-        (&Method::GET, "/events") => json(&node.events.of_fleet()),
+        (&Method::GET, "/events") => json(&node.events.fleet_events()),
         (&Method::GET, "/members") => {
             let members: Vec<_> = lock(&node.membership).all().cloned().collect();
             json(&members)
--- a/crates/sorrelturn-daemon/src/operators/explain.rs
+++ b/crates/sorrelturn-daemon/src/operators/explain.rs
@@ -21,7 +21,7 @@
     request: RequestId,
     hops_left: u8,
 ) -> Vec<EventRecord> {
-    let mut records = node.events.of_request(request);
+    let mut records = node.events.request_events(request);
     let mut next: Vec<String> = records
         .iter()
         .filter_map(|record| record.field("to"))
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -91,7 +91,7 @@
 /// A refusal by somebody who doesn't know what became of earlier copies of the request. "Not run"
 /// would invite the caller to ask under another token or key, and both would run.
 fn unknown_here(mut reply: Reply) -> Reply {
-    reply.context.verdict = reply.context.verdict.and(Verdict::MayHaveRun);
+    reply.context.verdict = reply.context.verdict.combine(Verdict::MayHaveRun);
     reply
 }
 
@@ -228,7 +228,7 @@
     if has_token || priority >= threshold {
         return Ok(());
     }
-    node.events.note(
+    node.events.record(
         &events::REFUSED,
         Some(root.context.request),
         vec![
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -15,8 +15,8 @@
 use smol::future::FutureExt;
 use sorrelturn_policy::InstanceReport;
 use sorrelturn_protocol::{
-    AnswerContext, AttemptId, CallContext, Fate, Refusal, Verdict,
-    headers::{ANSWER, CONTEXT, FATE},
+    AnswerContext, AttemptId, AttemptStatus, CallContext, Refusal, Verdict,
+    headers::{ANSWER, ATTEMPT_STATUS, CONTEXT},
 };
 use std::sync::Arc;
 
@@ -107,9 +107,9 @@
     mut res: Response<Incoming>,
     lease: PeerLease,
 ) -> Result<Reply, Failure> {
-    if let Some(fate) = res.headers().get(FATE) {
+    if let Some(fate) = res.headers().get(ATTEMPT_STATUS) {
         lease.give_back();
-        let never_came = Fate::decode(fate.as_bytes()) == Ok(Fate::NeverCame);
+        let never_came = AttemptStatus::decode(fate.as_bytes()) == Ok(AttemptStatus::NeverCame);
         return Err(match never_came {
             true => Failure::NeverCame,
             false => Failure::Broke,
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -99,16 +99,16 @@
         let Some(reply) = one_try(node, call, &mut progress, &kind_state).await else {
             break without_instance(node, call).await;
         };
-        progress.verdict = progress.verdict.and(reply.context.verdict);
+        progress.verdict = progress.verdict.combine(reply.context.verdict);
         if !goes_on(node, call, &mut progress, &kind_state, &reply) {
             break reply;
         }
     };
-    reply.context.verdict = reply.context.verdict.and(progress.verdict);
+    reply.context.verdict = reply.context.verdict.combine(progress.verdict);
     reply.context.attempts_left = progress.attempts_left;
     call.context.attempts = progress.attempts_left;
     let span = std::mem::replace(&mut call.context.parent, caused_by);
-    if node.spans.is_on() {
+    if node.spans.is_enabled() {
         node.spans
             .add(client_span(call, span, caused_by, start_ns, &reply));
     }
@@ -131,7 +131,7 @@
         return None;
     }
     let held_for = node.suspects.held_for(node.now(), call.context.names)?;
-    node.events.note(
+    node.events.record(
         &events::REFUSED,
         Some(call.context.request),
         vec![
@@ -190,7 +190,7 @@
     } else if call.context.token.is_none() {
         progress.tried.push(route.record.incarnation);
     }
-    node.events.note(
+    node.events.record(
         &events::HOP_FORWARDED,
         Some(call.context.request),
         vec![
@@ -252,7 +252,7 @@
             // Whoever asked has waited for long: its own time is over.
             self.kind_state.threshold.no_answer(now);
         }
-        self.node.events.note(
+        self.node.events.record(
             &events::CANCELLED,
             Some(self.request),
             vec![Field::new("to", &self.route.record.instance)],
@@ -323,7 +323,7 @@
     if answer.refusal == Some(Refusal::NoInstanceBelow) {
         kind_state.lacks_below(node.now());
     }
-    if answer.refusal.is_none_or(Refusal::tells_load) {
+    if answer.refusal.is_none_or(Refusal::indicates_service_load) {
         kind_state.threshold.observe(node.now(), answer.threshold);
     }
     call.in_force.heard_of_kind(kind_state, answer.is_call);
@@ -379,7 +379,7 @@
         Step::Retry if paid => &events::RETRIED,
         _ => &events::NOT_RETRIED,
     };
-    node.events.note(
+    node.events.record(
         kind,
         Some(call.context.request),
         vec![
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -234,7 +234,7 @@
         let trace = TraceContext {
             trace: self.context.trace,
             parent: self.span,
-            sampled: self.node.spans.is_on(),
+            sampled: self.node.spans.is_enabled(),
         };
         let service = self.in_force.bundle.service(&self.kind.service);
         let deadline_header = service.and_then(|service| service.deadline_header.as_deref());
@@ -359,7 +359,7 @@
                 Field::new("kind", &self.kind.name),
                 Field::new("calls", calls.join(",")),
             ];
-            self.node.events.note(&events::CALLS_LEARNT, None, fields);
+            self.node.events.record(&events::CALLS_LEARNT, None, fields);
         }
         let calls = graph.calls(&self.kind.name);
         self.in_force
@@ -446,11 +446,11 @@
     pub(crate) fn note(&self, kind: &'static EventKind, fields: Vec<Field>) {
         self.node
             .events
-            .note(kind, Some(self.context.request), fields);
+            .record(kind, Some(self.context.request), fields);
     }
 
     fn span(&self, failed: bool, status: u16) {
-        if !self.node.spans.is_on() {
+        if !self.node.spans.is_enabled() {
             return;
         }
         self.node.spans.add(Span {
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -190,7 +190,7 @@
     let (rank_of_kind, ranks) = asked.in_force.rank_of_root(asked.kind.importance());
     // A workspace that matters more goes before what its requests' kinds say among the others.
     let rank = rank_of_kind + asked.in_force.steps_above(asked.workspace.as_deref());
-    let mut bucket = asked.request.keep_bucket();
+    let mut bucket = asked.request.shedding_bucket();
     if asked.in_force.is_once_among_repeatable(&asked.kind) {
         bucket = bucket_of_once(bucket);
     }
@@ -200,7 +200,7 @@
     if !refuses(asked.level, rank, ranks, bucket) {
         return Ok(());
     }
-    node.events.note(
+    node.events.record(
         &events::REFUSED,
         Some(asked.request),
         vec![
@@ -317,7 +317,7 @@
         fields.push(Field::new("retry_after_ms", reply.context.retry_after_ms));
     }
     node.events
-        .note(&events::REQUEST_DONE, Some(request), fields);
+        .record(&events::REQUEST_DONE, Some(request), fields);
 }
 
 /// The answer to whoever asked. A refusal is a promise only if nothing ran.
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -38,7 +38,7 @@
     lock::Mutex as AsyncMutex,
 };
 use sorrelturn_bundle::{KeyError, TrustedKeys};
-use sorrelturn_fleet::{DomainView, Membership, Spread};
+use sorrelturn_fleet::{BundleTracker, DomainView, Membership};
 use sorrelturn_once::{Ledger, LedgerConfig};
 use sorrelturn_platform::Platform;
 use sorrelturn_policy::{Gate, GateConfig, Leaving, LeavingCause, Now};
@@ -357,7 +357,7 @@
         attempts: Mutex::default(),
         segment_versions: AsyncMutex::default(),
         membership: Mutex::new(Membership::default()),
-        spread: Mutex::new(Spread::default()),
+        spread: Mutex::new(BundleTracker::default()),
         view: Mutex::new(DomainView::default()),
         control_links: ControlLinks::default(),
         neighbours: Mutex::default(),
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 use sorrelturn_platform::{Expected, Object, keys};
-use sorrelturn_protocol::{CrashId, CrashNews, CrashReport};
+use sorrelturn_protocol::{CrashId, CrashReport, CrashUpdate};
 use sorrelturn_telemetry::{Field, events};
 use std::{sync::Arc, time::Duration};
 
@@ -56,7 +56,7 @@
         };
         pause = (pause * 2).min(AGAIN_AFTER_MOST);
     };
-    let mut news = CrashNews::default();
+    let mut news = CrashUpdate::default();
     for object in &objects {
         let Some(record) = read_one(&node, object) else {
             continue;
--- a/crates/sorrelturn-fleet/src/spread.rs
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -30,20 +30,20 @@
 
 /// The versions that one daemon knows of. What is in force only rises.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct BundleTracker {
     in_force: u64,
     fetching: Option<(Fetch, Now)>,
     waiting: Option<Fetch>,
 }
 
-impl Spread {
+impl BundleTracker {
     /// The version in force; 0 before the first.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
 
     /// Somebody has this version. Returns a fetch to start now.
-    pub fn heard(&mut self, now: Now, version: u64, source: Source) -> Option<Fetch> {
+    pub fn version_announced(&mut self, now: Now, version: u64, source: Source) -> Option<Fetch> {
         if version <= self.in_force {
             return None;
         }
@@ -70,7 +70,7 @@
     }
 
     /// A fetch is over, well or badly. Returns the next one to start, if one is due.
-    pub fn fetch_over(&mut self, now: Now, fetch: &Fetch) -> Option<Fetch> {
+    pub fn fetch_finished(&mut self, now: Now, fetch: &Fetch) -> Option<Fetch> {
         if self
             .fetching
             .as_ref()
@@ -79,7 +79,7 @@
             self.fetching = None;
         }
         let next = self.waiting.take()?;
-        self.heard(now, next.version, next.source)
+        self.version_announced(now, next.version, next.source)
     }
 
     fn start(&mut self, now: Now, fetch: Fetch) -> Fetch {
--- a/crates/sorrelturn-fleet/src/lib.rs
+++ b/crates/sorrelturn-fleet/src/lib.rs
@@ -1,18 +1,18 @@
 #![doc = include_str!("../README.md")]
 
+mod bundle_tracker;
 mod membership;
 mod messages;
 mod rank;
-mod spread;
 mod status;
 mod vm_list;
 
+pub use bundle_tracker::{BundleTracker, Fetch, PUSH_FAN_OUT, Source, push_targets};
 pub use membership::{Membership, MembershipDigest, bucket_of};
 pub use messages::{Digest, DigestReply, Report};
-pub use rank::{DEPUTIES, WATCHERS, predecessors, ranked, successors};
-pub use spread::{Fetch, PUSH_FAN_OUT, Source, Spread, push_targets};
-pub use status::{DomainStatus, DomainView, MemberStatus, longest_silence, report_pause};
-pub use vm_list::{VmAdvice, advise};
+pub use rank::{STANDBY_WATCHER_COUNT, WATCHER_COUNT, predecessors, ranked, successors};
+pub use status::{DomainStatus, DomainView, MemberStatus, report_interval, silence_timeout};
+pub use vm_list::{VmListDiff, diff_vm_list};
 
 /// A point in time: what has passed since the process started, the time included that its VM was suspended.
 pub type Now = std::time::Duration;
--- a/crates/sorrelturn-fleet/src/messages.rs
+++ b/crates/sorrelturn-fleet/src/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::MembershipDigest;
 use serde::{Deserialize, Serialize};
-use sorrelturn_protocol::{CrashNews, MemberRecord, MemberState};
+use sorrelturn_protocol::{CrashUpdate, MemberRecord, MemberState};
 
 /// One daemon's side of a periodic exchange.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
     /// The groups' sums, if the sum over all of them differs.
     pub members: Option<MembershipDigest>,
     /// What is known there of crashes, if their sum differs.
-    pub crashes: Option<CrashNews>,
+    pub crashes: Option<CrashUpdate>,
 }
 
 impl MembershipDigest {
--- a/crates/sorrelturn-fleet/src/rank.rs
+++ b/crates/sorrelturn-fleet/src/rank.rs
@@ -7,9 +7,9 @@
 use sorrelturn_protocol::MemberRecord;
 
 /// How many daemons of a failure domain watch the platform.
-pub const WATCHERS: usize = 2;
+pub const WATCHER_COUNT: usize = 2;
 /// How many daemons stand by: each asks those before it whether they are alive.
-pub const DEPUTIES: usize = 3;
+pub const STANDBY_WATCHER_COUNT: usize = 3;
 
 /// The members of a failure domain, the first in rank first.
 pub fn ranked<'a>(
@@ -32,7 +32,7 @@
     let position = ranked
         .iter()
         .position(|record| record.instance == own_instance)?;
-    (position < WATCHERS + DEPUTIES).then(|| &ranked[..position])
+    (position < WATCHER_COUNT + STANDBY_WATCHER_COUNT).then(|| &ranked[..position])
 }
 
 fn weight(record: &MemberRecord) -> u64 {
--- a/crates/sorrelturn-fleet/src/status.rs
+++ b/crates/sorrelturn-fleet/src/status.rs
@@ -17,14 +17,14 @@
 const PAUSES_OF_SILENCE: u32 = 3;
 
 /// How long a daemon with nothing to report waits, in a failure domain of this size.
-pub fn report_pause(members: usize) -> Duration {
+pub fn report_interval(members: usize) -> Duration {
     let share = Duration::from_secs_f64(members as f64 / MOST_REPORTS_PER_SECOND);
     LEAST_REPORT_PAUSE.max(share)
 }
 
 /// How long a member of a failure domain of this size may be silent.
-pub fn longest_silence(members: usize) -> Duration {
-    report_pause(members) * PAUSES_OF_SILENCE
+pub fn silence_timeout(members: usize) -> Duration {
+    report_interval(members) * PAUSES_OF_SILENCE
 }
 
 /// One member that is behind or silent.
@@ -76,7 +76,7 @@
     }
 
     /// Forgets members that the membership no longer has.
-    pub fn keep_only(&mut self, is_member: impl Fn(&str) -> bool) {
+    pub fn retain_members(&mut self, is_member: impl Fn(&str) -> bool) {
         self.reports.retain(|instance, _| is_member(instance));
     }
 
--- a/crates/sorrelturn-fleet/src/vm_list.rs
+++ b/crates/sorrelturn-fleet/src/vm_list.rs
@@ -9,7 +9,7 @@
 
 /// What a watcher does after reading the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct VmAdvice {
+pub struct VmListDiff {
     /// Instances to be told that they are listed as leaving.
     pub leaving: Vec<String>,
     /// Instances to be told that they are listed as live, though they think that they leave.
@@ -17,18 +17,18 @@
     /// Instances that are not listed: they have gone if they don't answer either.
     pub unlisted: Vec<String>,
     /// Services for which the list was not believed.
-    pub not_believed: Vec<String>,
+    pub rejected_services: Vec<String>,
 }
 
 /// Compares the list with the members of one failure domain.
 ///
 /// `listed` gives the instances of the list and whether each is leaving.
-pub fn advise(
+pub fn diff_vm_list(
     membership: &Membership,
     failure_domain: &str,
     listed: &BTreeMap<&str, bool>,
-) -> VmAdvice {
-    let mut advice = VmAdvice::default();
+) -> VmListDiff {
+    let mut advice = VmListDiff::default();
     let services: BTreeSet<&str> = membership.services().collect();
     for service in services {
         let members: Vec<&MemberRecord> = membership
@@ -40,7 +40,7 @@
             .filter(|record| listed.get(record.instance.as_str()) != Some(&false))
             .count();
         if taken * 100 > members.len() * MOST_TAKEN_PERCENT {
-            advice.not_believed.push(service.to_owned());
+            advice.rejected_services.push(service.to_owned());
             continue;
         }
         let own = members
@@ -53,7 +53,7 @@
     advice
 }
 
-fn add(advice: &mut VmAdvice, record: &MemberRecord, listed: Option<&bool>) {
+fn add(advice: &mut VmListDiff, record: &MemberRecord, listed: Option<&bool>) {
     let list = match (listed, record.state) {
         (Some(true), MemberState::Live) => &mut advice.leaving,
         (Some(false), MemberState::Leaving) => &mut advice.staying,
--- a/crates/sorrelturn-fleet/tests/membership.rs
+++ b/crates/sorrelturn-fleet/tests/membership.rs
@@ -52,7 +52,7 @@
         .collect();
     let without: Vec<MemberRecord> = known
         .present()
-        .filter(|record| !ranked_before[..WATCHERS].contains(&record.instance))
+        .filter(|record| !ranked_before[..WATCHER_COUNT].contains(&record.instance))
         .cloned()
         .collect();
     let known = membership(without);
@@ -60,7 +60,7 @@
         .iter()
         .map(|r| r.instance.clone())
         .collect();
-    assert_eq!(ranked_after, ranked_before[WATCHERS..]);
+    assert_eq!(ranked_after, ranked_before[WATCHER_COUNT..]);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let ranked = ranked(known.present(), "d0");
     for (position, record) in ranked.iter().enumerate() {
         let before = predecessors(&ranked, &record.instance).map(<[_]>::len);
-        let stands_by = position < WATCHERS + DEPUTIES;
+        let stands_by = position < WATCHER_COUNT + STANDBY_WATCHER_COUNT;
         assert_eq!(before, stands_by.then_some(position));
     }
 }
@@ -83,13 +83,16 @@
     for (number, name) in names.iter().enumerate() {
         listed.insert(name, matches!(number, 0 | 3 | 6 | 1));
     }
-    let advice = advise(&known, "d0", &listed);
-    assert_eq!(advice.not_believed, ["s0"]);
+    let advice = diff_vm_list(&known, "d0", &listed);
+    assert_eq!(advice.rejected_services, ["s0"]);
     assert!(advice.leaving.is_empty(), "i1 is in d1: {advice:?}");
-    let advice = advise(&known, "d1", &listed);
+    let advice = diff_vm_list(&known, "d1", &listed);
     assert_eq!(advice.leaving, ["i1"]);
-    let empty = advise(&known, "d0", &BTreeMap::new());
-    assert_eq!((empty.unlisted.len(), empty.not_believed.len()), (0, 3));
+    let empty = diff_vm_list(&known, "d0", &BTreeMap::new());
+    assert_eq!(
+        (empty.unlisted.len(), empty.rejected_services.len()),
+        (0, 3)
+    );
 }
 
 #[test]
@@ -111,21 +114,27 @@
 
 #[test]
 fn a_version_only_rises_and_a_second_source_is_tried() {
-    let mut spread = Spread::default();
+    let mut spread = BundleTracker::default();
     let peer = |name: &str| Source::Peer(name.to_owned());
-    let first = spread.heard(NOW, 5, peer("a")).expect("a fetch");
-    assert_eq!(spread.heard(NOW, 5, peer("b")), None);
+    let first = spread
+        .version_announced(NOW, 5, peer("a"))
+        .expect("a fetch");
+    assert_eq!(spread.version_announced(NOW, 5, peer("b")), None);
     // The first source fails; the second one is asked.
-    let second = spread.fetch_over(NOW, &first).expect("another fetch");
+    let second = spread.fetch_finished(NOW, &first).expect("another fetch");
     assert_eq!(second.source, peer("b"));
     assert!(spread.put_in_force(5));
     assert!(!spread.put_in_force(4) && !spread.put_in_force(5));
-    assert_eq!(spread.fetch_over(NOW, &second), None);
-    assert_eq!(spread.heard(NOW, 5, peer("c")), None);
+    assert_eq!(spread.fetch_finished(NOW, &second), None);
+    assert_eq!(spread.version_announced(NOW, 5, peer("c")), None);
     assert_eq!(spread.in_force(), 5);
     // A source that never answers doesn't block the next one for ever.
-    assert!(spread.heard(NOW, 6, peer("d")).is_some());
-    assert!(spread.heard(Duration::from_secs(3), 6, peer("e")).is_some());
+    assert!(spread.version_announced(NOW, 6, peer("d")).is_some());
+    assert!(
+        spread
+            .version_announced(Duration::from_secs(3), 6, peer("e"))
+            .is_some()
+    );
 }
 
 /// News spread by push and by exchanges among daemons that never lose what they know.
--- a/crates/sorrelturn-fleet/tests/status.rs
+++ b/crates/sorrelturn-fleet/tests/status.rs
@@ -15,9 +15,9 @@
 
 #[test]
 fn however_large_a_failure_domain_its_watcher_hears_two_idle_reports_a_second_at_the_most() {
-    assert_eq!(report_pause(3), Duration::from_secs(20));
+    assert_eq!(report_interval(3), Duration::from_secs(20));
     for members in [40, 135, 2_700] {
-        let heard = members as f64 / report_pause(members).as_secs_f64();
+        let heard = members as f64 / report_interval(members).as_secs_f64();
         assert!(heard <= 2.001, "{heard} a second of {members}");
     }
 }
@@ -27,10 +27,10 @@
     for members in [3, 135] {
         let mut view = DomainView::default();
         // A daemon looks every few seconds whether it should report.
-        let late = report_pause(members) + Duration::from_secs(7);
+        let late = report_interval(members) + Duration::from_secs(7);
         view.report(Duration::ZERO, report("a", 2));
         view.report(late, report("b", 1));
-        let silence = longest_silence(members);
+        let silence = silence_timeout(members);
         let status = |now| view.status(now, silence, "d", "w", 0);
         assert_eq!(status(late).silent, 0);
         assert_eq!(status(late).behind.len(), 1);
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Which attempts an owner works on and has lately ended, so that whoever misses an answer can ask.
 //! See `docs/design/silent-connections.md`.
 
-use sorrelturn_protocol::{AttemptId, Fate};
+use sorrelturn_protocol::{AttemptId, AttemptStatus};
 use std::{
     collections::{HashMap, VecDeque},
     time::Duration,
@@ -84,20 +84,20 @@
     }
 
     /// What became of an attempt that its sender sent so long ago. One that never came is fenced off.
-    pub fn fate(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
+    pub fn fate(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> AttemptStatus {
         self.forget(now);
         if self.at_work.contains_key(&attempt) {
-            return Fate::AtWork;
+            return AttemptStatus::AtWork;
         }
         let sent = now.checked_sub(sent_ago + QUESTION_TRAVELS);
         let may_be_forgotten = self
             .forgotten_until
             .is_some_and(|until| sent.is_none_or(|sent| until >= sent));
         if may_be_forgotten || self.ended.contains(attempt) {
-            return Fate::Over;
+            return AttemptStatus::Over;
         }
         self.fenced.put(now, attempt);
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     }
 
     /// Each attempt brings one, so two a time keep up with them.
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use sorrelturn_once::AttemptRegister;
-use sorrelturn_protocol::{AttemptId, Fate, RequestId, SpanId};
+use sorrelturn_protocol::{AttemptId, AttemptStatus, RequestId, SpanId};
 use std::{collections::HashMap, time::Duration};
 
 fn attempt(number: u64) -> AttemptId {
@@ -22,7 +22,7 @@
     let mut register = AttemptRegister::default();
     assert_eq!(
         register.fate(at(1_000), attempt(1), at(500)),
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     );
     assert!(!register.begin(at(1_200), attempt(1)));
     assert!(register.begin(at(1_200), attempt(2)));
@@ -34,10 +34,13 @@
     assert!(register.begin(at(1_000), attempt(1)));
     assert_eq!(
         register.fate(at(2_000), attempt(1), at(1_000)),
-        Fate::AtWork
+        AttemptStatus::AtWork
     );
     register.end(at(2_100), attempt(1));
-    assert_eq!(register.fate(at(2_200), attempt(1), at(1_200)), Fate::Over);
+    assert_eq!(
+        register.fate(at(2_200), attempt(1), at(1_200)),
+        AttemptStatus::Over
+    );
 }
 
 #[test]
@@ -46,7 +49,10 @@
     assert!(register.begin(at(0), attempt(1)));
     assert!(register.begin(at(10), attempt(1)));
     register.end(at(20), attempt(1));
-    assert_eq!(register.fate(at(30), attempt(1), at(30)), Fate::AtWork);
+    assert_eq!(
+        register.fate(at(30), attempt(1), at(30)),
+        AttemptStatus::AtWork
+    );
 }
 
 #[test]
@@ -59,12 +65,12 @@
     }
     assert_eq!(
         register.fate(at(20_000), attempt(1), at(20_000)),
-        Fate::Over
+        AttemptStatus::Over
     );
     // What was sent after all that is forgotten had ended is known for sure.
     assert_eq!(
         register.fate(at(20_000), attempt(99), at(600)),
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     );
 }
 
@@ -75,7 +81,7 @@
     let mut register = AttemptRegister::default();
     for ms in [0, 30_000] {
         let fate = register.fate(at(ms), attempt(1), at(ms));
-        assert_eq!(fate, Fate::NeverCame);
+        assert_eq!(fate, AttemptStatus::NeverCame);
     }
     assert!(register.begin(at(61_000), attempt(2)));
     assert!(!register.begin(at(89_000), attempt(1)));
@@ -130,7 +136,7 @@
                 Step::Asks(number) => {
                     // All were sent when the play began.
                     let fate = register.fate(now, attempt(number), now);
-                    if fate == Fate::NeverCame {
+                    if fate == AttemptStatus::NeverCame {
                         prop_assert!(!ran.contains_key(&number), "{number} had run");
                         fenced.insert(number, now);
                     }
--- a/crates/sorrelturn-policy/src/quarantine.rs
+++ b/crates/sorrelturn-policy/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Which requests crash the backend servers that run them. See `docs/design/quarantine.md`.
 
 use crate::Now;
-use sorrelturn_protocol::{Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint};
+use sorrelturn_protocol::{ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint};
 use std::{
     collections::{HashMap, VecDeque, hash_map::Entry},
     time::Duration,
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Learnt {
     /// What of it was unknown here, which others have to hear.
-    pub unknown: CrashNews,
+    pub unknown: CrashUpdate,
     /// The requests that are held from now on.
     pub held: Vec<RequestFingerprint>,
 }
@@ -66,9 +66,9 @@
     }
 
     /// Takes what somebody learnt.
-    pub fn hear(&mut self, now: Now, news: &CrashNews) -> Learnt {
+    pub fn hear(&mut self, now: Now, news: &CrashUpdate) -> Learnt {
         self.forget_old(now);
-        let mut unknown = CrashNews::default();
+        let mut unknown = CrashUpdate::default();
         let mut held = Vec::new();
         for cleared in &news.cleared {
             let age = Duration::from_millis(cleared.age_ms);
@@ -147,17 +147,17 @@
     }
 
     /// All that is known, for a daemon that knows something else.
-    pub fn news(&self, now: Now) -> CrashNews {
+    pub fn news(&self, now: Now) -> CrashUpdate {
         let crashes = self.crashes.iter().map(|crash| CrashReport {
             id: crash.id,
             age_ms: now.saturating_sub(crash.at).as_millis() as u64,
             running: crash.running.clone(),
         });
-        let cleared = self.cleared.iter().map(|(request, at)| Cleared {
+        let cleared = self.cleared.iter().map(|(request, at)| ClearedRequest {
             request: *request,
             age_ms: now.saturating_sub(*at).as_millis() as u64,
         });
-        CrashNews {
+        CrashUpdate {
             crashes: crashes.collect(),
             cleared: cleared.collect(),
         }
--- a/crates/sorrelturn-policy/src/retry.rs
+++ b/crates/sorrelturn-policy/src/retry.rs
@@ -75,7 +75,7 @@
         Refusal::Overload => MAX_OVERLOAD_REROUTES,
         _ => MAX_REROUTES,
     };
-    refusal.elsewhere_may_differ() && attempt.reroutes < most
+    refusal.is_retryable_elsewhere() && attempt.reroutes < most
 }
 
 fn may_retry(attempt: &Attempt) -> bool {
--- a/crates/sorrelturn-policy/tests/quarantine.rs
+++ b/crates/sorrelturn-policy/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use sorrelturn_policy::{Now, Quarantine};
-use sorrelturn_protocol::{Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint};
+use sorrelturn_protocol::{ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint};
 use std::time::Duration;
 
 /// Much less than what was learnt is kept for.
@@ -14,29 +14,29 @@
     RequestFingerprint(number)
 }
 
-fn crash(id: u64, age_ms: u64, running: &[u64]) -> CrashNews {
+fn crash(id: u64, age_ms: u64, running: &[u64]) -> CrashUpdate {
     let report = CrashReport {
         id: CrashId(id),
         age_ms,
         running: running.iter().copied().map(request).collect(),
     };
-    CrashNews {
+    CrashUpdate {
         crashes: vec![report],
         cleared: Vec::new(),
     }
 }
 
-fn cleared(number: u64) -> CrashNews {
-    CrashNews {
+fn cleared(number: u64) -> CrashUpdate {
+    CrashUpdate {
         crashes: Vec::new(),
-        cleared: vec![Cleared {
+        cleared: vec![ClearedRequest {
             request: request(number),
             age_ms: 0,
         }],
     }
 }
 
-fn after(news: &[CrashNews]) -> Quarantine {
+fn after(news: &[CrashUpdate]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for news in news {
         quarantine.hear(NOW, news);
@@ -103,7 +103,7 @@
     assert!(quarantine.hear(NOW, &crash(4, 0, &[7])).held.is_empty());
     let crashes = quarantine.proof(NOW, &held);
     assert!(crashes.iter().all(|crash| crash.id != CrashId(3)));
-    let proof = CrashNews {
+    let proof = CrashUpdate {
         crashes,
         cleared: Vec::new(),
     };
@@ -124,7 +124,7 @@
     quarantine.hear(NOW, &crash(3, 10_000, &[7]));
     let left = quarantine.held_for(NOW, request(7));
     assert_eq!(left, Some(Duration::from_secs(560)));
-    quarantine.hear(MUCH_LATER, &CrashNews::default());
+    quarantine.hear(MUCH_LATER, &CrashUpdate::default());
     assert_eq!(quarantine.held_for(MUCH_LATER, request(7)), None);
     assert!(quarantine.is_empty());
 }
@@ -171,7 +171,7 @@
     assert!(quarantine.holds(request(9_999 * 50)));
 }
 
-fn any_news() -> impl Strategy<Value = Vec<CrashNews>> {
+fn any_news() -> impl Strategy<Value = Vec<CrashUpdate>> {
     let crash = (0u64..6, prop::collection::vec(0u64..8, 0..5))
         .prop_map(|(id, running)| crash(id, 0, &running));
     let one = prop_oneof![4 => crash, 1 => (0u64..8).prop_map(cleared)];
--- a/crates/sorrelturn-protocol/src/backend.rs
+++ b/crates/sorrelturn-protocol/src/backend.rs
@@ -1,30 +1,30 @@
-//! What backend servers say about themselves.
+//! Announcements in which backend servers report their state.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a backend server takes work.
+/// Whether a backend server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BackendState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes requests in progress and accepts no new ones.
     Draining,
-    /// It is about to end.
+    /// It is about to exit.
     Gone,
 }
 
-/// What a backend server says about itself.
+/// The state of a backend server, as it announces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The name of the backend server; a restart may keep it.
+    /// The id of the backend server; it may stay the same over restarts.
     pub id: String,
-    /// When this run started, in milliseconds since the Unix epoch by its own clock: with the id, it names the run.
-    /// Absent where backend servers don't tell it; then each run has an id of its own.
+    /// The start time of the backend server, in milliseconds since the Unix epoch by its own clock. Together with `id`
+    /// it identifies an incarnation. If absent, each incarnation must have its own `id`.
     #[serde(default)]
     pub born: Option<u64>,
-    /// Whether it takes work.
+    /// Whether the backend server accepts requests.
     pub state: BackendState,
-    /// Rises with each announcement of a run; a lower one was sent earlier and came late.
+    /// Increases with each announcement of an incarnation; an announcement with a lower number is stale.
     pub sequence: u64,
 }
--- a/crates/sorrelturn-protocol/src/context.rs
+++ b/crates/sorrelturn-protocol/src/context.rs
@@ -1,4 +1,4 @@
-//! What daemons tell one another about a call and its answer, each in one header.
+//! Metadata of a call and of its answer, which daemons exchange in one header each.
 
 use crate::{
     CallerId, ExecutionToken, Importance, Incarnation, Priority, Refusal, RequestId, RequestNames,
@@ -8,82 +8,83 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// What one daemon tells the next about a call that it forwards.
+/// The metadata that a daemon sends along with a call that it forwards.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
     /// The root request.
     pub request: RequestId,
     /// The W3C trace id.
     pub trace: u128,
-    /// The hop that forwards; the parent of the next hop's span.
+    /// The span of the forwarding hop, which is the parent of the next hop's span.
     pub parent: SpanId,
-    /// The kind of request, by its name in the bundle.
+    /// The name of the request kind in the bundle.
     pub kind: String,
-    /// The service that is to answer it: an address may have passed to another one.
+    /// The target service. The receiver checks it because an address may since belong to another service.
     pub service: String,
     /// The importance of the root request.
     pub importance: Importance,
-    /// How many backend servers stand above this call; 0 for the root request.
+    /// The number of backend servers between the root request and this call; 0 for the root request.
     pub depth: u8,
-    /// The time left before the deadline, in milliseconds, when the call was sent.
+    /// The time until the deadline when the call was sent, in milliseconds.
     pub deadline_ms: u32,
-    /// How many executions this call and everything under it may cost.
+    /// The maximum number of executions of this call and of all calls nested in it.
     pub attempts: u32,
-    /// The token of a call that runs at most once.
+    /// The execution token, for a call that runs at most once.
     pub token: Option<ExecutionToken>,
-    /// Who asked for the root request.
+    /// The caller of the root request.
     pub caller: CallerId,
-    /// The level at which its root was admitted; of a call, the mean of those whose it may be.
+    /// The shedding level at which the root request was admitted. If a nested call can't be attributed to a single
+    /// root request, the mean of the candidates' levels.
     pub level: u16,
-    /// Whether it may have run before, so that its calls are repeats.
+    /// Whether the request may have run before, so that its nested calls may be repeats.
     pub repeated: bool,
-    /// What it asks for.
+    /// The fingerprints of the request, which identify it to the quarantine.
     pub names: RequestNames,
 }
 
 impl CallContext {
-    /// The root request's place in the shedding order, the same at every hop.
+    /// Returns the root request's priority in the shedding order, which is the same at every hop.
     pub fn priority(&self) -> Priority {
-        Priority::new(self.importance, self.request.keep_bucket())
+        Priority::new(self.importance, self.request.shedding_bucket())
     }
 }
 
-/// What the owner daemon tells the daemon that forwarded a call.
+/// The metadata that the owner daemon returns to the daemon that forwarded a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerContext {
     /// Whether the call may have run.
     pub verdict: Verdict,
-    /// Why it was refused, if it was.
+    /// The reason for a refusal, if the call was refused.
     pub refusal: Option<Refusal>,
-    /// When to come back, in milliseconds; 0 where the answer is no refusal.
+    /// The delay before a retry, in milliseconds; 0 if the call was not refused.
     pub retry_after_ms: u32,
-    /// The executions of the share that were not used.
+    /// The executions of the call's budget that were not used.
     pub attempts_left: u32,
-    /// Whether the failure lies deeper and was retried there already.
+    /// Whether the failure occurred in a nested call and was already retried there.
     pub already_retried: bool,
-    /// Requests below this priority are shed somewhere in the subtree.
+    /// Requests below this priority are shed by the owner or by a service that it calls.
     pub threshold: Priority,
-    /// Calls in flight and queued, in percent of the limit.
+    /// Calls in flight and queued, in percent of the concurrency limit.
     pub load: u16,
     /// The version of the bundle in force at the owner.
     pub bundle_version: u64,
-    /// How old the owner's knowledge is that no higher version exists, in milliseconds; absent where nothing
-    /// hangs on it.
+    /// The staleness of the owner's configuration: the age of its last confirmation that no higher bundle version
+    /// exists, in milliseconds. Absent where it is irrelevant.
     pub knowledge_age_ms: Option<u32>,
-    /// The owner's incarnation, by which a restart is noticed.
+    /// The owner's incarnation, which reveals a restart.
     pub incarnation: Incarnation,
-    /// Whether the owner is leaving.
+    /// Whether the owner is leaving the fleet.
     pub leaving: bool,
-    /// Whether requests of this kind are calls of backend servers, as the owner learnt.
+    /// Whether the owner has learned that requests of this kind are calls of backend servers.
     pub is_call: bool,
 }
 
-/// Why a context header can't be read.
+/// The error of decoding a context header.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum HeaderError {
-    /// the header is not base64url
+    /// the header is not valid base64url
     Encoding,
-    /// the header holds no context of this version
+    /// the header content can't be decoded by this version
     Content,
 }
 
@@ -102,24 +103,24 @@
 }
 
 impl CallContext {
-    /// The header's value.
+    /// Encodes this value as a header value.
     pub fn encode(&self) -> String {
         encode(self)
     }
 
-    /// Reads a header's value.
+    /// Decodes a header value.
     pub fn decode(text: &[u8]) -> Result<Self, HeaderError> {
         decode(text)
     }
 }
 
 impl AnswerContext {
-    /// The header's value.
+    /// Encodes this value as a header value.
     pub fn encode(&self) -> String {
         encode(self)
     }
 
-    /// Reads a header's value.
+    /// Decodes a header value.
     pub fn decode(text: &[u8]) -> Result<Self, HeaderError> {
         decode(text)
     }
--- a/crates/sorrelturn-protocol/src/crash.rs
+++ b/crates/sorrelturn-protocol/src/crash.rs
@@ -1,12 +1,11 @@
-//! What daemons tell one another about backend servers that crashed. See `docs/design/quarantine.md`.
+//! Messages between daemons about crashed backend servers. See `docs/design/quarantine.md`.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Names what a request asks for: the same whoever carries it, at whichever VM, under whichever request id.
+/// Identifies the content of a request, independent of its request id and of the VM that handles it.
 ///
-/// The leading 64 bits of a hash; at a million different requests, two of them share one with a chance of 1 in 37
-/// million.
+/// The value holds the leading 64 bits of a hash.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -18,60 +17,60 @@
     }
 }
 
-/// The names of one request.
+/// The fingerprints of one request.
 ///
-/// What makes a backend server crash may lie in the path, with a query that differs each time, or in the query of a path
-/// that everybody asks for. Each name is judged by itself.
+/// The cause of a crash may be the path, whatever the query, or one particular query of a common path. Each
+/// fingerprint is therefore assessed on its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestNames {
-    /// By method, host, path, caller and body.
+    /// The fingerprint of method, host, path, caller and body.
     pub path: RequestFingerprint,
-    /// By the query as well, where there is one.
+    /// The fingerprint that also covers the query, if there is one.
     pub with_query: Option<RequestFingerprint>,
 }
 
 impl RequestNames {
-    /// Each of them.
-    pub fn each(self) -> impl Iterator<Item = RequestFingerprint> {
+    /// Iterates over the fingerprints.
+    pub fn iter(self) -> impl Iterator<Item = RequestFingerprint> {
         [Some(self.path), self.with_query].into_iter().flatten()
     }
 }
 
-/// Names one crash of one backend server; drawn at random by the daemon beside it.
+/// Identifies one crash of one backend server. The daemon on the same VM chooses the id at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId(pub u64);
 
-/// A backend server crashed while it ran these requests.
+/// Reports that a backend server crashed while it ran the listed requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Which crash.
+    /// The crash.
     pub id: CrashId,
-    /// How long ago, in milliseconds; steady clocks differ, so each daemon tells it anew.
+    /// The age of the crash in milliseconds. It is recomputed at each hop because monotonic clocks differ between VMs.
     pub age_ms: u64,
-    /// What was at work and has no answer.
+    /// The requests in progress at the time of the crash.
     pub running: Vec<RequestFingerprint>,
 }
 
-/// A request ran to its end somewhere, and so isn't the cause of a crash.
+/// A request that completed on some backend server and is therefore not the cause of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cleared {
-    /// One of its names.
+pub struct ClearedRequest {
+    /// One fingerprint of the request.
     pub request: RequestFingerprint,
-    /// How long ago that was noticed, in milliseconds.
+    /// The time since the completion was observed, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a daemon knows of requests that may crash backend servers.
+/// Crashes and cleared requests, which daemons exchange to find requests that crash backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
-    /// The crashes.
+pub struct CrashUpdate {
+    /// The reported crashes.
     pub crashes: Vec<CrashReport>,
-    /// Requests that are not the cause.
-    pub cleared: Vec<Cleared>,
+    /// Requests that are not the cause of a crash.
+    pub cleared: Vec<ClearedRequest>,
 }
 
-impl CrashNews {
-    /// Whether it says nothing.
+impl CrashUpdate {
+    /// Returns whether the update has no content.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty()
     }
--- a/crates/sorrelturn-protocol/src/ids.rs
+++ b/crates/sorrelturn-protocol/src/ids.rs
@@ -1,24 +1,24 @@
 //! Identifiers of requests, processes, spans and callers.
 //!
-//! Each is a newtype, so that a span can't be passed where a request is meant.
+//! Each is a newtype, so that ids of different kinds can't be confused.
 
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Identifies one root request over all its hops. The entry daemon draws it at random.
+/// Identifies one root request over all its hops. The entry daemon generates it at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
 impl RequestId {
-    /// Draws a fresh id; 122 random bits and more make a collision within a fleet's life negligible.
+    /// Generates a random id; collisions are negligible.
     pub fn random(rng: &mut fastrand::Rng) -> Self {
         Self(rng.u128(1..))
     }
 
-    /// The bucket (0 to 255) that decides which requests of one importance are kept.
+    /// Returns the bucket (0 to 255) that orders requests of one importance for load shedding; lower buckets are shed first.
     ///
-    /// Every hop derives the same bucket from the same id, so all hops keep the same requests.
-    pub fn keep_bucket(self) -> u8 {
+    /// Every hop derives the same bucket from the same id, so all hops shed the same requests.
+    pub fn shedding_bucket(self) -> u8 {
         let folded = (self.0 >> 64) as u64 ^ self.0 as u64;
         (folded.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 56) as u8
     }
@@ -38,7 +38,7 @@
     }
 }
 
-/// Identifies one run of one daemon process; drawn at random at each start and never reused.
+/// Identifies one incarnation of a daemon process. It is generated at random at each start and never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -58,14 +58,14 @@
     }
 }
 
-/// Identifies one hop of one request; goes out as the parent id of W3C `traceparent`.
+/// Identifies one hop of one request; it is sent as the parent id in the W3C `traceparent` header.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct SpanId(pub u64);
 
 impl SpanId {
-    /// Draws a fresh id; zero is excluded because W3C Trace Context reserves it.
+    /// Generates a random id; zero is excluded because W3C Trace Context reserves it.
     pub fn random(rng: &mut fastrand::Rng) -> Self {
         Self(rng.u64(1..))
     }
@@ -77,9 +77,9 @@
     }
 }
 
-/// Identifies a caller: the leading 64 bits of the hash of its name in the bundle.
+/// Identifies a caller by the leading 64 bits of the hash of its name in the bundle.
 ///
-/// Recorded outcomes are bound to it, so that nobody reads another caller's answer.
+/// Recorded outcomes are bound to it, so that no caller can read another caller's answer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/sorrelturn-protocol/src/importance.rs
+++ b/crates/sorrelturn-protocol/src/importance.rs
@@ -1,4 +1,4 @@
-//! How much a request matters, and the total order in which requests are shed.
+//! The importance of requests, and the total order in which they are shed.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -9,27 +9,27 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Importance {
-    /// Work that nobody waits for; shed first.
+    /// Work that nobody is waiting for; shed first.
     #[default]
     Background,
-    /// Work that a caller can ask for again without harm.
+    /// Work that a caller can safely retry.
     Normal,
-    /// Work that somebody waits for and that is costly to lose.
+    /// Work that somebody is waiting for and that is costly to lose.
     High,
     /// Certifications, bookings, payments and shutoff orders; shed last.
     Critical,
 }
 
 impl Importance {
-    /// All levels, lowest first.
+    /// All importances, lowest first.
     pub const ALL: [Self; 4] = [Self::Background, Self::Normal, Self::High, Self::Critical];
 
-    /// The position in the shedding order; 0 is shed first.
+    /// Returns the position in the shedding order; 0 is shed first.
     pub fn rank(self) -> u8 {
         self as u8
     }
 
-    /// The name that bundles and metrics use.
+    /// Returns the name in bundles and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Background => "background",
@@ -46,26 +46,26 @@
     }
 }
 
-/// A request's place in the shedding order: importance first, then the keep bucket of its id.
+/// A request's position in the shedding order: its importance, then the shedding bucket of its id.
 ///
-/// The same type serves as a threshold: a request passes when its priority is not below it.
+/// The type also serves as a threshold: a request is admitted if its priority is not below the threshold.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Priority(pub u16);
 
 impl Priority {
-    /// The threshold that lets everything pass.
+    /// The threshold that admits every request.
     pub const LOWEST: Self = Self(0);
-    /// The highest priority there is; as a threshold it still lets one bucket of critical pass.
+    /// The highest priority; as a threshold it admits only the highest bucket of critical requests.
     pub const HIGHEST: Self = Self(0x3FF);
 
-    /// Combines an importance with a request's keep bucket.
-    pub fn new(importance: Importance, keep_bucket: u8) -> Self {
-        Self(u16::from(importance.rank()) << 8 | u16::from(keep_bucket))
+    /// Combines an importance with a request's shedding bucket.
+    pub fn new(importance: Importance, shedding_bucket: u8) -> Self {
+        Self(u16::from(importance.rank()) << 8 | u16::from(shedding_bucket))
     }
 
-    /// The importance that this priority was made from.
+    /// Returns the importance part of this priority.
     pub fn importance(self) -> Importance {
         Importance::ALL[usize::from(self.0 >> 8).min(Importance::ALL.len() - 1)]
     }
--- a/crates/sorrelturn-protocol/src/lib.rs
+++ b/crates/sorrelturn-protocol/src/lib.rs
@@ -1,9 +1,9 @@
 #![doc = include_str!("../README.md")]
 
+mod attempt_status;
 mod backend;
 mod context;
 mod crash;
-mod fate;
 pub mod headers;
 mod ids;
 mod importance;
@@ -12,10 +12,12 @@
 mod token;
 mod verdict;
 
+pub use attempt_status::{AttemptId, AttemptStatus, AttemptStatusQuery};
 pub use backend::{Announcement, BackendState};
 pub use context::{AnswerContext, CallContext, HeaderError};
-pub use crash::{Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint, RequestNames};
-pub use fate::{AttemptId, Fate, FateQuestion};
+pub use crash::{
+    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestNames,
+};
 pub use ids::{CallerId, Incarnation, RequestId, SpanId};
 pub use importance::{Importance, Priority};
 pub use member::{MemberRecord, MemberState};
--- a/crates/sorrelturn-protocol/src/member.rs
+++ b/crates/sorrelturn-protocol/src/member.rs
@@ -1,55 +1,55 @@
-//! What the fleet knows of one daemon.
+//! The membership record of a daemon.
 
 use crate::{Announcement, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a daemon takes new calls.
+/// Whether a daemon accepts new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It takes new calls.
+    /// It accepts new calls.
     Live,
-    /// It finishes what it has and takes no new calls.
+    /// It finishes calls in progress and accepts no new ones.
     Leaving,
-    /// It has stopped; kept for a while so that stale news of it is recognised.
+    /// It has stopped. The record is retained for a while to detect stale updates.
     Gone,
 }
 
-/// One daemon, as it describes itself and as peers pass it on.
+/// The record of one daemon, which it publishes itself and which peers relay.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The instance's name; stays the same over restarts.
+    /// The name of the instance, which stays the same over restarts.
     pub instance: String,
-    /// The service that its backend server belongs to.
+    /// The service of the backend server on this VM.
     pub service: String,
     /// The failure domain of its VM.
     pub failure_domain: String,
-    /// The run of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// When the process started, in milliseconds since the Unix epoch; orders incarnations.
+    /// The start time of the process, in milliseconds since the Unix epoch; it orders incarnations.
     pub started_ms: u64,
-    /// Rises with each change of state within an incarnation.
+    /// Increases with each change of state within an incarnation.
     pub sequence: u32,
-    /// Whether it takes new calls.
+    /// Whether the daemon accepts new calls.
     pub state: MemberState,
-    /// Where peers forward calls.
+    /// The address to which peers forward calls.
     pub peer_addr: SocketAddr,
-    /// Where peers send control messages.
+    /// The address to which peers send control messages.
     pub control_addr: SocketAddr,
-    /// The backend server beside it, where backend servers announce themselves: what the daemon
-    /// acknowledged, for its next run to know.
+    /// The last announcement of the backend server that the daemon acknowledged, from which its next incarnation
+    /// resumes. Absent if backend servers don't announce themselves.
     #[serde(default)]
     pub backend: Option<Announcement>,
 }
 
 impl MemberRecord {
-    /// Whether this record is newer than `other` of the same instance.
+    /// Returns whether this record is newer than `other`, a record of the same instance.
     pub fn supersedes(&self, other: &Self) -> bool {
-        self.age_key() > other.age_key()
+        self.recency_key() > other.recency_key()
     }
 
-    fn age_key(&self) -> (u64, Incarnation, u32, MemberState) {
+    fn recency_key(&self) -> (u64, Incarnation, u32, MemberState) {
         (self.started_ms, self.incarnation, self.sequence, self.state)
     }
 }
--- a/crates/sorrelturn-protocol/src/refusal.rs
+++ b/crates/sorrelturn-protocol/src/refusal.rs
@@ -1,9 +1,9 @@
-//! Why a request was not answered by a backend server.
+//! The reasons why a request was not answered by a backend server.
 
 use displaydoc::Display;
 use serde::{Deserialize, Serialize};
 
-/// The reason for a refusal; its text reaches the caller and the log.
+/// The reason for a refusal. Its text is sent to the caller and logged.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
     /// the service is overloaded and sheds requests of this priority
@@ -12,25 +12,25 @@
     Deadline,
     /// the instance is leaving
     Leaving,
-    /// the daemon that was asked belongs to another service
+    /// the daemon that received the call belongs to another service
     OtherService,
-    /// no bundle is in force here yet
+    /// no bundle is in force on this daemon yet
     NoBundle,
     /// no instance of the service can be reached
     NoInstance,
-    /// the attempts of the whole request are used up
+    /// the request has used up its attempts
     AttemptsSpent,
-    /// the caller retries or asks more often than its allowance
+    /// the caller exceeded its request rate or its retry allowance
     CallerRate,
     /// no kind of request matches this method and path
     UnknownKind,
     /// the caller is not known
     UnknownCaller,
-    /// what is known here of credentials may be too old
+    /// the credentials known to this daemon may be out of date
     StaleKnowledge,
     /// the workspace has used up its quota
     QuotaUsedUp,
-    /// nobody can be asked now what is left of the workspace's quota
+    /// the remaining quota of the workspace can't be determined at present
     QuotaUnknown,
     /// the caller may not use this kind of request
     NotAllowed,
@@ -44,13 +44,13 @@
     Tombstone,
     /// the outcome of this token is unknown
     OutcomeUnknown,
-    /// the platform's store can't bind the Idempotency-Key now
+    /// the platform's store can't bind the Idempotency-Key at present
     StoreUnavailable,
     /// the backend server can't be reached
     BackendUnreachable,
-    /// the exchange with the backend server broke off
+    /// the connection to the backend server failed during the exchange
     BackendBroke,
-    /// the exchange with the owner daemon broke off
+    /// the connection to the owner daemon failed during the exchange
     PeerBroke,
     /// the request is malformed
     Malformed,
@@ -58,16 +58,16 @@
     TooLarge,
     /// the backend server refused before it ran the request
     BackendRefused,
-    /// a service that the request would call has no instance
+    /// a service that the request calls has no instance
     NoInstanceBelow,
     /// the backend server crashed while it ran the request
     BackendCrashed,
-    /// backend servers crashed while they ran this request, and it is kept from all others
+    /// the request is quarantined because backend servers crashed while they ran it
     Quarantined,
 }
 
 impl Refusal {
-    /// The HTTP status that a caller gets for this refusal.
+    /// Returns the HTTP status of the response to the caller.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The name that metrics use.
+    /// Returns the name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Overload => "overload",
@@ -122,9 +122,9 @@
         }
     }
 
-    /// Whether the load of whoever refused says what the next call will meet. A daemon whose backend
-    /// server takes no work is idle, however busy the others of its service are.
-    pub fn tells_load(self) -> bool {
+    /// Returns whether the load reported with this refusal reflects the load of the service. A daemon whose backend
+    /// server accepts no requests is idle even if the other instances of the service are overloaded.
+    pub fn indicates_service_load(self) -> bool {
         !matches!(
             self,
             Self::Leaving
@@ -135,8 +135,8 @@
         )
     }
 
-    /// Whether another instance may take the request when this one refused it unrun.
-    pub fn elsewhere_may_differ(self) -> bool {
+    /// Returns whether another instance may accept a request that this one refused without running it.
+    pub fn is_retryable_elsewhere(self) -> bool {
         matches!(
             self,
             Self::Overload
--- a/crates/sorrelturn-protocol/src/token.rs
+++ b/crates/sorrelturn-protocol/src/token.rs
@@ -1,4 +1,4 @@
-//! Execution tokens: the right to run one request once, bound to one daemon process.
+//! Execution tokens, each of which permits one execution of one request by one daemon process.
 //! See `docs/design/at-most-once.md`.
 
 use crate::Incarnation;
@@ -6,18 +6,18 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Names the only process that may ever forward the request that carries it.
+/// Identifies the only process that may forward the request that carries the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExecutionToken {
-    /// The owner: one run of one daemon process.
+    /// The owner: one incarnation of a daemon process.
     pub owner: Incarnation,
-    /// When it was issued, in milliseconds of the owner's monotonic clock since its start.
+    /// The time of issue, in milliseconds since the owner's start by its monotonic clock.
     pub issued_ms: u64,
-    /// Random, so that tokens can't be guessed.
+    /// A random number that makes tokens unguessable.
     pub nonce: u128,
 }
 
-/// Why a token's text can't be read.
+/// The error of parsing a token.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum TokenError {
     /// an execution token has three hexadecimal parts, as in 00c0ffee00c0ffee-3e8-0123…
--- a/crates/sorrelturn-protocol/src/verdict.rs
+++ b/crates/sorrelturn-protocol/src/verdict.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Says whether any backend server may have run a request.
+/// Whether any backend server may have run a request.
 ///
-/// The order is the order of composition: of several attempts the greatest verdict holds.
+/// Variants are ordered: the verdict over several attempts is the greatest of theirs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -20,12 +20,12 @@
 }
 
 impl Verdict {
-    /// The verdict over two attempts of one request.
-    pub fn and(self, other: Self) -> Self {
+    /// Returns the verdict over two attempts of one request.
+    pub fn combine(self, other: Self) -> Self {
         self.max(other)
     }
 
-    /// The value of the `sorrelturn-verdict` header.
+    /// Returns the value of the `sorrelturn-verdict` header.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/sorrelturn-protocol/tests/headers_round_trip.rs
+++ b/crates/sorrelturn-protocol/tests/headers_round_trip.rs
@@ -1,4 +1,4 @@
-//! Contexts, tokens and identifiers survive their way through headers.
+//! Contexts and tokens decode to the values that were encoded, and malformed input is an error.
 
 use proptest::prelude::*;
 use sorrelturn_protocol::*;
@@ -98,8 +98,8 @@
 #[test]
 fn of_two_verdicts_the_one_that_ran_further_holds() {
     assert_eq!(
-        Verdict::NotRun.and(Verdict::MayHaveRun),
+        Verdict::NotRun.combine(Verdict::MayHaveRun),
         Verdict::MayHaveRun
     );
-    assert_eq!(Verdict::Ran.and(Verdict::NotRun), Verdict::Ran);
+    assert_eq!(Verdict::Ran.combine(Verdict::NotRun), Verdict::Ran);
 }
--- a/crates/sorrelturn-protocol/tests/refusals.rs
+++ b/crates/sorrelturn-protocol/tests/refusals.rs
@@ -1,9 +1,8 @@
-//! What a refusal says besides that nothing ran.
+//! Which refusals report the load of a service.
 
 use sorrelturn_protocol::Refusal;
 
-/// On a day with one instance left of three, the two whose backend servers had crashed were asked
-/// again and again, and their idle gates pulled the level of load down at every entry.
+/// Guards against idle daemons without a working backend server lowering the shedding level at every entry daemon.
 #[test]
 fn a_daemon_whose_backend_server_takes_no_work_tells_nothing_of_the_load_of_its_service() {
     let idle = [
@@ -13,13 +12,13 @@
         Refusal::OtherService,
     ];
     for refusal in idle {
-        assert!(!refusal.tells_load(), "{refusal}");
+        assert!(!refusal.indicates_service_load(), "{refusal}");
     }
     for refusal in [
         Refusal::Overload,
         Refusal::Deadline,
         Refusal::BackendRefused,
     ] {
-        assert!(refusal.tells_load(), "{refusal}");
+        assert!(refusal.indicates_service_load(), "{refusal}");
     }
 }
--- a/crates/sorrelturn-telemetry/src/ring.rs
+++ b/crates/sorrelturn-telemetry/src/ring.rs
@@ -1,4 +1,4 @@
-//! The events of the last minutes, in bounded memory.
+//! A ring buffer of recent events.
 
 use crate::{EventKind, EventRecord, Field};
 use sorrelturn_protocol::RequestId;
@@ -9,24 +9,24 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// Notes events, logs them, and keeps the latest.
+/// Logs events and retains the most recent ones.
 #[derive(Debug)]
 pub struct EventRing {
     instance: String,
     capacity: usize,
-    kept: Mutex<VecDeque<Noted>>,
+    events: Mutex<VecDeque<BufferedEvent>>,
 }
 
-/// An event as it is kept; what its kind says is added when somebody asks.
+/// An event in the buffer; the texts of its kind are added when it is read.
 #[derive(Debug)]
-struct Noted {
+struct BufferedEvent {
     at_ms: u64,
     kind: &'static EventKind,
     request: Option<RequestId>,
     fields: Vec<Field>,
 }
 
-impl fmt::Display for Noted {
+impl fmt::Display for BufferedEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "S{:03} {}", self.kind.number, self.kind.name)?;
         if let Some(request) = &self.request {
@@ -40,64 +40,64 @@
 }
 
 impl EventRing {
-    /// A ring that keeps `capacity` events of this instance's daemon.
+    /// Creates a buffer that retains up to `capacity` events of the daemon of `instance`.
     pub fn new(instance: &str, capacity: usize) -> Self {
         Self {
             instance: instance.to_owned(),
             capacity,
-            kept: Mutex::new(VecDeque::with_capacity(capacity.min(1024))),
+            events: Mutex::new(VecDeque::with_capacity(capacity.min(1024))),
         }
     }
 
-    /// Notes an event.
-    pub fn note(&self, kind: &'static EventKind, request: Option<RequestId>, fields: Vec<Field>) {
-        let noted = Noted {
+    /// Logs an event and adds it to the buffer.
+    pub fn record(&self, kind: &'static EventKind, request: Option<RequestId>, fields: Vec<Field>) {
+        let event = BufferedEvent {
             at_ms: unix_ms(),
             kind,
             request,
             fields,
         };
-        let (at_ms, instance) = (noted.at_ms, &self.instance);
-        log::log!(target: "sorrelturn", kind.level, "{at_ms} {instance} {noted}");
-        let mut kept = self.lock();
-        if kept.len() == self.capacity {
-            kept.pop_front();
+        let (at_ms, instance) = (event.at_ms, &self.instance);
+        log::log!(target: "sorrelturn", kind.level, "{at_ms} {instance} {event}");
+        let mut events = self.lock();
+        if events.len() == self.capacity {
+            events.pop_front();
         }
-        kept.push_back(noted);
+        events.push_back(event);
     }
 
-    /// The kept events of one request, oldest first.
-    pub fn of_request(&self, request: RequestId) -> Vec<EventRecord> {
+    /// Returns the retained events of one request, oldest first.
+    pub fn request_events(&self, request: RequestId) -> Vec<EventRecord> {
         self.lock()
             .iter()
-            .filter(|noted| noted.request == Some(request))
-            .map(|noted| self.record(noted))
+            .filter(|event| event.request == Some(request))
+            .map(|event| self.to_record(event))
             .collect()
     }
 
-    /// The latest events that concern no single request, oldest first.
-    pub fn of_fleet(&self) -> Vec<EventRecord> {
+    /// Returns the retained events that concern no single request, oldest first.
+    pub fn fleet_events(&self) -> Vec<EventRecord> {
         self.lock()
             .iter()
-            .filter(|noted| noted.request.is_none())
-            .map(|noted| self.record(noted))
+            .filter(|event| event.request.is_none())
+            .map(|event| self.to_record(event))
             .collect()
     }
 
-    fn record(&self, noted: &Noted) -> EventRecord {
+    fn to_record(&self, event: &BufferedEvent) -> EventRecord {
         EventRecord {
-            at_ms: noted.at_ms,
+            at_ms: event.at_ms,
             instance: self.instance.clone(),
-            number: noted.kind.number,
-            name: noted.kind.name.to_owned(),
-            text: noted.kind.text.to_owned(),
-            request: noted.request.map(|id| id.to_string()),
-            fields: noted.fields.clone(),
+            number: event.kind.number,
+            name: event.kind.name.to_owned(),
+            text: event.kind.text.to_owned(),
+            request: event.request.map(|id| id.to_string()),
+            fields: event.fields.clone(),
         }
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<Noted>> {
-        self.kept
+    fn lock(&self) -> std::sync::MutexGuard<'_, VecDeque<BufferedEvent>> {
+        self.events
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
--- a/crates/sorrelturn-telemetry/src/span.rs
+++ b/crates/sorrelturn-telemetry/src/span.rs
@@ -1,4 +1,4 @@
-//! Spans, one for each hop, in OpenTelemetry's format.
+//! Trace spans, one per hop, and their export in OpenTelemetry format.
 
 use crate::Field;
 use opentelemetry_proto::tonic::{
@@ -13,92 +13,92 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// Which side of a call a span shows.
+/// The side of a call that a span describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpanKind {
-    /// The daemon took a call.
+    /// The daemon received the call.
     Server,
-    /// The daemon sent a call on.
+    /// The daemon forwarded the call.
     Client,
 }
 
-/// One hop of one request.
+/// The span of one hop of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Span {
-    /// The trace.
+    /// The trace id.
     pub trace: u128,
-    /// The span itself.
+    /// The id of this span.
     pub id: SpanId,
-    /// The span that caused it.
+    /// The parent span; `None` for a root span.
     pub parent: Option<SpanId>,
-    /// The kind of request.
+    /// The name of the request kind.
     pub name: String,
-    /// The side that it shows.
+    /// The side of the call.
     pub kind: SpanKind,
-    /// When it began, in nanoseconds since the Unix epoch.
+    /// The start time, in nanoseconds since the Unix epoch.
     pub start_ns: u64,
-    /// When it ended, in nanoseconds since the Unix epoch.
+    /// The end time, in nanoseconds since the Unix epoch.
     pub end_ns: u64,
     /// Whether the hop failed.
     pub failed: bool,
-    /// What else is known.
+    /// Further attributes of the span.
     pub attributes: Vec<Field>,
 }
 
-/// Spans that wait to be sent, in bounded memory.
+/// A bounded buffer of spans to be exported.
 #[derive(Debug)]
 pub struct SpanBuffer {
     capacity: usize,
-    waiting: Mutex<Vec<Span>>,
+    buffered: Mutex<Vec<Span>>,
     dropped: AtomicU64,
 }
 
 impl SpanBuffer {
-    /// A buffer for `capacity` spans; 0 keeps none.
+    /// Creates a buffer for `capacity` spans; 0 disables it.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            waiting: Mutex::new(Vec::new()),
+            buffered: Mutex::new(Vec::new()),
             dropped: AtomicU64::new(0),
         }
     }
 
-    /// Whether spans are kept at all.
-    pub fn is_on(&self) -> bool {
+    /// Returns whether spans are collected.
+    pub fn is_enabled(&self) -> bool {
         self.capacity > 0
     }
 
-    /// Adds a span, or drops it where the buffer is full: traces never hold a request up.
+    /// Adds a span, or drops it if the buffer is full. It never blocks a request.
     pub fn add(&self, span: Span) {
-        if !self.is_on() {
+        if !self.is_enabled() {
             return;
         }
-        let mut waiting = self.lock();
-        if waiting.len() < self.capacity {
-            waiting.push(span);
+        let mut buffered = self.lock();
+        if buffered.len() < self.capacity {
+            buffered.push(span);
         } else {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Takes all that wait.
+    /// Removes and returns all buffered spans.
     pub fn take(&self) -> Vec<Span> {
         std::mem::take(&mut *self.lock())
     }
 
-    /// How many were dropped since this was asked last.
+    /// Returns the number of spans dropped since the previous call.
     pub fn take_dropped(&self) -> u64 {
         self.dropped.swap(0, Ordering::Relaxed)
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Span>> {
-        self.waiting
+        self.buffered
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// Writes spans as the JSON body of an OTLP/HTTP export.
+/// Encodes spans as the JSON body of an OTLP/HTTP export.
 pub fn to_otlp_json(service: &str, instance: &str, spans: &[Span]) -> Vec<u8> {
     let scope_spans = ScopeSpans {
         spans: spans.iter().map(to_otlp).collect(),
