--- a/crates/sorrelturn-telemetry/src/event.rs
+++ b/crates/sorrelturn-telemetry/src/event.rs
@@ -1,34 +1,34 @@
-//! The shape of an event.
+//! Event kinds and event records.
 
 use log::Level;
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::RequestId;
 use std::{borrow::Cow, fmt};
 
-/// One kind of event; all stand in [`crate::events`] and in `docs/EVENTS.md`.
+/// One kind of event. [`crate::events`] and `docs/EVENTS.md` list all kinds.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EventKind {
-    /// Its number; never reused.
+    /// The number, which is never reused.
     pub number: u16,
-    /// Its name, in lower case with hyphens.
+    /// The name, in lower case with hyphens.
     pub name: &'static str,
-    /// The level at which it is logged.
+    /// The log level.
     pub level: Level,
-    /// What happened, for `sorrelctl explain`.
+    /// The description that `sorrelctl explain` shows.
     pub text: &'static str,
 }
 
-/// One input of a decision.
+/// A name and value that describe an event, such as an input of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
-    /// Its name; nearly all are literals, which cost no allocation on a request's way.
+    /// The name; a literal in most cases, which avoids an allocation per request.
     pub name: Cow<'static, str>,
-    /// Its value, with its unit where it has one.
+    /// The value, formatted as text.
     pub value: String,
 }
 
 impl Field {
-    /// A field from anything that can be shown.
+    /// Creates a field from any value that implements `Display`.
     pub fn new(name: &'static str, value: impl fmt::Display) -> Self {
         Self {
             name: Cow::Borrowed(name),
@@ -38,8 +38,7 @@
 }
 
 impl fmt::Display for Field {
-    /// Control characters are written as escapes: values come from backend servers and peers too, and
-    /// one with a line end could write a line of its own into the log.
+    /// Escapes control characters, so that a value from a backend server or peer can't inject a line into the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}=", self.name)?;
         if !self.value.contains(char::is_control) {
@@ -56,35 +55,35 @@
     }
 }
 
-/// One event that happened.
+/// One recorded event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// When, in milliseconds since the Unix epoch.
+    /// The time in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The instance whose daemon noted it.
+    /// The instance whose daemon recorded the event.
     pub instance: String,
-    /// The kind's number.
+    /// The number of the event kind.
     pub number: u16,
-    /// The kind's name.
+    /// The name of the event kind.
     pub name: String,
-    /// What happened.
+    /// The description of the event kind.
     pub text: String,
-    /// The root request that it concerns.
+    /// The id of the root request that the event concerns, if any.
     pub request: Option<String>,
-    /// The inputs of the decision.
+    /// The fields, such as the inputs of a decision.
     pub fields: Vec<Field>,
 }
 
 impl EventRecord {
-    /// Whether it concerns this request.
+    /// Returns whether the event concerns `request`.
     pub fn concerns(&self, request: RequestId) -> bool {
         self.request
             .as_ref()
             .is_some_and(|id| *id == request.to_string())
     }
 
-    /// Reads a line of the log, as [`crate::EventRing`] writes it behind the level: the time, the
-    /// instance, and the record. `None` for any other line.
+    /// Parses a log line that [`crate::EventRing`] wrote: the level, the time, the instance and the record.
+    /// Returns `None` for any other line.
     pub fn from_log_line(line: &str) -> Option<Self> {
         let mut words = line.split_whitespace().skip(1).peekable();
         let at_ms = words.next()?.parse().ok()?;
@@ -96,7 +95,7 @@
         if request.is_some() {
             words.next();
         }
-        // A word without a name goes on with the value before it.
+        // A word without `=` continues the value of the previous field.
         let mut fields: Vec<Field> = Vec::new();
         for word in words {
             match (word.split_once('='), fields.last_mut()) {
@@ -122,7 +121,7 @@
         })
     }
 
-    /// The value of a field.
+    /// Returns the value of the field with this name.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
--- a/crates/sorrelturn-telemetry/src/metrics.rs
+++ b/crates/sorrelturn-telemetry/src/metrics.rs
@@ -1,22 +1,22 @@
-//! The names of the metrics. `docs/METRICS.md` describes each; a test holds the two together.
+//! The catalogue of metrics. `docs/METRICS.md` describes each; a test keeps both in sync.
 
-/// How a metric is to be read.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// Counts up.
+    /// A value that only increases.
     Counter,
-    /// The state now.
+    /// A current value.
     Gauge,
     /// A duration.
     Timer,
 }
 
-/// One metric.
+/// The definition of one metric.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// Its name after the prefix `sorrelturn`.
+    /// The name without the prefix `sorrelturn`.
     pub name: &'static str,
-    /// How to read it.
+    /// The type of the metric.
     pub kind: MetricKind,
 }
 
@@ -34,16 +34,16 @@
 
 catalogue! {
     REQUESTS = Counter "requests" "Root requests by importance and verdict.";
-    REFUSALS = Counter "refusals" "Refusals here by importance and reason.";
-    ENTRY_REFUSALS = Counter "entry.refusals" "Refusals of requests where they began, by reason.";
-    KNOWLEDGE_AGE = Gauge "knowledge.age" "How old the knowledge of the route table is, in milliseconds.";
-    RETRIES = Counter "retries" "Tries beyond the first that may have cost an execution.";
-    HOP_TIME = Timer "hop.time" "The time from a call's arrival to its answer's head, by importance.";
+    REFUSALS = Counter "refusals" "Refusals on this daemon by importance and reason.";
+    ENTRY_REFUSALS = Counter "entry.refusals" "Refusals of requests at their entry daemon, by reason.";
+    KNOWLEDGE_AGE = Gauge "knowledge.age" "The staleness of the route table, in milliseconds.";
+    RETRIES = Counter "retries" "Retries that may have caused an additional execution.";
+    HOP_TIME = Timer "hop.time" "The time from a call's arrival to the head of its answer, by importance.";
     IN_FLIGHT = Gauge "backend.in_flight" "Calls in flight to the backend server.";
-    WAITING = Gauge "backend.waiting" "Calls that wait for a slot.";
+    WAITING = Gauge "backend.waiting" "Calls queued for a slot.";
     LIMIT = Gauge "backend.limit" "The concurrency limit of the backend server.";
     BUNDLE_VERSION = Gauge "bundle.version" "The version of the bundle in force.";
-    MEMBERS = Gauge "members" "Members of the fleet as known here.";
-    TOKENS = Gauge "tokens" "Execution tokens that are out.";
-    SPANS_DROPPED = Counter "spans.dropped" "Spans that were dropped because the receiver is slow.";
+    MEMBERS = Gauge "members" "Members of the fleet known to this daemon.";
+    TOKENS = Gauge "tokens" "Outstanding execution tokens that have not expired.";
+    SPANS_DROPPED = Counter "spans.dropped" "Spans dropped because the buffer was full.";
 }
--- a/crates/sorrelturn-telemetry/src/trace_context.rs
+++ b/crates/sorrelturn-telemetry/src/trace_context.rs
@@ -1,12 +1,14 @@
-//! W3C Trace Context: the `traceparent` header.
+//! Parsing and formatting of the W3C Trace Context header `traceparent`.
 
 use sorrelturn_protocol::SpanId;
 use std::{fmt, str::FromStr};
 
-/// The content of a `traceparent` header of version 00.
+/// The content of a `traceparent` header.
+///
+/// Headers of later versions are parsed too; it is formatted as version 00.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
-    /// The trace id; never zero.
+    /// The trace id, which is never zero.
     pub trace: u128,
     /// The caller's span.
     pub parent: SpanId,
@@ -23,9 +25,9 @@
         let trace = hex(parts.next(), 32)?;
         let parent = hex(parts.next(), 16)? as u64;
         let flags = hex(parts.next(), 2)?;
-        let known_version = version.len() == 2 && version != "ff";
-        let trailing = version == "00" && parts.next().is_some();
-        if !known_version || trailing || trace == 0 || parent == 0 {
+        let is_version_valid = version.len() == 2 && version != "ff";
+        let has_trailing_data = version == "00" && parts.next().is_some();
+        if !is_version_valid || has_trailing_data || trace == 0 || parent == 0 {
             return Err(());
         }
         Ok(Self {
--- a/crates/sorrelturn-telemetry/tests/catalogues.rs
+++ b/crates/sorrelturn-telemetry/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! The pages in docs/ and the catalogues in the code say the same.
+//! The tables in docs/ match the catalogues in the code.
 
 use sorrelturn_telemetry::{events, metrics};
 use std::{collections::HashSet, path::Path};
--- a/crates/sorrelturn-telemetry/tests/log_lines.rs
+++ b/crates/sorrelturn-telemetry/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the log read back as the events that they tell of.
+//! Log lines parse back into the events that they were written from.
 
 use sorrelturn_telemetry::{EventRecord, Field};
 
--- a/crates/sorrelturn-telemetry/tests/trace_context.rs
+++ b/crates/sorrelturn-telemetry/tests/trace_context.rs
@@ -1,4 +1,4 @@
-//! W3C Trace Context headers are read strictly.
+//! Malformed W3C Trace Context headers are rejected.
 
 use sorrelturn_telemetry::TraceContext;
 
@@ -6,7 +6,7 @@
 
 #[test]
 fn a_good_header_reads_back_as_written() {
-    let context: TraceContext = GOOD.parse().expect("it is good");
+    let context: TraceContext = GOOD.parse().expect("the header is valid");
     assert!(context.sampled);
     assert_eq!(context.to_string(), GOOD);
 }
