--- a/crates/sorrelturn-protocol/src/ids.rs
+++ b/crates/sorrelturn-protocol/src/ids.rs
@@ -15,7 +15,8 @@
         Self(rng.u128(1..))
     }
 
-    /// Returns the bucket (0 to 255) that orders requests of one importance for load shedding; lower buckets are shed first.
+    /// Returns the bucket (0 to 255) that orders requests of one importance for load shedding. Lower buckets are shed
+    /// first.
     ///
     /// Every hop derives the same bucket from the same id, so all hops shed the same requests.
     pub fn shedding_bucket(self) -> u8 {
--- a/crates/sorrelturn-protocol/src/refusal.rs
+++ b/crates/sorrelturn-protocol/src/refusal.rs
@@ -48,9 +48,9 @@
     StoreUnavailable,
     /// the backend server can't be reached
     BackendUnreachable,
-    /// the connection to the backend server failed during the exchange
+    /// the exchange with the backend server was interrupted
     BackendBroke,
-    /// the connection to the owner daemon failed during the exchange
+    /// the exchange with the owner daemon was interrupted
     PeerBroke,
     /// the request is malformed
     Malformed,
--- a/crates/sorrelturn-telemetry/src/events.rs
+++ b/crates/sorrelturn-telemetry/src/events.rs
@@ -28,7 +28,7 @@
     STAYING = 5 "staying" Info "The reason for leaving no longer applies; the daemon accepts calls again.";
 
     SETTINGS_RELOADED = 6 "settings-reloaded" Info "The settings file was reloaded.";
-    SETTINGS_REFUSED = 7 "settings-refused" Error "The changed settings file is invalid; the daemon keeps its current settings.";
+    SETTINGS_REFUSED = 7 "settings-refused" Error "The changed settings file can't be used; the daemon keeps its current settings.";
     STOPPING = 8 "stopping" Info "The process received a request to stop.";
 
     HOP_SERVED = 100 "hop-served" Debug "The backend server answered this hop.";
@@ -60,7 +60,7 @@
 
     BACKEND_REPORT_REFUSED = 208 "backend-report-refused" Warn "A report about a backend server was invalid and was ignored; logged at most once in ten seconds.";
 
-    BACKEND_CRASHED = 209 "backend-crashed" Warn "The backend server crashed while it ran requests, and their connections failed.";
+    BACKEND_CRASHED = 209 "backend-crashed" Warn "The backend server crashed while it ran requests, and their exchanges were interrupted.";
     REQUESTS_HELD = 210 "requests-held" Warn "Requests were in progress when several backend servers crashed, and are now quarantined.";
     REQUESTS_CLEARED = 211 "requests-cleared" Info "Quarantined requests completed on some backend server and are admitted again.";
 
