--- a/crates/sorrelturn-fleet/src/bundle_tracker.rs
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -1,58 +1,58 @@
-//! Which bundle is in force here, and how news of a higher one goes on.
+//! The bundle version in force on one daemon, and the propagation of higher versions.
 //! See `docs/design/spread.md`.
 
 use crate::Now;
 use sorrelturn_protocol::MemberRecord;
 use std::time::Duration;
 
-/// How many neighbours hear of news from each daemon.
+/// The number of peers to which each daemon pushes an update.
 pub const PUSH_FAN_OUT: usize = 5;
-/// A fetch that has taken longer is given up for another source.
-const FETCH_TIME: Duration = Duration::from_secs(2);
+/// After this time a new fetch may replace an unfinished one.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where a bundle can be fetched.
+/// The source of a bundle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// The platform's store.
     Store,
-    /// The daemon of this instance.
+    /// The daemon of the named instance.
     Peer(String),
 }
 
-/// An order to fetch the bundle of a version or a higher one.
+/// A request to fetch a bundle of at least the given version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// The version that was announced.
+    /// The announced version.
     pub version: u64,
-    /// Where to fetch it.
+    /// The source to fetch from.
     pub source: Source,
 }
 
-/// The versions that one daemon knows of. What is in force only rises.
+/// Tracks the bundle version in force on one daemon, which only increases, and the fetches of higher versions.
 #[derive(Clone, Debug, Default)]
 pub struct BundleTracker {
     in_force: u64,
     fetching: Option<(Fetch, Now)>,
-    waiting: Option<Fetch>,
+    queued: Option<Fetch>,
 }
 
 impl BundleTracker {
-    /// The version in force; 0 before the first.
+    /// Returns the version in force; 0 before the first bundle.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// Somebody has this version. Returns a fetch to start now.
+    /// Handles the announcement that `source` has `version`. Returns a fetch to start now, if any.
     pub fn version_announced(&mut self, now: Now, version: u64, source: Source) -> Option<Fetch> {
         if version <= self.in_force {
             return None;
         }
         let fetch = Fetch { version, source };
         match &self.fetching {
-            Some((running, since)) if now < *since + FETCH_TIME => {
-                let other_source = running.source != fetch.source;
-                if other_source || running.version < version {
-                    self.waiting = Some(fetch);
+            Some((running, started_at)) if now < *started_at + FETCH_TIMEOUT => {
+                let is_other_source = running.source != fetch.source;
+                if is_other_source || running.version < version {
+                    self.queued = Some(fetch);
                 }
                 None
             }
@@ -60,16 +60,16 @@
         }
     }
 
-    /// A fetched bundle passed all checks. Returns whether it goes in force.
+    /// Puts a fetched and validated version in force. Returns whether it is higher than the previous one.
     pub fn put_in_force(&mut self, version: u64) -> bool {
-        let rises = version > self.in_force;
-        if rises {
+        let is_higher = version > self.in_force;
+        if is_higher {
             self.in_force = version;
         }
-        rises
+        is_higher
     }
 
-    /// A fetch is over, well or badly. Returns the next one to start, if one is due.
+    /// Handles the end of a fetch, whether it succeeded or failed. Returns the next fetch to start, if any.
     pub fn fetch_finished(&mut self, now: Now, fetch: &Fetch) -> Option<Fetch> {
         if self
             .fetching
@@ -78,7 +78,7 @@
         {
             self.fetching = None;
         }
-        let next = self.waiting.take()?;
+        let next = self.queued.take()?;
         self.version_announced(now, next.version, next.source)
     }
 
@@ -88,24 +88,24 @@
     }
 }
 
-/// The peers to tell of something new: half in the own failure domain, half anywhere else, so
-/// that news crosses failure domains at once and fills each of them quickly.
+/// Chooses the peers to which an update is pushed: half in the daemon's own failure domain and half in others, so
+/// that an update reaches all failure domains quickly and then spreads within each.
 pub fn push_targets<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &MemberRecord,
     count: usize,
     rng: &mut fastrand::Rng,
 ) -> Vec<&'a MemberRecord> {
-    let (mut near, mut far): (Vec<_>, Vec<_>) = members
+    let (mut same_domain, mut other_domains): (Vec<_>, Vec<_>) = members
         .filter(|record| record.instance != own.instance)
         .partition(|record| record.failure_domain == own.failure_domain);
-    rng.shuffle(&mut near);
-    rng.shuffle(&mut far);
-    let from_far = (count / 2).min(far.len());
-    let from_near = (count - from_far).min(near.len());
-    let more_far = (count - from_far - from_near).min(far.len() - from_far);
-    near.truncate(from_near);
-    far.truncate(from_far + more_far);
-    near.append(&mut far);
-    near
+    rng.shuffle(&mut same_domain);
+    rng.shuffle(&mut other_domains);
+    let other_count = (count / 2).min(other_domains.len());
+    let same_count = (count - other_count).min(same_domain.len());
+    let extra_count = (count - other_count - same_count).min(other_domains.len() - other_count);
+    same_domain.truncate(same_count);
+    other_domains.truncate(other_count + extra_count);
+    same_domain.append(&mut other_domains);
+    same_domain
 }
--- a/crates/sorrelturn-fleet/src/membership.rs
+++ b/crates/sorrelturn-fleet/src/membership.rs
@@ -1,25 +1,25 @@
-//! The members of the fleet as one daemon knows them. See `docs/design/membership.md`.
+//! The membership table, one daemon's view of the fleet. See `docs/design/membership.md`.
 //!
-//! Each daemon alone writes its own record, so records never conflict: the newer one holds.
+//! Each daemon writes only its own record, so records never conflict: the newer one wins.
 
 use crate::Now;
 use sorrelturn_protocol::{MemberRecord, MemberState};
 use std::collections::{BTreeMap, HashMap};
 
-/// Records are compared in this many groups, so that an exchange sends only what differs.
-const BUCKETS: usize = 64;
-/// A record of a daemon that has gone is kept this long, so that stale news of it is recognised.
-const GONE_KEPT: Now = Now::from_secs(600);
+/// Records are compared bucket by bucket, so that an exchange sends only differing buckets.
+const BUCKET_COUNT: usize = 64;
+/// How long the record of a daemon in state `Gone` is retained to detect stale updates.
+const GONE_RETENTION: Now = Now::from_secs(600);
 
-/// Compares what two daemons know without sending it.
+/// Checksums of the membership records, by which two daemons find differing records.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MembershipDigest {
-    /// One sum over the records of each group; equal sums mean equal records.
+    /// One checksum per bucket over its records; equal checksums mean equal records.
     pub buckets: Vec<u64>,
 }
 
 impl MembershipDigest {
-    /// The groups in which two digests differ.
+    /// Returns the buckets in which two digests differ.
     pub fn differing(&self, other: &Self) -> Vec<u8> {
         self.buckets
             .iter()
@@ -31,25 +31,25 @@
     }
 }
 
-/// The group of an instance.
+/// Returns the bucket of an instance.
 pub fn bucket_of(instance: &str) -> u8 {
     let hash = blake3::hash(instance.as_bytes());
-    hash.as_bytes()[0] % BUCKETS as u8
+    hash.as_bytes()[0] % BUCKET_COUNT as u8
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownMember {
     record: MemberRecord,
-    sum: u64,
-    since: Now,
+    checksum: u64,
+    merged_at: Now,
 }
 
-/// All members by instance.
+/// The membership records of all instances.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    members: BTreeMap<String, Known>,
+    members: BTreeMap<String, KnownMember>,
     by_service: HashMap<String, Vec<String>>,
-    sums: Vec<u64>,
+    checksums: Vec<u64>,
 }
 
 impl Default for Membership {
@@ -57,13 +57,13 @@
         Self {
             members: BTreeMap::new(),
             by_service: HashMap::new(),
-            sums: vec![0; BUCKETS],
+            checksums: vec![0; BUCKET_COUNT],
         }
     }
 }
 
 impl Membership {
-    /// Takes a record; returns whether it was news.
+    /// Merges a record; returns whether it changed the membership.
     pub fn merge(&mut self, now: Now, record: MemberRecord) -> bool {
         let instance = record.instance.clone();
         if let Some(known) = self.members.get(&instance) {
@@ -72,52 +72,52 @@
             }
             self.remove(&instance);
         }
-        let sum = sum(&record);
-        self.sums[usize::from(bucket_of(&instance))] ^= sum;
+        let checksum = checksum(&record);
+        self.checksums[usize::from(bucket_of(&instance))] ^= checksum;
         self.by_service
             .entry(record.service.clone())
             .or_default()
             .push(instance.clone());
-        let known = Known {
+        let known = KnownMember {
             record,
-            sum,
-            since: now,
+            checksum,
+            merged_at: now,
         };
         self.members.insert(instance, known);
         true
     }
 
-    /// Drops the records of daemons that have gone long ago.
+    /// Removes records in state `Gone` after the retention time.
     pub fn forget_gone(&mut self, now: Now) {
-        let old: Vec<String> = self
+        let expired: Vec<String> = self
             .members
             .iter()
             .filter(|(_, known)| known.record.state == MemberState::Gone)
-            .filter(|(_, known)| now >= known.since + GONE_KEPT)
+            .filter(|(_, known)| now >= known.merged_at + GONE_RETENTION)
             .map(|(instance, _)| instance.clone())
             .collect();
-        for instance in old {
+        for instance in expired {
             self.remove(&instance);
         }
     }
 
-    /// The record of an instance.
+    /// Returns the record of an instance.
     pub fn get(&self, instance: &str) -> Option<&MemberRecord> {
         self.members.get(instance).map(|known| &known.record)
     }
 
-    /// All records, of those that have gone as well.
+    /// Iterates over all records, including those in state `Gone`.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|known| &known.record)
     }
 
-    /// The members that haven't gone.
+    /// Iterates over the members that are not in state `Gone`.
     pub fn present(&self) -> impl Iterator<Item = &MemberRecord> {
         self.all()
             .filter(|record| record.state != MemberState::Gone)
     }
 
-    /// The members of a service that take calls.
+    /// Iterates over the members of a service that accept calls.
     pub fn live_of(&self, service: &str) -> impl Iterator<Item = &MemberRecord> {
         self.by_service
             .get(service)
@@ -127,19 +127,19 @@
             .filter(|record| record.state == MemberState::Live)
     }
 
-    /// The services that have members.
+    /// Iterates over the services that have or had members.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.by_service.keys().map(String::as_str)
     }
 
-    /// The digest of all records.
+    /// Returns the digest of all records.
     pub fn digest(&self) -> MembershipDigest {
         MembershipDigest {
-            buckets: self.sums.clone(),
+            buckets: self.checksums.clone(),
         }
     }
 
-    /// The records of some groups.
+    /// Returns the records in the given buckets.
     pub fn in_buckets(&self, buckets: &[u8]) -> Vec<MemberRecord> {
         self.all()
             .filter(|record| buckets.contains(&bucket_of(&record.instance)))
@@ -151,22 +151,22 @@
         let Some(known) = self.members.remove(instance) else {
             return;
         };
-        self.sums[usize::from(bucket_of(instance))] ^= known.sum;
+        self.checksums[usize::from(bucket_of(instance))] ^= known.checksum;
         if let Some(instances) = self.by_service.get_mut(&known.record.service) {
             instances.retain(|other| other != instance);
         }
     }
 }
 
-/// The sum stands for the whole record: any change of it changes the digest.
-fn sum(record: &MemberRecord) -> u64 {
+/// Returns the checksum of a record. It covers the fields that order records, so any newer record has another one.
+fn checksum(record: &MemberRecord) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.instance.as_bytes());
     hasher.update(&record.incarnation.0.to_be_bytes());
     hasher.update(&record.started_ms.to_be_bytes());
     hasher.update(&record.sequence.to_be_bytes());
     hasher.update(&[record.state as u8]);
-    let mut sum = [0; 8];
-    hasher.finalize_xof().fill(&mut sum);
-    u64::from_be_bytes(sum)
+    let mut checksum = [0; 8];
+    hasher.finalize_xof().fill(&mut checksum);
+    u64::from_be_bytes(checksum)
 }
--- a/crates/sorrelturn-fleet/src/messages.rs
+++ b/crates/sorrelturn-fleet/src/messages.rs
@@ -4,55 +4,56 @@
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CrashUpdate, MemberRecord, MemberState};
 
-/// One daemon's side of a periodic exchange.
+/// The request of a periodic exchange between two daemons.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Digest {
     /// The sender's own record.
     pub from: MemberRecord,
-    /// The version of its bundle in force.
+    /// The sender's bundle version in force.
     pub version: u64,
-    /// What it knows of the members, as one sum over all groups.
+    /// The checksum of the sender's membership records.
     pub members: u64,
-    /// What it knows of crashes of backend servers, as one sum.
+    /// The checksum of the sender's information about crashes of backend servers.
     pub crashes: u64,
 }
 
-/// The other side. Equal sums end the exchange here.
+/// The reply to a [`Digest`]. If all checksums are equal, the exchange ends here.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DigestReply {
-    /// The version of the bundle in force there.
+    /// The receiver's bundle version in force.
     pub version: u64,
-    /// How old the knowledge is that no higher version exists, in milliseconds.
+    /// The staleness of the receiver's configuration: the age of its last confirmation that no higher bundle version
+    /// exists, in milliseconds.
     pub knowledge_age_ms: Option<u32>,
-    /// The groups' sums, if the sum over all of them differs.
+    /// The checksums of all buckets, if the membership checksums differ.
     pub members: Option<MembershipDigest>,
-    /// What is known there of crashes, if their sum differs.
+    /// The receiver's information about crashes, if the checksums differ.
     pub crashes: Option<CrashUpdate>,
 }
 
 impl MembershipDigest {
-    /// One sum over all groups.
+    /// Returns one checksum over all buckets.
     pub fn total(&self) -> u64 {
         self.buckets
             .iter()
             .enumerate()
-            .fold(0, |total: u64, (bucket, sum)| {
-                total ^ sum.rotate_left(bucket as u32)
+            .fold(0, |total: u64, (bucket, checksum)| {
+                total ^ checksum.rotate_left(bucket as u32)
             })
     }
 }
 
-/// What a daemon tells the watchers of its failure domain, on a change and now and then.
+/// The report that a daemon sends to the watchers of its failure domain, on a change and periodically.
 ///
-/// A watcher gets one from each member of its failure domain, so it is kept short.
+/// A watcher receives one from each member of its failure domain, so it is kept small.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// Its instance.
+    /// The reporting instance.
     pub instance: String,
-    /// Whether it takes new calls.
+    /// Whether the daemon accepts new calls.
     pub state: MemberState,
-    /// The version of its bundle in force.
+    /// The daemon's bundle version in force.
     pub version: u64,
-    /// Why it is behind, if it knows.
+    /// The reason why its bundle version is outdated, if known.
     pub trouble: Option<String>,
 }
--- a/crates/sorrelturn-fleet/src/rank.rs
+++ b/crates/sorrelturn-fleet/src/rank.rs
@@ -1,17 +1,17 @@
-//! Who watches the platform for a failure domain. See `docs/design/spread.md`.
+//! The choice of the daemons that watch the platform for a failure domain. See `docs/design/spread.md`.
 //!
-//! Every daemon ranks the members of its failure domain by the same hash and so finds the same
-//! watchers without a lease. Where views differ for a while there are too many or too few, which
-//! costs some reads or some seconds and never correctness.
+//! Every daemon ranks the members of its failure domain by the same hash and thus finds the same
+//! watchers without a lease. While views differ, there may be too many or too few watchers, which
+//! causes additional reads or a delay of seconds but never incorrect results.
 
 use sorrelturn_protocol::MemberRecord;
 
-/// How many daemons of a failure domain watch the platform.
+/// The number of daemons in a failure domain that watch the platform.
 pub const WATCHER_COUNT: usize = 2;
-/// How many daemons stand by: each asks those before it whether they are alive.
+/// The number of standby daemons, each of which checks whether the daemons ranked before it are alive.
 pub const STANDBY_WATCHER_COUNT: usize = 3;
 
-/// The members of a failure domain, the first in rank first.
+/// Returns the members of a failure domain in rank order.
 pub fn ranked<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     failure_domain: &str,
@@ -24,7 +24,7 @@
     ranked.into_iter().map(|(_, record)| record).collect()
 }
 
-/// The members that this one must ask whether they are alive; `None` if it needn't stand by.
+/// Returns the members whose liveness this instance checks, or `None` if it is neither watcher nor standby.
 pub fn predecessors<'a, 'b>(
     ranked: &'b [&'a MemberRecord],
     own_instance: &str,
@@ -44,9 +44,9 @@
     u64::from_be_bytes(weight)
 }
 
-/// The names of the members that look after an instance that has gone: those that follow it in the
-/// order of names, the first again after the last. All daemons pick the same ones, as far as they
-/// know the same members, and each instance has others.
+/// Returns the names of the members that take care of an instance that has gone: those that follow it
+/// in the cyclic order of names. Daemons that know the same members choose the same successors, and
+/// the load is distributed because each instance has different ones.
 pub fn successors<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &'a MemberRecord,
--- a/crates/sorrelturn-fleet/src/status.rs
+++ b/crates/sorrelturn-fleet/src/status.rs
@@ -1,72 +1,71 @@
-//! The state of one failure domain, gathered by its watchers for the operators.
+//! The status of one failure domain, which its watchers collect for operators.
 
 use crate::{Now, Report};
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::MemberState;
 use std::{collections::BTreeMap, time::Duration};
 
-/// The most members that are named one by one as behind.
-const MOST_NAMED: usize = 20;
+/// Limits the members that a status lists individually.
+const MAX_LISTED_MEMBERS: usize = 20;
 
-/// A daemon that had nothing to report for this long reports all the same.
-const LEAST_REPORT_PAUSE: Duration = Duration::from_secs(20);
-/// The reports in a second that a failure domain's watcher hears of those who have nothing to report,
-/// however many members there are: its bytes are bounded, and silence is noticed later.
-const MOST_REPORTS_PER_SECOND: f64 = 2.0;
-/// Without a report for so many pauses, a member counts as silent.
-const PAUSES_OF_SILENCE: u32 = 3;
+/// The minimum interval between periodic reports of a daemon whose state is unchanged.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(20);
+/// Limits the periodic reports that a watcher receives; in a large failure domain each member reports less often.
+const MAX_IDLE_REPORTS_PER_SECOND: f64 = 2.0;
+/// A member without a report for this many report intervals counts as silent.
+const SILENCE_TIMEOUT_INTERVALS: u32 = 3;
 
-/// How long a daemon with nothing to report waits, in a failure domain of this size.
+/// Returns the interval between periodic reports of a daemon in a failure domain with `members` members.
 pub fn report_interval(members: usize) -> Duration {
-    let share = Duration::from_secs_f64(members as f64 / MOST_REPORTS_PER_SECOND);
-    LEAST_REPORT_PAUSE.max(share)
+    let rate_limited = Duration::from_secs_f64(members as f64 / MAX_IDLE_REPORTS_PER_SECOND);
+    MIN_REPORT_INTERVAL.max(rate_limited)
 }
 
-/// How long a member of a failure domain of this size may be silent.
+/// Returns the time without a report after which a member counts as silent.
 pub fn silence_timeout(members: usize) -> Duration {
-    report_interval(members) * PAUSES_OF_SILENCE
+    report_interval(members) * SILENCE_TIMEOUT_INTERVALS
 }
 
-/// One member that is behind or silent.
+/// The status of one member that is outdated or silent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its instance.
+    /// The instance of the member.
     pub instance: String,
-    /// The version in force there when it last reported.
+    /// The bundle version in force in its last report.
     pub version: u64,
-    /// How long ago that was, in milliseconds.
+    /// The time since its last report, in milliseconds.
     pub heard_ms: u64,
-    /// What it says about it.
+    /// The reason that it reported, if any.
     pub trouble: Option<String>,
 }
 
-/// The object that a watcher writes for its failure domain.
+/// The status object that a watcher writes for its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DomainStatus {
     /// The failure domain.
     pub failure_domain: String,
-    /// The watcher that wrote it.
+    /// The watcher that wrote the object.
     pub written_by: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// The time of writing, in milliseconds since the Unix epoch.
     pub written_ms: u64,
-    /// How many daemons reported lately, by the version in force there.
+    /// The number of daemons that are not silent, by their bundle version in force.
     pub in_force: BTreeMap<u64, usize>,
-    /// How many of them are leaving.
+    /// The number of daemons that are leaving and not silent.
     pub leaving: usize,
-    /// How many have not reported lately.
+    /// The number of silent daemons.
     pub silent: usize,
-    /// Those behind or silent, some of them.
+    /// Members that are outdated or silent, up to a limit.
     pub behind: Vec<MemberStatus>,
 }
 
-/// A watcher's view of its failure domain.
+/// The reports that a watcher received from its failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct DomainView {
     reports: BTreeMap<String, (Report, Now)>,
 }
 
 impl DomainView {
-    /// Takes a report.
+    /// Stores a report, or forgets a member that reports that it has gone.
     pub fn report(&mut self, now: Now, report: Report) {
         if report.state == MemberState::Gone {
             self.reports.remove(&report.instance);
@@ -75,16 +74,16 @@
         }
     }
 
-    /// Forgets members that the membership no longer has.
+    /// Removes the reports of instances for which `is_member` returns false.
     pub fn retain_members(&mut self, is_member: impl Fn(&str) -> bool) {
         self.reports.retain(|instance, _| is_member(instance));
     }
 
-    /// Sums the reports up; who has been silent for `silence` counts as silent.
+    /// Summarizes the reports. A member counts as silent after `silence_timeout` without a report.
     pub fn status(
         &self,
         now: Now,
-        silence: Duration,
+        silence_timeout: Duration,
         failure_domain: &str,
         written_by: &str,
         written_ms: u64,
@@ -98,18 +97,18 @@
             silent: 0,
             behind: Vec::new(),
         };
-        let newest = self.newest();
-        for (instance, (report, heard)) in &self.reports {
-            let silent_for = now.saturating_sub(*heard);
-            let silent = silent_for >= silence;
-            if silent {
+        let newest_version = self.newest_version();
+        for (instance, (report, received_at)) in &self.reports {
+            let silent_for = now.saturating_sub(*received_at);
+            let is_silent = silent_for >= silence_timeout;
+            if is_silent {
                 status.silent += 1;
             } else {
                 *status.in_force.entry(report.version).or_default() += 1;
                 status.leaving += usize::from(report.state == MemberState::Leaving);
             }
-            let named = silent || report.version < newest;
-            if named && status.behind.len() < MOST_NAMED {
+            let is_listed = is_silent || report.version < newest_version;
+            if is_listed && status.behind.len() < MAX_LISTED_MEMBERS {
                 status.behind.push(MemberStatus {
                     instance: instance.clone(),
                     version: report.version,
@@ -121,7 +120,7 @@
         status
     }
 
-    fn newest(&self) -> u64 {
+    fn newest_version(&self) -> u64 {
         self.reports
             .values()
             .map(|(report, _)| report.version)
