--- a/crates/sorrelturn-fleet/tests/membership.rs
+++ b/crates/sorrelturn-fleet/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership and ranks converge whatever the order of news, and wrong lists do no harm.
+//! Membership and ranks converge whatever the order of updates, and wrong VM lists are rejected.
 
 use proptest::prelude::*;
 use sorrelturn_fleet::*;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn stale_news_of_an_earlier_run_changes_nothing() {
+fn a_stale_update_of_an_earlier_incarnation_is_ignored() {
     let mut known = membership([record(1, 5, 0, MemberState::Live)]);
     assert!(!known.merge(NOW, record(1, 4, 9, MemberState::Gone)));
     assert!(!known.merge(NOW, record(1, 5, 0, MemberState::Live)));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn only_those_near_the_front_ask_those_before_them() {
+fn only_watchers_and_standbys_check_their_predecessors() {
     let known = membership((0..40).map(live));
     let ranked = ranked(known.present(), "d0");
     for (position, record) in ranked.iter().enumerate() {
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn a_list_that_takes_too_much_of_a_service_is_not_believed_for_it() {
+fn a_list_that_removes_too_much_of_a_service_is_rejected_for_it() {
     let known = membership((0..12).map(live));
     let mut listed: BTreeMap<&str, bool> = BTreeMap::new();
     let names: Vec<String> = (0..12).map(|number| format!("i{number}")).collect();
-    // s0 has i0, i3, i6, i9: three of four are taken; s1 loses i1 only; s2 is whole.
+    // s0 has i0, i3, i6, i9, of which three are listed as leaving; s1 loses only i1; s2 loses none.
     for (number, name) in names.iter().enumerate() {
         listed.insert(name, matches!(number, 0 | 3 | 6 | 1));
     }
-    let advice = diff_vm_list(&known, "d0", &listed);
-    assert_eq!(advice.rejected_services, ["s0"]);
-    assert!(advice.leaving.is_empty(), "i1 is in d1: {advice:?}");
-    let advice = diff_vm_list(&known, "d1", &listed);
-    assert_eq!(advice.leaving, ["i1"]);
+    let diff = diff_vm_list(&known, "d0", &listed);
+    assert_eq!(diff.rejected_services, ["s0"]);
+    assert!(diff.leaving.is_empty(), "i1 is in d1: {diff:?}");
+    let diff = diff_vm_list(&known, "d1", &listed);
+    assert_eq!(diff.leaving, ["i1"]);
     let empty = diff_vm_list(&known, "d0", &BTreeMap::new());
     assert_eq!(
         (empty.unlisted.len(), empty.rejected_services.len()),
@@ -113,46 +113,46 @@
 }
 
 #[test]
-fn a_version_only_rises_and_a_second_source_is_tried() {
-    let mut spread = BundleTracker::default();
+fn a_version_only_increases_and_a_second_source_is_tried() {
+    let mut tracker = BundleTracker::default();
     let peer = |name: &str| Source::Peer(name.to_owned());
-    let first = spread
+    let first = tracker
         .version_announced(NOW, 5, peer("a"))
         .expect("a fetch");
-    assert_eq!(spread.version_announced(NOW, 5, peer("b")), None);
-    // The first source fails; the second one is asked.
-    let second = spread.fetch_finished(NOW, &first).expect("another fetch");
+    assert_eq!(tracker.version_announced(NOW, 5, peer("b")), None);
+    // The first source fails, so the second one is used.
+    let second = tracker.fetch_finished(NOW, &first).expect("another fetch");
     assert_eq!(second.source, peer("b"));
-    assert!(spread.put_in_force(5));
-    assert!(!spread.put_in_force(4) && !spread.put_in_force(5));
-    assert_eq!(spread.fetch_finished(NOW, &second), None);
-    assert_eq!(spread.version_announced(NOW, 5, peer("c")), None);
-    assert_eq!(spread.in_force(), 5);
-    // A source that never answers doesn't block the next one for ever.
-    assert!(spread.version_announced(NOW, 6, peer("d")).is_some());
+    assert!(tracker.put_in_force(5));
+    assert!(!tracker.put_in_force(4) && !tracker.put_in_force(5));
+    assert_eq!(tracker.fetch_finished(NOW, &second), None);
+    assert_eq!(tracker.version_announced(NOW, 5, peer("c")), None);
+    assert_eq!(tracker.in_force(), 5);
+    // A source that never answers blocks the next one only until the timeout.
+    assert!(tracker.version_announced(NOW, 6, peer("d")).is_some());
     assert!(
-        spread
+        tracker
             .version_announced(Duration::from_secs(3), 6, peer("e"))
             .is_some()
     );
 }
 
-/// News spread by push and by exchanges among daemons that never lose what they know.
-fn spread_to_all(count: usize, seed: u64, cut_off: usize) -> usize {
+/// Returns how many daemons receive an update by push alone, if those with an index below `cut_off` are unreachable.
+fn push_to_all(count: usize, seed: u64, cut_off: usize) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let all = membership((0..count as u64).map(live));
     let records: Vec<MemberRecord> = all.present().cloned().collect();
     let mut knows = vec![false; count];
     let index_of =
         |record: &MemberRecord| records.iter().position(|r| r.instance == record.instance);
-    let mut fresh = vec![cut_off];
+    let mut newly_reached = vec![cut_off];
     knows[cut_off] = true;
     let mut rounds = 0;
-    while !fresh.is_empty() {
+    while !newly_reached.is_empty() {
         rounds += 1;
         let mut next = Vec::new();
-        for at in fresh {
-            for target in push_targets(records.iter(), &records[at], PUSH_FAN_OUT, &mut rng) {
+        for sender in newly_reached {
+            for target in push_targets(records.iter(), &records[sender], PUSH_FAN_OUT, &mut rng) {
                 let target = index_of(target).expect("a member");
                 if target >= cut_off && !knows[target] {
                     knows[target] = true;
@@ -160,31 +160,31 @@
                 }
             }
         }
-        fresh = next;
+        newly_reached = next;
     }
     assert!(rounds < 20);
     knows.iter().filter(|knows| **knows).count()
 }
 
 #[test]
-fn a_push_alone_reaches_nearly_everybody_in_a_few_rounds() {
+fn a_push_alone_reaches_most_members_in_a_few_rounds() {
     for seed in 0..5 {
-        let reached = spread_to_all(2_700, seed, 0);
+        let reached = push_to_all(2_700, seed, 0);
         assert!(reached > 2_600, "{reached} of 2700");
-        // A third is cut off; the rest is still reached, and exchanges do the remainder.
-        let reached = spread_to_all(2_700, seed, 900);
+        // With a third unreachable, a push still reaches most of the others; periodic exchanges reach the rest.
+        let reached = push_to_all(2_700, seed, 900);
         assert!(reached > 1_500, "{reached} of 1800");
     }
 }
 
 proptest! {
     #[test]
-    fn in_any_order_of_news_all_come_to_the_same_members_and_digest(
-        news in prop::collection::vec((0u64..10, 1u64..4, 0u32..4, 0u8..3), 1..60),
+    fn merging_updates_in_any_order_gives_the_same_members_and_digest(
+        updates in prop::collection::vec((0u64..10, 1u64..4, 0u32..4, 0u8..3), 1..60),
         seed: u64,
     ) {
         let states = [MemberState::Live, MemberState::Leaving, MemberState::Gone];
-        let mut records: Vec<MemberRecord> = news
+        let mut records: Vec<MemberRecord> = updates
             .into_iter()
             .map(|(number, started, sequence, state)| record(number, started, sequence, states[usize::from(state)]))
             .collect();
@@ -201,7 +201,7 @@
     }
 
     #[test]
-    fn an_exchange_of_differing_groups_makes_two_daemons_agree(
+    fn an_exchange_of_differing_buckets_makes_two_daemons_agree(
         left in prop::collection::vec((0u64..200, 1u64..3), 0..100),
         right in prop::collection::vec((0u64..200, 1u64..3), 0..100),
     ) {
@@ -229,13 +229,13 @@
     for own in 0..8 {
         assert_eq!(names(own, "i2"), ["i3", "i4", "i5"]);
         assert_eq!(names(own, "i6"), ["i7", "i0", "i1"]);
-        // One that was never known has its own, too.
+        // An instance that was never a member has successors, too.
         assert_eq!(names(own, "i55"), ["i6", "i7", "i0"]);
     }
 }
 
 #[test]
-fn a_fleet_of_two_leaves_one_to_look() {
+fn in_a_fleet_of_two_the_other_member_is_the_only_successor() {
     let own = live(1);
     assert_eq!(successors([].into_iter(), &own, "i0", 3), ["i1"]);
 }
--- a/crates/sorrelturn-fleet/tests/status.rs
+++ b/crates/sorrelturn-fleet/tests/status.rs
@@ -1,4 +1,4 @@
-//! What a failure domain's watcher hears and says of its members.
+//! A watcher's report rate stays bounded, and members count as silent only after the timeout.
 
 use sorrelturn_fleet::*;
 use sorrelturn_protocol::MemberState;
@@ -14,19 +14,22 @@
 }
 
 #[test]
-fn however_large_a_failure_domain_its_watcher_hears_two_idle_reports_a_second_at_the_most() {
+fn a_watcher_receives_at_most_two_idle_reports_per_second() {
     assert_eq!(report_interval(3), Duration::from_secs(20));
     for members in [40, 135, 2_700] {
-        let heard = members as f64 / report_interval(members).as_secs_f64();
-        assert!(heard <= 2.001, "{heard} a second of {members}");
+        let reports_per_second = members as f64 / report_interval(members).as_secs_f64();
+        assert!(
+            reports_per_second <= 2.001,
+            "{reports_per_second} reports per second from {members} members"
+        );
     }
 }
 
 #[test]
-fn a_member_that_reports_as_it_should_is_never_called_silent_and_one_that_stops_is() {
+fn only_a_member_that_stops_reporting_counts_as_silent() {
     for members in [3, 135] {
         let mut view = DomainView::default();
-        // A daemon looks every few seconds whether it should report.
+        // A daemon checks every few seconds whether a report is due.
         let late = report_interval(members) + Duration::from_secs(7);
         view.report(Duration::ZERO, report("a", 2));
         view.report(late, report("b", 1));
--- a/crates/sorrelturn-protocol/tests/headers_round_trip.rs
+++ b/crates/sorrelturn-protocol/tests/headers_round_trip.rs
@@ -48,7 +48,7 @@
     }
 
     #[test]
-    fn garbage_in_a_context_header_is_an_error_and_no_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_an_invalid_context_header_does_not_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = CallContext::decode(&text);
         let _ = AnswerContext::decode(&text);
     }
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn importance_outweighs_every_keep_bucket() {
+fn importance_outweighs_every_shedding_bucket() {
     for pair in Importance::ALL.windows(2) {
         assert!(Priority::new(pair[0], u8::MAX) < Priority::new(pair[1], 0));
         assert_eq!(Priority::new(pair[1], 0).importance(), pair[1]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn of_two_verdicts_the_one_that_ran_further_holds() {
+fn combining_two_verdicts_returns_the_greater_one() {
     assert_eq!(
         Verdict::NotRun.combine(Verdict::MayHaveRun),
         Verdict::MayHaveRun
--- a/crates/sorrelturn-telemetry/tests/catalogues.rs
+++ b/crates/sorrelturn-telemetry/tests/catalogues.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn every_event_stands_on_its_page_and_nothing_else_does() {
+fn the_events_page_lists_exactly_the_events_of_the_catalogue() {
     let page = page("EVENTS.md");
     let rows: Vec<&str> = page
         .lines()
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn numbers_and_names_of_events_are_unique_and_rise() {
+fn numbers_of_events_increase_and_names_are_unique() {
     let numbers: Vec<u16> = events::CATALOGUE.iter().map(|kind| kind.number).collect();
     assert!(numbers.is_sorted_by(|left, right| left < right));
     let names: HashSet<&str> = events::CATALOGUE.iter().map(|kind| kind.name).collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_metric_stands_on_its_page_and_nothing_else_does() {
+fn the_metrics_page_lists_exactly_the_metrics_of_the_catalogue() {
     let page = page("METRICS.md");
     let rows: Vec<&str> = page
         .lines()
--- a/crates/sorrelturn-telemetry/tests/log_lines.rs
+++ b/crates/sorrelturn-telemetry/tests/log_lines.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn other_lines_are_no_events() {
+fn other_lines_are_not_parsed_as_events() {
     for line in [
         "",
         "INFO",
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_value_with_line_ends_and_colours_stays_one_plain_line() {
+fn control_characters_in_a_value_are_escaped_in_the_log() {
     let field = Field::new("backend", "b\nINFO 1 i-1 S002 stopped \u{1b}[31m");
     let line = field.to_string();
     assert_eq!(line, r"backend=b\nINFO 1 i-1 S002 stopped \u{1b}[31m");
