--- /dev/null
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -0,0 +1,111 @@
+//! The bundle version in force on one daemon, and the propagation of higher versions.
+//! See `docs/design/spread.md`.
+
+use crate::Now;
+use sorrelturn_protocol::MemberRecord;
+use std::time::Duration;
+
+/// The number of peers to which each daemon pushes an update.
+pub const PUSH_FAN_OUT: usize = 5;
+/// After this time a new fetch may replace an unfinished one.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The source of a bundle.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Source {
+    /// The platform's store.
+    Store,
+    /// The daemon of the named instance.
+    Peer(String),
+}
+
+/// A request to fetch a bundle of at least the given version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Fetch {
+    /// The announced version.
+    pub version: u64,
+    /// The source to fetch from.
+    pub source: Source,
+}
+
+/// Tracks the bundle version in force on one daemon, which only increases, and the fetches of higher versions.
+#[derive(Clone, Debug, Default)]
+pub struct BundleTracker {
+    in_force: u64,
+    fetching: Option<(Fetch, Now)>,
+    queued: Option<Fetch>,
+}
+
+impl BundleTracker {
+    /// Returns the version in force; 0 before the first bundle.
+    pub fn in_force(&self) -> u64 {
+        self.in_force
+    }
+
+    /// Handles the announcement that `source` has `version`. Returns a fetch to start now, if any.
+    pub fn version_announced(&mut self, now: Now, version: u64, source: Source) -> Option<Fetch> {
+        if version <= self.in_force {
+            return None;
+        }
+        let fetch = Fetch { version, source };
+        match &self.fetching {
+            Some((running, started_at)) if now < *started_at + FETCH_TIMEOUT => {
+                let is_other_source = running.source != fetch.source;
+                if is_other_source || running.version < version {
+                    self.queued = Some(fetch);
+                }
+                None
+            }
+            _ => Some(self.start(now, fetch)),
+        }
+    }
+
+    /// Puts a fetched and validated version in force. Returns whether it is higher than the previous one.
+    pub fn put_in_force(&mut self, version: u64) -> bool {
+        let is_higher = version > self.in_force;
+        if is_higher {
+            self.in_force = version;
+        }
+        is_higher
+    }
+
+    /// Handles the end of a fetch, whether it succeeded or failed. Returns the next fetch to start, if any.
+    pub fn fetch_finished(&mut self, now: Now, fetch: &Fetch) -> Option<Fetch> {
+        if self
+            .fetching
+            .as_ref()
+            .is_some_and(|(running, _)| running == fetch)
+        {
+            self.fetching = None;
+        }
+        let next = self.queued.take()?;
+        self.version_announced(now, next.version, next.source)
+    }
+
+    fn start(&mut self, now: Now, fetch: Fetch) -> Fetch {
+        self.fetching = Some((fetch.clone(), now));
+        fetch
+    }
+}
+
+/// Chooses the peers to which an update is pushed: half in the daemon's own failure domain and half in others, so
+/// that an update reaches all failure domains quickly and then spreads within each.
+pub fn push_targets<'a>(
+    members: impl Iterator<Item = &'a MemberRecord>,
+    own: &MemberRecord,
+    count: usize,
+    rng: &mut fastrand::Rng,
+) -> Vec<&'a MemberRecord> {
+    let (mut same_domain, mut other_domains): (Vec<_>, Vec<_>) = members
+        .filter(|record| record.instance != own.instance)
+        .partition(|record| record.failure_domain == own.failure_domain);
+    rng.shuffle(&mut same_domain);
+    rng.shuffle(&mut other_domains);
+    let other_count = (count / 2).min(other_domains.len());
+    let same_count = (count - other_count).min(same_domain.len());
+    let extra_count = (count - other_count - same_count).min(other_domains.len() - other_count);
+    same_domain.truncate(same_count);
+    other_domains.truncate(other_count + extra_count);
+    same_domain.append(&mut other_domains);
+    same_domain
+}
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts that are in progress or recently ended at an owner, for senders that miss a response.
 //! See `docs/design/silent-connections.md`.
 
-use sorrelturn_protocol::{AttemptId, Fate};
+use sorrelturn_protocol::{AttemptId, AttemptStatus};
 use std::{
     collections::{HashMap, VecDeque},
     time::Duration,
@@ -87,20 +87,20 @@
 
     /// Returns the status of an attempt that was sent `sent_ago` before the query. An attempt that never arrived is
     /// fenced: it is refused if it arrives later.
-    pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> Fate {
+    pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> AttemptStatus {
         self.evict_expired(now);
         if self.in_progress.contains_key(&attempt) {
-            return Fate::AtWork;
+            return AttemptStatus::AtWork;
         }
         let earliest_sent = now.checked_sub(sent_ago + MAX_QUERY_DELAY);
         let may_have_been_evicted = self
             .last_evicted_end
             .is_some_and(|until| earliest_sent.is_none_or(|earliest_sent| until >= earliest_sent));
         if may_have_been_evicted || self.ended.contains(attempt) {
-            return Fate::Over;
+            return AttemptStatus::Over;
         }
         self.fenced.insert(now, attempt);
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     }
 
     /// Each attempt adds one ended entry, so evicting two per call keeps up.
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use sorrelturn_once::AttemptRegister;
-use sorrelturn_protocol::{AttemptId, Fate, RequestId, SpanId};
+use sorrelturn_protocol::{AttemptId, AttemptStatus, RequestId, SpanId};
 use std::{collections::HashMap, time::Duration};
 
 fn attempt(number: u64) -> AttemptId {
@@ -22,7 +22,7 @@
     let mut register = AttemptRegister::default();
     assert_eq!(
         register.status(at(1_000), attempt(1), at(500)),
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     );
     assert!(!register.begin(at(1_200), attempt(1)));
     assert!(register.begin(at(1_200), attempt(2)));
@@ -34,12 +34,12 @@
     assert!(register.begin(at(1_000), attempt(1)));
     assert_eq!(
         register.status(at(2_000), attempt(1), at(1_000)),
-        Fate::AtWork
+        AttemptStatus::AtWork
     );
     register.end(at(2_100), attempt(1));
     assert_eq!(
         register.status(at(2_200), attempt(1), at(1_200)),
-        Fate::Over
+        AttemptStatus::Over
     );
 }
 
@@ -49,7 +49,10 @@
     assert!(register.begin(at(0), attempt(1)));
     assert!(register.begin(at(10), attempt(1)));
     register.end(at(20), attempt(1));
-    assert_eq!(register.status(at(30), attempt(1), at(30)), Fate::AtWork);
+    assert_eq!(
+        register.status(at(30), attempt(1), at(30)),
+        AttemptStatus::AtWork
+    );
 }
 
 #[test]
@@ -62,12 +65,12 @@
     }
     assert_eq!(
         register.status(at(20_000), attempt(1), at(20_000)),
-        Fate::Over
+        AttemptStatus::Over
     );
     // The status is certain for attempts sent after the end of every evicted attempt.
     assert_eq!(
         register.status(at(20_000), attempt(99), at(600)),
-        Fate::NeverCame
+        AttemptStatus::NeverCame
     );
 }
 
@@ -77,7 +80,7 @@
     let mut register = AttemptRegister::default();
     for ms in [0, 30_000] {
         let status = register.status(at(ms), attempt(1), at(ms));
-        assert_eq!(status, Fate::NeverCame);
+        assert_eq!(status, AttemptStatus::NeverCame);
     }
     assert!(register.begin(at(61_000), attempt(2)));
     assert!(!register.begin(at(89_000), attempt(1)));
@@ -132,7 +135,7 @@
                 Step::Asks(number) => {
                     // All attempts were sent at the start of the schedule.
                     let status = register.status(now, attempt(number), now);
-                    if status == Fate::NeverCame {
+                    if status == AttemptStatus::NeverCame {
                         prop_assert!(!ran.contains_key(&number), "attempt {number} had already run");
                         fenced.insert(number, now);
                     }
