--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -218,7 +218,9 @@
             .flat_map(|service| service.kinds.keys())
             .filter_map(|name| bundle.kind(name))
     };
-    let need = kinds().map(|kind| (kind.name.clone(), kind.need)).collect();
+    let need = kinds()
+        .map(|kind| (kind.name.clone(), kind.min_executions))
+        .collect();
     let once: Vec<String> = kinds()
         .filter(|kind| kind.at_most_once())
         .map(|kind| kind.name.clone())
--- a/crates/sorrelturn-bench/tests/at_most_once.rs
+++ b/crates/sorrelturn-bench/tests/at_most_once.rs
@@ -291,7 +291,7 @@
         assert_eq!(status.code(), Some(0));
         let platform = Platform::new(fleet.platform, Duration::from_secs(20));
         let closing = platform
-            .get(&keys::closing(incarnation))
+            .get(&keys::closing_record(incarnation))
             .await
             .expect("the store answers");
         assert!(closing.is_some());
--- a/crates/sorrelturn-bundle/src/check.rs
+++ b/crates/sorrelturn-bundle/src/check.rs
@@ -1,8 +1,8 @@
 //! Checks that a bundle can be kept: everything that an operator would otherwise learn under load.
 
 use crate::{
-    BundleSource, Diagnostic, Execution, Kind, PathPattern, SECTION_LIMIT_BYTES, SourceMap,
-    index::{MAX_DEPTH, Network, needs},
+    BundleSource, Diagnostic, Execution, Kind, MAX_SECTION_BYTES, PathPattern, SourceMap,
+    index::{MAX_CALL_DEPTH, Network, min_executions_by_kind},
     split,
 };
 use sorrelturn_protocol::Importance;
@@ -64,9 +64,9 @@
             ));
         }
     }
-    let needs = needs(source);
+    let min_executions = min_executions_by_kind(source);
     for (service, name, kind) in kinds(source) {
-        check_kind(service, name, kind, needs[name], map, findings);
+        check_kind(service, name, kind, min_executions[name], map, findings);
     }
 }
 
@@ -74,7 +74,7 @@
     service: &str,
     name: &str,
     kind: &Kind,
-    need: u32,
+    min_executions: u32,
     map: &SourceMap,
     findings: &mut Vec<Diagnostic>,
 ) {
@@ -106,14 +106,14 @@
             format!("write milliseconds, from 1 to {MAX_DEADLINE_MS}"),
         );
     }
-    if kind.attempts < need {
+    if kind.attempts < min_executions {
         at(
             "attempts",
             format!(
-                "kind {name} may cost {} executions but needs {need}",
+                "kind {name} may cost {} executions but needs {min_executions}",
                 kind.attempts
             ),
-            format!("write {need} or more: itself and every call that it declares"),
+            format!("write {min_executions} or more: itself and every call that it declares"),
         );
     }
     if kind.importance == Importance::Critical
@@ -217,7 +217,7 @@
     let Some(kind) = by_name.get(from) else {
         return false;
     };
-    depth < MAX_DEPTH
+    depth < MAX_CALL_DEPTH
         && kind
             .calls
             .keys()
@@ -292,11 +292,11 @@
 
 fn check_sizes(source: &BundleSource, map: &SourceMap, findings: &mut Vec<Diagnostic>) {
     for section in split(source) {
-        if section.bytes.len() > SECTION_LIMIT_BYTES {
+        if section.bytes.len() > MAX_SECTION_BYTES {
             findings.push(map.at(
                 &["services", &section.name],
                 format!("section {} has {} bytes", section.name, section.bytes.len()),
-                format!("the platform holds {SECTION_LIMIT_BYTES} bytes: cut the service in two"),
+                format!("the platform holds {MAX_SECTION_BYTES} bytes: cut the service in two"),
             ));
         }
     }
--- a/crates/sorrelturn-bundle/src/index.rs
+++ b/crates/sorrelturn-bundle/src/index.rs
@@ -3,7 +3,7 @@
 use crate::{
     BundleSource, Caller, CredentialHash, Execution, Kind, Limits, PathPattern, RouteEntry,
     RouteTable, Service, WorkspaceEntry,
-    routes::{RouteIndex, service_of},
+    routes::{RouteIndex, routed_service},
     workspaces::{WorkspaceIndex, caller_id},
 };
 use sorrelturn_protocol::{CallerId, Importance};
@@ -26,7 +26,7 @@
     /// The time within which an answer is worth most, where the bundle names one.
     pub target: Option<Duration>,
     /// The executions that it needs when nothing fails: itself and all that it calls.
-    pub need: u32,
+    pub min_executions: u32,
     /// Absent for the kinds of routes, which are told by host and path prefix.
     pattern: Option<PathPattern>,
 }
@@ -34,13 +34,13 @@
 impl KindEntry {
     /// The kind that a route's requests have at one service. It needs one execution: what a
     /// backend server calls for it is a request of its own.
-    pub fn of_route(name: String, service: &str, kind: Kind, target: Option<Duration>) -> Self {
+    pub fn for_route(name: String, service: &str, kind: Kind, target: Option<Duration>) -> Self {
         Self {
             name,
             service: service.to_owned(),
             kind,
             target,
-            need: 1,
+            min_executions: 1,
             pattern: None,
         }
     }
@@ -119,7 +119,7 @@
 impl Bundle {
     /// Indexes a bundle that passed [`check`](crate::check()); what doesn't fit is left out.
     pub fn new(version: u64, source: BundleSource) -> Self {
-        let needs = needs(&source);
+        let min_executions = min_executions_by_kind(&source);
         let mut kinds = HashMap::new();
         let mut by_method: HashMap<String, Vec<Arc<KindEntry>>> = HashMap::new();
         for (service_name, service) in &source.services {
@@ -132,7 +132,7 @@
                     name: name.clone(),
                     service: service_name.clone(),
                     kind: kind.clone(),
-                    need: needs.get(name.as_str()).copied().unwrap_or(1),
+                    min_executions: min_executions.get(name.as_str()).copied().unwrap_or(1),
                     pattern: Some(pattern),
                 });
                 kinds.insert(name.clone(), Arc::clone(&entry));
@@ -154,7 +154,7 @@
     }
 
     /// Indexes a route table that passed [`RouteTable::check`].
-    pub fn of_routes(table: &RouteTable) -> Self {
+    pub fn from_route_table(table: &RouteTable) -> Self {
         let routes = RouteIndex::new(table);
         let kinds = routes
             .all()
@@ -164,7 +164,7 @@
         let services = table
             .services
             .iter()
-            .map(|(name, service)| (name.clone(), service_of(service)))
+            .map(|(name, service)| (name.clone(), routed_service(service)))
             .collect();
         let probe_paths = table
             .services
@@ -284,7 +284,7 @@
 }
 
 /// For each kind, the executions that it needs when nothing fails.
-pub(crate) fn needs(source: &BundleSource) -> BTreeMap<&str, u32> {
+pub(crate) fn min_executions_by_kind(source: &BundleSource) -> BTreeMap<&str, u32> {
     let kinds: BTreeMap<&str, &Kind> = source
         .services
         .values()
@@ -293,21 +293,21 @@
         .collect();
     kinds
         .keys()
-        .map(|name| (*name, need(&kinds, name, 0)))
+        .map(|name| (*name, count_executions(&kinds, name, 0)))
         .collect()
 }
 
 /// Chains deeper than this are refused by the check, so the recursion ends even in a cycle.
-pub(crate) const MAX_DEPTH: u32 = 16;
+pub(crate) const MAX_CALL_DEPTH: u32 = 16;
 
-fn need(kinds: &BTreeMap<&str, &Kind>, name: &str, depth: u32) -> u32 {
+fn count_executions(kinds: &BTreeMap<&str, &Kind>, name: &str, depth: u32) -> u32 {
     let Some(kind) = kinds.get(name) else {
         return 1;
     };
-    if depth >= MAX_DEPTH {
+    if depth >= MAX_CALL_DEPTH {
         return 1;
     }
     kind.calls.iter().fold(1, |sum: u32, (child, times)| {
-        sum.saturating_add(need(kinds, child, depth + 1).saturating_mul(*times))
+        sum.saturating_add(count_executions(kinds, child, depth + 1).saturating_mul(*times))
     })
 }
--- a/crates/sorrelturn-bundle/src/lib.rs
+++ b/crates/sorrelturn-bundle/src/lib.rs
@@ -15,7 +15,7 @@
 pub use diagnostic::{Diagnostic, SourceMap};
 pub use index::{Bundle, CallerEntry, KindEntry};
 pub use manifest::{
-    ContentHash, Manifest, ManifestError, SECTION_LIMIT_BYTES, SectionBytes, SignedManifest, join,
+    ContentHash, MAX_SECTION_BYTES, Manifest, ManifestError, SectionBytes, SignedManifest, join,
     split,
 };
 pub use model::{BundleSource, Caller, Execution, Kind, Service};
--- a/crates/sorrelturn-bundle/src/manifest.rs
+++ b/crates/sorrelturn-bundle/src/manifest.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// The largest section, in bytes: the platform holds values up to a megabyte.
-pub const SECTION_LIMIT_BYTES: usize = 1_000_000;
+pub const MAX_SECTION_BYTES: usize = 1_000_000;
 
 /// The section that holds the callers; a service can't have this name because of its sign.
 const CALLERS_SECTION: &str = "@callers";
@@ -69,7 +69,7 @@
     /// section {0} is missing
     SectionMissing(String),
     /// section {0} doesn't have the content that the manifest names
-    SectionForged(String),
+    SectionHashMismatch(String),
 }
 
 impl std::error::Error for ManifestError {}
@@ -118,7 +118,7 @@
     for (name, hash) in &manifest.sections {
         let bytes = section(hash).ok_or_else(|| ManifestError::SectionMissing(name.clone()))?;
         if ContentHash::of(bytes) != *hash {
-            return Err(ManifestError::SectionForged(name.clone()));
+            return Err(ManifestError::SectionHashMismatch(name.clone()));
         }
         if name == CALLERS_SECTION {
             source.callers = read::<BTreeMap<String, Caller>>(bytes)?;
--- a/crates/sorrelturn-bundle/src/routes.rs
+++ b/crates/sorrelturn-bundle/src/routes.rs
@@ -110,21 +110,21 @@
     /// the route table has no version
     NoVersion,
     /// route {0}: path_prefix must begin and end with a slash
-    Prefix(String),
+    InvalidPrefix(String),
     /// route {0}: no service, or none with a weight
-    NoShare(String),
+    NoWeightedShare(String),
     /// route {0}: service {1} is not described
     UnknownService(String, String),
     /// route {0}: attempts must be 1 or more
     NoAttempts(String),
     /// route {0}: deadline_ms must be from 1 to 600000
-    Deadline(String),
+    InvalidDeadline(String),
     /// routes {0} and {1} have the same host and path_prefix
-    SamePlace(String, String),
+    DuplicateRoute(String, String),
     /// workspaces {0} and {1} have a credential in common
     SharedCredential(String, String),
     /// workspace {0}: rate_per_second and burst must be 0 or more
-    Quota(String),
+    InvalidQuota(String),
 }
 
 impl std::error::Error for RouteError {}
@@ -140,7 +140,7 @@
             self.check_route(name, route)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
             if let Some(other) = places.insert(place, name) {
-                return Err(RouteError::SamePlace(other.to_owned(), name.clone()));
+                return Err(RouteError::DuplicateRoute(other.to_owned(), name.clone()));
             }
         }
         self.check_workspaces()
@@ -151,7 +151,7 @@
         for (name, workspace) in &self.workspaces {
             // Written so that a number that is none fails as well.
             if !(workspace.rate_per_second >= 0.0 && workspace.burst >= 0.0) {
-                return Err(RouteError::Quota(name.clone()));
+                return Err(RouteError::InvalidQuota(name.clone()));
             }
             for credential in &workspace.credentials_blake3 {
                 match holders.insert(*credential, name) {
@@ -169,16 +169,16 @@
     fn check_route(&self, name: &str, route: &Route) -> Result<(), RouteError> {
         let prefix = &route.path_prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            return Err(RouteError::Prefix(name.to_owned()));
+            return Err(RouteError::InvalidPrefix(name.to_owned()));
         }
         if route.shares.iter().all(|share| share.weight == 0) {
-            return Err(RouteError::NoShare(name.to_owned()));
+            return Err(RouteError::NoWeightedShare(name.to_owned()));
         }
         if route.attempts == 0 {
             return Err(RouteError::NoAttempts(name.to_owned()));
         }
         if route.deadline_ms == 0 || route.deadline_ms > MAX_DEADLINE_MS {
-            return Err(RouteError::Deadline(name.to_owned()));
+            return Err(RouteError::InvalidDeadline(name.to_owned()));
         }
         let unknown = route
             .shares
@@ -208,7 +208,7 @@
 
 impl RouteEntry {
     /// The kind of the share at `point`, a number from 0 up to 1, of all weights.
-    pub fn share_at(&self, point: f64) -> Option<&Arc<KindEntry>> {
+    pub fn kind_at(&self, point: f64) -> Option<&Arc<KindEntry>> {
         let (total, _) = self.shares.last()?;
         let wanted = (point * *total as f64) as u64;
         let share = self.shares.iter().find(|(upto, _)| wanted < *upto);
@@ -284,7 +284,7 @@
                 calls: BTreeMap::new(),
             };
             let target = Some(Duration::from_millis(route.target_ms.into()));
-            let entry = KindEntry::of_route(kind_name, &share.service, kind, target);
+            let entry = KindEntry::for_route(kind_name, &share.service, kind, target);
             (upto, Arc::new(entry))
         })
         .collect();
@@ -297,7 +297,7 @@
 }
 
 /// What a daemon knows of a service before its instances announce their slots.
-pub(crate) fn service_of(routed: &RoutedService) -> Service {
+pub(crate) fn routed_service(routed: &RoutedService) -> Service {
     Service {
         slots: 1,
         connections: routed.connections,
--- a/crates/sorrelturn-bundle/tests/routes.rs
+++ b/crates/sorrelturn-bundle/tests/routes.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
-    let bundle = Bundle::of_routes(&table(vec![
+    let bundle = Bundle::from_route_table(&table(vec![
         ("short", route("h.example", "/x/", &[("a", 1)])),
         ("long", route("h.example", "/x/y/", &[("b", 1)])),
         ("other", route("o.example", "/x/y/z/", &[("a", 1)])),
@@ -68,17 +68,17 @@
 #[test]
 fn shares_follow_their_weights_and_zero_gets_nothing() {
     let routes = vec![("r", route("h", "/", &[("a", 90), ("b", 10)]))];
-    let bundle = Bundle::of_routes(&table(routes));
+    let bundle = Bundle::from_route_table(&table(routes));
     let route = bundle.match_route("h", "/1").expect("the route");
     let of_a = (0..1_000)
         .filter(|step| {
-            let kind = route.share_at(f64::from(*step) / 1_000.0);
+            let kind = route.kind_at(f64::from(*step) / 1_000.0);
             kind.is_some_and(|kind| kind.service == "a")
         })
         .count();
     assert_eq!(of_a, 900);
     let routes = vec![("r", route_with_zero())];
-    let bundle = Bundle::of_routes(&table(routes));
+    let bundle = Bundle::from_route_table(&table(routes));
     let route = bundle.match_route("h", "/1").expect("the route");
     assert!(route.kinds().all(|kind| kind.service == "b"));
 }
@@ -92,11 +92,11 @@
     let check = |route| table(vec![("r", route)]).check();
     assert_matches!(
         check(route("h", "/x", &[("a", 1)])),
-        Err(RouteError::Prefix(_))
+        Err(RouteError::InvalidPrefix(_))
     );
     assert_matches!(
         check(route("h", "/", &[("a", 0)])),
-        Err(RouteError::NoShare(_))
+        Err(RouteError::NoWeightedShare(_))
     );
     assert_matches!(
         check(route("h", "/", &[("z", 1)])),
@@ -107,12 +107,12 @@
     assert_matches!(check(none), Err(RouteError::NoAttempts(_)));
     let mut long = route("h", "/", &[("a", 1)]);
     long.deadline_ms = 700_000;
-    assert_matches!(check(long), Err(RouteError::Deadline(_)));
+    assert_matches!(check(long), Err(RouteError::InvalidDeadline(_)));
     let twice = table(vec![
         ("one", route("h", "/", &[("a", 1)])),
         ("two", route("h", "/", &[("b", 1)])),
     ]);
-    assert_matches!(twice.check(), Err(RouteError::SamePlace(_, _)));
+    assert_matches!(twice.check(), Err(RouteError::DuplicateRoute(_, _)));
     let unversioned = RouteTable {
         version: 0,
         ..table(Vec::new())
--- a/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
+++ b/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
@@ -58,7 +58,7 @@
         Err(ManifestError::SectionMissing(_))
     );
     let swapped = join(&manifest, |_| Some(b"{}".as_slice()));
-    assert_matches!(swapped, Err(ManifestError::SectionForged(_)));
+    assert_matches!(swapped, Err(ManifestError::SectionHashMismatch(_)));
 }
 
 #[test]
@@ -96,7 +96,10 @@
         Some("utility-clerks")
     );
     assert_eq!(caller(Some("guessed"), "10.30.4.5"), None);
-    assert_eq!(bundle.kind("tariff-pay").map(|kind| kind.need), Some(3));
+    assert_eq!(
+        bundle.kind("tariff-pay").map(|kind| kind.min_executions),
+        Some(3)
+    );
 }
 
 proptest! {
--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -186,7 +186,7 @@
         return Ok(());
     }
     let text = serde_json::to_string(table).map_err(|error| error.to_string())?;
-    if node.put_in_force(Bundle::of_routes(table), Origin::Routes(text)) {
+    if node.put_in_force(Bundle::from_route_table(table), Origin::Routes(text)) {
         gossip::announce(node, version);
     }
     Ok(())
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -146,7 +146,7 @@
             Some(since) => {
                 let left = async {
                     let _ = silent.recv().await;
-                    Err(PlatformError::Silent)
+                    Err(PlatformError::WatchStalled)
                 };
                 node.platform.watch(prefix, since, wait).or(left).await
             }
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -150,7 +150,7 @@
             entry::serve(&node, ip, req).await
         }
     };
-    let stream = ReadySocket::of_server(tcp);
+    let stream = ReadySocket::for_server(tcp);
     let _ = http1(timers, stream, Some(&conn), HEAD_TIME, closing, answer).await;
 }
 
@@ -201,7 +201,7 @@
     let Accepted { tcp, conn } = accepted;
     let timers = node.timers.clone();
     let answer = async |req| serve(&node, req).await;
-    let stream = ReadySocket::of_server(tcp);
+    let stream = ReadySocket::for_server(tcp);
     let _ = http1(timers, stream, Some(&conn), head_time, closing, answer).await;
 }
 
--- a/crates/sorrelturn-daemon/src/net/stream.rs
+++ b/crates/sorrelturn-daemon/src/net/stream.rs
@@ -87,10 +87,10 @@
     pub(crate) async fn accept(&self, tcp: TcpStream) -> io::Result<BoxStream> {
         let pair = self.current.load_full();
         let Some(pair) = pair.as_ref() else {
-            return Ok(Box::new(ReadySocket::of_server(tcp)));
+            return Ok(Box::new(ReadySocket::for_server(tcp)));
         };
         Ok(Box::new(
-            pair.acceptor.accept(ReadySocket::of_server(tcp)).await?,
+            pair.acceptor.accept(ReadySocket::for_server(tcp)).await?,
         ))
     }
 }
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -67,7 +67,7 @@
         limit,
         members: lock(&node.membership).present().count(),
         control_bytes: node.counts.control_bytes.load(Ordering::Relaxed),
-        platform_calls: node.platform.calls(),
+        platform_calls: node.platform.call_count(),
         watcher: node.counts.watching.load(Ordering::Relaxed),
     }
 }
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -301,7 +301,7 @@
 fn share_of_try(call: &Call, progress: &Progress) -> u32 {
     match call.context.token {
         Some(_) => progress.share,
-        None => first_share(progress.attempts_left, call.kind.need),
+        None => first_share(progress.attempts_left, call.kind.min_executions),
     }
 }
 
@@ -359,7 +359,7 @@
         repeatable: !call.kind.at_most_once(),
         reroutes: progress.reroutes,
         attempts_left: progress.attempts_left,
-        need: call.kind.need,
+        need: call.kind.min_executions,
         time_left,
     };
     progress.crashes += usize::from(reply.context.refusal == Some(Refusal::BackendCrashed));
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -126,7 +126,7 @@
             self.context.clone(),
             self.span,
             self.deadline,
-            self.kind.need,
+            self.kind.min_executions,
         );
         let req = match &self.node.routed {
             None => Some(self.backend_request(req)),
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -73,7 +73,7 @@
         return Reply::not_run(Refusal::UnknownKind);
     };
     let share = match parent {
-        Some(parent) => lock(&parent.attempts).take(kind.need),
+        Some(parent) => lock(&parent.attempts).take(kind.min_executions),
         None => Some(kind.kind.attempts),
     };
     let Some(share) = share else {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -125,7 +125,7 @@
         calls: BTreeMap::new(),
     };
     let name = context.kind.clone();
-    Some(Arc::new(KindEntry::of_route(
+    Some(Arc::new(KindEntry::for_route(
         name,
         &node.settings.service,
         kind,
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -137,7 +137,7 @@
         workspace,
     } = identified;
     let kind = route
-        .share_at(fastrand::f64())
+        .kind_at(fastrand::f64())
         .map(Arc::clone)
         .ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
     let body_bytes = req.body().size_hint().lower();
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -164,7 +164,10 @@
 
 /// The order of the two reads matters: once the closing record is there, the segment is whole.
 async fn recorded_verdict(node: &Node, token: &ExecutionToken) -> Result<Verdict, PlatformError> {
-    let closing = node.platform.get(&keys::closing(token.owner)).await?;
+    let closing = node
+        .platform
+        .get(&keys::closing_record(token.owner))
+        .await?;
     let key = keys::outcomes(token.owner, OutcomeSegment::number_of(token));
     let segment = node.platform.get(&key).await?;
     let closing: Option<ClosingRecord> = parsed(closing.as_ref())?;
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -64,7 +64,7 @@
         return false;
     };
     let value = serde_json::to_string(&closing).unwrap_or_default();
-    let key = keys::closing(node.incarnation);
+    let key = keys::closing_record(node.incarnation);
     let written = node.platform.put(&key, &value, Expected::Anything).await;
     written.is_ok()
 }
@@ -124,7 +124,12 @@
     Timer::after(ttl + SEGMENT).await;
     // Without the closing record nothing is called not run, whatever segments are left; whoever has
     // just read it still finds them.
-    if node.platform.delete(&keys::closing(earlier)).await.is_err() {
+    if node
+        .platform
+        .delete(&keys::closing_record(earlier))
+        .await
+        .is_err()
+    {
         return;
     }
     Timer::after(SEGMENT).await;
--- a/crates/sorrelturn-platform/src/api.rs
+++ b/crates/sorrelturn-platform/src/api.rs
@@ -290,7 +290,7 @@
     }
 
     /// The last word of an incarnation.
-    pub fn closing(owner: Incarnation) -> String {
+    pub fn closing_record(owner: Incarnation) -> String {
         format!("{}closing", outcomes_prefix(owner))
     }
 
--- a/crates/sorrelturn-platform/src/client.rs
+++ b/crates/sorrelturn-platform/src/client.rs
@@ -42,7 +42,7 @@
     /// the object doesn't exist
     Absent,
     /// news came another way that a watch should have told: its connection is silent
-    Silent,
+    WatchStalled,
     /// the platform no longer has the history that the watch asks for
     HistoryGone,
     /// the platform refused the call with status {0}
@@ -59,7 +59,7 @@
     addr: SocketAddr,
     objects_path: String,
     timeout: Duration,
-    calls: AtomicU64,
+    call_count: AtomicU64,
 }
 
 impl Platform {
@@ -69,7 +69,7 @@
             addr,
             objects_path: OBJECTS_PATH.to_owned(),
             timeout,
-            calls: AtomicU64::new(0),
+            call_count: AtomicU64::new(0),
         }
     }
 
@@ -80,8 +80,8 @@
     }
 
     /// How many calls went out, for the budget in `docs/CAPACITY.md`.
-    pub fn calls(&self) -> u64 {
-        self.calls.load(Ordering::Relaxed)
+    pub fn call_count(&self) -> u64 {
+        self.call_count.load(Ordering::Relaxed)
     }
 
     /// Reads one object.
@@ -273,7 +273,7 @@
         req: Request<Bytes>,
         timeout: Duration,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        self.calls.fetch_add(1, Ordering::Relaxed);
+        self.call_count.fetch_add(1, Ordering::Relaxed);
         exchange(self.addr, req, timeout).await
     }
 }
--- a/crates/sorrelturn-platform/src/http.rs
+++ b/crates/sorrelturn-platform/src/http.rs
@@ -13,7 +13,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 /// The largest answer that a control call takes, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// Why an exchange has no answer.
 #[derive(Debug, Display)]
@@ -21,7 +21,7 @@
     /// no connection: {0}
     NotSent(std::io::Error),
     /// the exchange broke off after the request may have been sent: {0}
-    Broke(String),
+    Interrupted(String),
     /// no answer within {0:?}
     TimedOut(Duration),
 }
@@ -48,7 +48,7 @@
     let stream = TcpStream::connect(addr)
         .await
         .map_err(ExchangeError::NotSent)?;
-    let broke = |error: hyper::Error| ExchangeError::Broke(error.to_string());
+    let broke = |error: hyper::Error| ExchangeError::Interrupted(error.to_string());
     let (mut sender, conn) = http1::handshake(hyper_io(stream)).await.map_err(broke)?;
     let host = addr.to_string().parse();
     req.headers_mut()
@@ -60,10 +60,10 @@
             .await
             .map_err(broke)?;
         let (head, body) = res.into_parts();
-        let body = Limited::new(body, ANSWER_LIMIT_BYTES)
+        let body = Limited::new(body, MAX_ANSWER_BYTES)
             .collect()
             .await
-            .map_err(|error| ExchangeError::Broke(error.to_string()))?;
+            .map_err(|error| ExchangeError::Interrupted(error.to_string()))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
     let drive = async {
--- a/crates/sorrelturn-platform/src/hyper_io.rs
+++ b/crates/sorrelturn-platform/src/hyper_io.rs
@@ -16,24 +16,24 @@
 };
 
 /// Gives hyper a stream of the runtime.
-pub fn hyper_io<S>(stream: S) -> FuturesIo<WokenWrites<S>> {
-    FuturesIo::new(WokenWrites::new(stream))
+pub fn hyper_io<S>(stream: S) -> FuturesIo<WakeAfterBlockedWrite<S>> {
+    FuturesIo::new(WakeAfterBlockedWrite::new(stream))
 }
 
 /// Gives hyper the server's end of a connection. It fails once the client has left, whatever it
 /// has sent before that nobody has read.
-pub fn hyper_server_io<S>(stream: S) -> FuturesIo<ReadAhead<WokenWrites<S>>> {
-    FuturesIo::new(ReadAhead::new(WokenWrites::new(stream)))
+pub fn hyper_server_io<S>(stream: S) -> FuturesIo<ReadAhead<WakeAfterBlockedWrite<S>>> {
+    FuturesIo::new(ReadAhead::new(WakeAfterBlockedWrite::new(stream)))
 }
 
 /// A stream that wakes its task after a write that succeeds where the one before would have blocked.
-pub struct WokenWrites<S> {
+pub struct WakeAfterBlockedWrite<S> {
     stream: S,
     /// The last write would have blocked.
     blocked: bool,
 }
 
-impl<S> WokenWrites<S> {
+impl<S> WakeAfterBlockedWrite<S> {
     fn new(stream: S) -> Self {
         Self {
             stream,
@@ -51,7 +51,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for WokenWrites<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WakeAfterBlockedWrite<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -61,7 +61,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for WokenWrites<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WakeAfterBlockedWrite<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/sorrelturn-platform/src/read_ahead.rs
+++ b/crates/sorrelturn-platform/src/read_ahead.rs
@@ -17,9 +17,9 @@
 
 /// The most that is taken in before hyper asks for it, in bytes: what hyper itself may hold of a
 /// request. Of a client that has sent more, the close often can't arrive before that is read.
-const AHEAD_BYTES: usize = 64 << 10;
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
 /// The most that is taken in at once, in bytes; most of what lies behind a request is shorter.
-const PIECE_BYTES: usize = 1 << 10;
+const READ_CHUNK_BYTES: usize = 1 << 10;
 
 /// The server's end of a connection, which fails as soon as the client has closed it.
 pub struct ReadAhead<S> {
@@ -46,8 +46,8 @@
         if self.waits {
             return Ok(());
         }
-        let mut piece = [0; PIECE_BYTES];
-        while self.ahead.len() < AHEAD_BYTES {
+        let mut piece = [0; READ_CHUNK_BYTES];
+        while self.ahead.len() < MAX_READ_AHEAD_BYTES {
             match Pin::new(&mut self.stream).poll_read(cx, &mut piece)? {
                 Poll::Ready(0) => return Err(io::ErrorKind::ConnectionAborted.into()),
                 Poll::Ready(len) => self.ahead.extend_from_slice(&piece[..len]),
--- a/crates/sorrelturn-platform/src/ready_socket.rs
+++ b/crates/sorrelturn-platform/src/ready_socket.rs
@@ -43,7 +43,7 @@
 
     /// As [`ReadySocket::new`], for a server's end. Behind the bytes of a request its client's close may lie already, of
     /// which the reactor tells later: it costs a system call a request to find it before the request runs.
-    pub fn of_server(tcp: TcpStream) -> Self {
+    pub fn for_server(tcp: TcpStream) -> Self {
         Self {
             trusts_short_reads: false,
             ..Self::new(tcp)
--- a/crates/sorrelturn-platform/src/stand_in.rs
+++ b/crates/sorrelturn-platform/src/stand_in.rs
@@ -4,7 +4,7 @@
     Faults,
     api::{Readable, WireEvents, WireObject},
     hyper_io,
-    store::{Store, VALUE_LIMIT_BYTES, Written},
+    store::{MAX_VALUE_BYTES, Store, Written},
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -19,9 +19,9 @@
 };
 
 /// How often a waiting watch looks for changes; far below the seconds that a spread may take.
-const WATCH_STEP: Duration = Duration::from_millis(5);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Room for an object's metadata beside its value, in bytes.
-const HEAD_ROOM_BYTES: usize = 4 << 10;
+const MAX_METADATA_BYTES: usize = 4 << 10;
 
 /// The stand-in's state.
 #[derive(Clone, Default)]
@@ -33,7 +33,7 @@
 pub async fn serve(ex: Arc<Executor<'static>>, listener: TcpListener, stand_in: StandIn) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            Timer::after(WATCH_STEP).await;
+            Timer::after(WATCH_POLL_INTERVAL).await;
             continue;
         };
         let stand_in = stand_in.clone();
@@ -132,7 +132,7 @@
         name: &str,
         apply: fn(&mut Store, &str, &str, WireObject) -> Written,
     ) -> Result<Answer, hyper::Error> {
-        let Ok(body) = Limited::new(req.into_body(), VALUE_LIMIT_BYTES + HEAD_ROOM_BYTES)
+        let Ok(body) = Limited::new(req.into_body(), MAX_VALUE_BYTES + MAX_METADATA_BYTES)
             .collect()
             .await
         else {
@@ -183,7 +183,7 @@
                 return answer;
             }
             drop(store);
-            Timer::after(WATCH_STEP).await;
+            Timer::after(WATCH_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/sorrelturn-platform/src/store.rs
+++ b/crates/sorrelturn-platform/src/store.rs
@@ -7,11 +7,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// The largest value, in bytes.
-pub(crate) const VALUE_LIMIT_BYTES: usize = 1_048_576;
+pub(crate) const MAX_VALUE_BYTES: usize = 1_048_576;
 /// The most objects on one page of a list, as on the users' platform.
-const PAGE: usize = 500;
+const PAGE_CAPACITY: usize = 500;
 /// Changes that watches can still be told of.
-const HISTORY: usize = 10_000;
+const HISTORY_CAPACITY: usize = 10_000;
 
 /// What became of a write.
 pub(crate) enum Written {
@@ -125,7 +125,7 @@
         let event = WireEvent { removed, object };
         self.history
             .push_back((self.revision, kind.to_owned(), event));
-        while self.history.len() > HISTORY {
+        while self.history.len() > HISTORY_CAPACITY {
             if let Some((revision, _, _)) = self.history.pop_front() {
                 self.forgotten = revision;
             }
@@ -146,7 +146,7 @@
             .flat_map(|objects| objects.range(after.to_owned()..))
             .filter(|(name, _)| name.as_str() > after)
             .map(|(_, object)| object.clone());
-        let items: Vec<WireObject> = rest.by_ref().take(PAGE).collect();
+        let items: Vec<WireObject> = rest.by_ref().take(PAGE_CAPACITY).collect();
         WireList {
             has_more: rest.next().is_some(),
             items: items.into(),
--- a/crates/sorrelturn-platform/tests/read_ahead.rs
+++ b/crates/sorrelturn-platform/tests/read_ahead.rs
@@ -114,7 +114,7 @@
                 begun.fetch_add(1, Ordering::Relaxed);
                 Ok::<_, Infallible>(Response::new(Full::new(Bytes::new())))
             });
-            let stream = hyper_server_io(ReadySocket::of_server(tcp));
+            let stream = hyper_server_io(ReadySocket::for_server(tcp));
             // It ends with an error, since the client has left.
             let _ = http1::Builder::new().serve_connection(stream, answer).await;
         });
