--- a/crates/sorrelturn-bundle/src/diagnostic.rs
+++ b/crates/sorrelturn-bundle/src/diagnostic.rs
@@ -1,21 +1,21 @@
-//! Errors that point into the operator's own file.
+//! Errors with a position in the operator's file.
 
 use jsonc_parser::{CollectOptions, ParseOptions, ast, common::Ranged, parse_to_ast};
 use serde::Serialize;
 use std::fmt;
 
-/// One finding: what is wrong, where, and what to do about it.
+/// A problem in a file, with its position and a suggested fix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
-    /// The file, as the operator named it.
+    /// The file name as the operator gave it.
     pub file: String,
     /// The line, counted from 1.
     pub line: usize,
     /// The column, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// The problem.
     pub message: String,
-    /// What to write instead.
+    /// The suggested fix.
     pub help: String,
 }
 
@@ -29,7 +29,7 @@
 
 impl std::error::Error for Diagnostic {}
 
-/// Finds the place in a file that a value was read from.
+/// Maps the path of a value to its position in a file.
 #[derive(Clone, Copy)]
 pub struct SourceMap<'a> {
     file: &'a str,
@@ -37,12 +37,12 @@
 }
 
 impl<'a> SourceMap<'a> {
-    /// Looks into `text`, which errors call `file`.
+    /// Creates a map of `text`. Diagnostics name it `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Self { file, text }
     }
 
-    /// A finding at the value under `path`, or at its nearest parent that the file has.
+    /// Creates a diagnostic at the value under `path`, or at its nearest parent that exists in the file.
     pub fn at(
         &self,
         path: &[&str],
@@ -74,15 +74,15 @@
             let ast::Value::Object(object) = value else {
                 break;
             };
-            let Some(prop) = object
+            let Some(property) = object
                 .properties
                 .iter()
-                .find(|prop| prop.name.as_str() == *name)
+                .find(|property| property.name.as_str() == *name)
             else {
                 break;
             };
-            offset = prop.start();
-            value = &prop.value;
+            offset = property.start();
+            value = &property.value;
         }
         offset
     }
--- a/crates/sorrelturn-bundle/src/index.rs
+++ b/crates/sorrelturn-bundle/src/index.rs
@@ -1,4 +1,4 @@
-//! A bundle in force: indexed for the path of a request.
+//! A bundle indexed for matching requests.
 
 use crate::{
     BundleSource, Caller, CredentialHash, Execution, Kind, Limits, PathPattern, RouteEntry,
@@ -14,26 +14,26 @@
     time::Duration,
 };
 
-/// A kind of request with what the path of a request needs of it.
+/// A request kind as request handling needs it.
 #[derive(Clone, Debug)]
 pub struct KindEntry {
-    /// Its name.
+    /// The name of the kind.
     pub name: String,
-    /// The service that answers it.
+    /// The service that handles it.
     pub service: String,
-    /// As the operators wrote it.
+    /// The kind as written in the bundle.
     pub kind: Kind,
-    /// The time within which an answer is worth most, where the bundle names one.
+    /// The target latency, if the bundle sets one.
     pub target: Option<Duration>,
-    /// The executions that it needs when nothing fails: itself and all that it calls.
+    /// The number of executions without retries: the request and all calls below it.
     pub min_executions: u32,
-    /// Absent for the kinds of routes, which are told by host and path prefix.
+    /// Absent for kinds of routes, which are matched by host and path prefix.
     pattern: Option<PathPattern>,
 }
 
 impl KindEntry {
-    /// The kind that a route's requests have at one service. It needs one execution: what a
-    /// backend server calls for it is a request of its own.
+    /// Creates the kind for requests of a route at one service. It counts one execution, since calls
+    /// that a backend server makes for it are independent requests.
     pub fn for_route(name: String, service: &str, kind: Kind, target: Option<Duration>) -> Self {
         Self {
             name,
@@ -45,25 +45,25 @@
         }
     }
 
-    /// Whether it runs at most once.
+    /// Returns whether requests of this kind are executed at max_prefix_bits once.
     pub fn at_most_once(&self) -> bool {
         self.kind.execution == Execution::AtMostOnce
     }
 
-    /// The importance of its root requests.
+    /// Returns the importance of root requests of this kind.
     pub fn importance(&self) -> Importance {
         self.kind.importance
     }
 }
 
-/// A caller with what the entry needs of it.
+/// A caller as the entry daemon needs it.
 #[derive(Clone, Debug)]
 pub struct CallerEntry {
-    /// Its id.
+    /// The id of the caller.
     pub id: CallerId,
-    /// Its name.
+    /// The name of the caller.
     pub name: String,
-    /// As the operators wrote it.
+    /// The caller as written in the bundle.
     pub caller: Caller,
     networks: Vec<Network>,
 }
@@ -79,8 +79,8 @@
         let (address, bits) = text.split_once('/')?;
         let address: IpAddr = address.parse().ok()?;
         let prefix_bits: u32 = bits.parse().ok()?;
-        let most = if address.is_ipv4() { 32 } else { 128 };
-        (prefix_bits <= most).then_some(Self {
+        let max_prefix_bits = if address.is_ipv4() { 32 } else { 128 };
+        (prefix_bits <= max_prefix_bits).then_some(Self {
             address,
             prefix_bits,
         })
@@ -101,10 +101,10 @@
     }
 }
 
-/// A checked bundle at its version.
+/// A checked and indexed bundle.
 #[derive(Clone, Debug, Default)]
 pub struct Bundle {
-    /// Its version; rises with each publication.
+    /// The version, which increases with each publication.
     pub version: u64,
     source: BundleSource,
     kinds: HashMap<String, Arc<KindEntry>>,
@@ -117,7 +117,7 @@
 }
 
 impl Bundle {
-    /// Indexes a bundle that passed [`check`](crate::check()); what doesn't fit is left out.
+    /// Indexes a bundle that passed [`check`](crate::check()). Kinds with invalid paths and invalid networks are skipped.
     pub fn new(version: u64, source: BundleSource) -> Self {
         let min_executions = min_executions_by_kind(&source);
         let mut kinds = HashMap::new();
@@ -186,57 +186,57 @@
         }
     }
 
-    /// The route of a request, by its host and its path without the query.
+    /// Returns the route that matches a host and a path without its query.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         self.routes.find(host, path)
     }
 
-    /// The kinds of all routes.
+    /// Returns the kinds of all routes.
     pub fn route_kinds(&self) -> impl Iterator<Item = &Arc<KindEntry>> {
         self.routes.all().flat_map(|route| route.kinds())
     }
 
-    /// The path at which an instance of a service answers whether it is well.
+    /// Returns the health check path of a service.
     pub fn probe_path(&self, service: &str) -> Option<&str> {
         self.probe_paths.get(service).map(String::as_str)
     }
 
-    /// Whether requests need credentials.
+    /// Returns whether requests need credentials.
     pub fn has_workspaces(&self) -> bool {
         self.workspaces().next().is_some()
     }
 
-    /// All workspaces.
+    /// Returns all workspaces.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<WorkspaceEntry>> {
         self.workspaces.all()
     }
 
-    /// The workspace that holds a credential.
+    /// Returns the workspace that a credential belongs to.
     pub fn workspace_of(&self, credential: &CredentialHash) -> Option<&Arc<WorkspaceEntry>> {
         self.workspaces.of_credential(credential)
     }
 
-    /// The workspace with this id.
+    /// Returns the workspace with an id.
     pub fn workspace(&self, id: CallerId) -> Option<&Arc<WorkspaceEntry>> {
         self.workspaces.of_id(id)
     }
 
-    /// What a caller may send.
+    /// Returns the size and time limits of requests.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The bundle as operators wrote it.
+    /// Returns the source form of the bundle.
     pub fn source(&self) -> &BundleSource {
         &self.source
     }
 
-    /// The kind with this name.
+    /// Returns the kind with a name.
     pub fn kind(&self, name: &str) -> Option<&Arc<KindEntry>> {
         self.kinds.get(name)
     }
 
-    /// The kind of a request, by its method and its path without the query.
+    /// Returns the kind that matches a method and a path without its query.
     pub fn match_kind(&self, method: &str, path: &str) -> Option<&Arc<KindEntry>> {
         self.by_method.get(method)?.iter().find(|entry| {
             let pattern = entry.pattern.as_ref();
@@ -244,18 +244,18 @@
         })
     }
 
-    /// The service with this name.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.source.services.get(name)
     }
 
-    /// The id of the caller with this name.
+    /// Returns the id of the caller with a name.
     pub fn caller_id(&self, name: &str) -> Option<CallerId> {
         let entry = self.callers.iter().find(|entry| entry.name == name)?;
         Some(entry.id)
     }
 
-    /// Recognises a caller: by its bearer token if it sends one, else by its address.
+    /// Identifies a caller by its bearer token if it sends one, otherwise by its address.
     pub fn match_caller(&self, bearer: Option<&str>, address: IpAddr) -> Option<&Arc<CallerEntry>> {
         if let Some(token) = bearer {
             let hash = blake3::hash(token.as_bytes()).to_hex();
@@ -283,7 +283,7 @@
     })
 }
 
-/// For each kind, the executions that it needs when nothing fails.
+/// Returns, for each kind, the number of executions without retries.
 pub(crate) fn min_executions_by_kind(source: &BundleSource) -> BTreeMap<&str, u32> {
     let kinds: BTreeMap<&str, &Kind> = source
         .services
@@ -297,7 +297,7 @@
         .collect()
 }
 
-/// Chains deeper than this are refused by the check, so the recursion ends even in a cycle.
+/// Bounds the recursion, so that it ends even if the call graph has a cycle.
 pub(crate) const MAX_CALL_DEPTH: u32 = 16;
 
 fn count_executions(kinds: &BTreeMap<&str, &Kind>, name: &str, depth: u32) -> u32 {
@@ -307,7 +307,7 @@
     if depth >= MAX_CALL_DEPTH {
         return 1;
     }
-    kind.calls.iter().fold(1, |sum: u32, (child, times)| {
-        sum.saturating_add(count_executions(kinds, child, depth + 1).saturating_mul(*times))
+    kind.calls.iter().fold(1, |sum: u32, (child, call_count)| {
+        sum.saturating_add(count_executions(kinds, child, depth + 1).saturating_mul(*call_count))
     })
 }
--- a/crates/sorrelturn-bundle/src/model.rs
+++ b/crates/sorrelturn-bundle/src/model.rs
@@ -1,46 +1,46 @@
-//! The bundle as operators write it. Every field is described in `docs/BUNDLE.md`.
+//! The source form of a bundle, as operators write it. `docs/BUNDLE.md` describes every field.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::Importance;
 use std::collections::BTreeMap;
 
-/// A whole bundle.
+/// The contents of a bundle file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleSource {
-    /// The services by name.
+    /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// The callers by name.
+    /// Callers by name.
     pub callers: BTreeMap<String, Caller>,
 }
 
-/// One service and the kinds of requests that it answers.
+/// A service and the kinds of requests that it handles.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// How many requests one instance works on at once.
+    /// Maximum number of requests that one instance processes concurrently.
     pub slots: u32,
-    /// How many connections one instance takes.
+    /// Maximum number of connections to one instance.
     pub connections: u32,
-    /// How many requests may wait for a slot; as many as there are slots where it is absent.
+    /// Maximum number of requests queued for a slot. Defaults to the number of slots.
     #[serde(default)]
     pub queue: Option<u32>,
-    /// The longest time that a request waits for a slot, in milliseconds.
+    /// Maximum time that a request is queued for a slot, in milliseconds.
     #[serde(default = "default_queue_wait_ms")]
     pub queue_wait_ms: u32,
-    /// Statuses by which the backend server says that it refused a request before it ran.
+    /// HTTP statuses with which the backend server rejects a request before executing it.
     #[serde(default)]
     pub refused_statuses: Vec<u16>,
-    /// The header by which the backend server says, in an answer, that it drains.
+    /// Response header with which the backend server announces that it is draining.
     #[serde(default)]
     pub drain_header: Option<String>,
-    /// The header in which the backend server wants the milliseconds left; ours where absent.
+    /// Request header that carries the remaining time in milliseconds. Defaults to Sorrelturn's own header.
     #[serde(default)]
     pub deadline_header: Option<String>,
-    /// The time over which a fresh instance is brought to full load, in milliseconds.
+    /// Time over which the load on a new instance is ramped up, in milliseconds.
     #[serde(default = "default_cold_start_ms")]
     pub cold_start_ms: u32,
-    /// The kinds of requests by name.
+    /// Request kinds by name.
     pub kinds: BTreeMap<String, Kind>,
 }
 
@@ -53,23 +53,23 @@
 }
 
 impl Service {
-    /// How many requests may wait for a slot.
+    /// Returns the maximum number of queued requests, which is at least 1.
     pub fn queue_len(&self) -> u32 {
         self.queue.unwrap_or(self.slots).max(1)
     }
 }
 
-/// Whether a kind of request may run more than once.
+/// How often a request of a kind may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Execution {
-    /// A second run harms nobody, so a lost answer may be asked for again.
+    /// Executing a request again is safe, so it may be retried after a lost response.
     Repeatable,
-    /// It runs at most once, under an execution token.
+    /// A request is executed at most once, under an execution token.
     AtMostOnce,
 }
 
-/// One kind of request.
+/// A kind of request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
@@ -77,37 +77,37 @@
     pub method: String,
     /// The path pattern, as in `/transcripts/{id}`.
     pub path: String,
-    /// How much a root request of this kind matters.
+    /// The importance of a root request of this kind.
     pub importance: Importance,
-    /// Whether it may run more than once.
+    /// Whether a request may be executed more than once.
     pub execution: Execution,
-    /// The time a root request of this kind has, in milliseconds.
+    /// The time limit of a root request of this kind, in milliseconds.
     pub deadline_ms: u32,
-    /// How many executions a root request of this kind may cost over all hops.
+    /// Maximum number of executions that a root request may cause over all hops, retries included.
     pub attempts: u32,
-    /// Whether callers may ask for it; otherwise only backend servers do.
+    /// Whether callers may send it. Otherwise only backend servers may.
     #[serde(default)]
     pub exposed: bool,
-    /// The kinds that it calls, and how often.
+    /// The kinds that it calls, with the number of calls to each.
     #[serde(default)]
     pub calls: BTreeMap<String, u32>,
 }
 
-/// One caller or group of callers. At least one way to recognise it must be given.
+/// A caller or group of callers, identified by a bearer token or by its networks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// The BLAKE3 hash, in hexadecimal, of the bearer token that it sends.
+    /// The BLAKE3 hash of its bearer token, in hexadecimal.
     #[serde(default)]
     pub token_blake3: Option<String>,
-    /// Address prefixes that it calls from, as in `10.1.0.0/16`.
+    /// Source networks in CIDR notation, such as `10.1.0.0/16`.
     #[serde(default)]
     pub networks: Vec<String>,
-    /// How many requests a second it may send to one entry daemon.
+    /// Maximum rate to one entry daemon, in requests per second.
     pub rate_per_second: f64,
-    /// How many retries the entry makes for it, for each of its requests that succeeds.
+    /// Retries that the entry daemon may make per successful request of the caller, from 0 to 1.
     pub retry_fraction: f64,
-    /// The kinds that it may use; all exposed ones where the list is empty.
+    /// The kinds that it may send. An empty list allows all exposed kinds.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
--- a/crates/sorrelturn-bundle/src/parse.rs
+++ b/crates/sorrelturn-bundle/src/parse.rs
@@ -1,20 +1,20 @@
-//! Reading JSON with comments.
+//! Parsing of JSON with comments.
 
 use crate::{BundleSource, Diagnostic};
 use json_comments::StripComments;
 use serde::de::DeserializeOwned;
 
-/// The first thing in a file that can't be read, with its place.
+/// The first syntax or type error in a file, with its position.
 pub type ParseError = Diagnostic;
 
-/// Reads a bundle; `file` is only for errors.
+/// Parses a bundle. `file` is used only in error messages.
 pub fn parse(file: &str, text: &str) -> Result<BundleSource, ParseError> {
     parse_settings(file, text, "docs/BUNDLE.md")
 }
 
-/// Reads any settings file in JSON with comments; `page` is where its fields are described.
+/// Parses a settings file in JSON with comments. `page` is the documentation page of its fields.
 ///
-/// Comments are blanked out and not cut out, so that line and column stay the operator's own.
+/// Comments are replaced by spaces, so that lines and columns in errors match the file.
 pub fn parse_settings<T: DeserializeOwned>(
     file: &str,
     text: &str,
@@ -29,7 +29,7 @@
     })
 }
 
-/// The library appends the position to its text; the diagnostic shows it on a line of its own.
+/// Strips the position that serde_json appends, since the diagnostic prints it separately.
 fn without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rfind(" at line ") {
--- a/crates/sorrelturn-bundle/src/pattern.rs
+++ b/crates/sorrelturn-bundle/src/pattern.rs
@@ -1,6 +1,6 @@
-//! Path patterns of kinds.
+//! Path patterns of request kinds.
 
-/// A path pattern: literal segments and `{name}`, which stands for any one segment.
+/// A path pattern made of literal segments and `{name}`, which matches any single segment.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PathPattern {
     segments: Vec<Segment>,
@@ -13,7 +13,7 @@
 }
 
 impl PathPattern {
-    /// Reads a pattern; `None` where it doesn't start with a slash or has a stray brace.
+    /// Parses a pattern. Returns `None` if it doesn't start with a slash or a segment is malformed.
     pub fn parse(text: &str) -> Option<Self> {
         let segments = text
             .strip_prefix('/')?
@@ -23,19 +23,20 @@
         Some(Self { segments })
     }
 
-    /// Whether a request's path, without its query, is one of this pattern's.
+    /// Returns whether the path of a request, without its query, matches the pattern.
     pub fn matches(&self, path: &str) -> bool {
         let Some(rest) = path.strip_prefix('/') else {
             return false;
         };
-        let mut given = rest.split('/');
-        self.segments
-            .iter()
-            .all(|segment| given.next().is_some_and(|text| segment.matches(text)))
-            && given.next().is_none()
+        let mut path_segments = rest.split('/');
+        self.segments.iter().all(|segment| {
+            path_segments
+                .next()
+                .is_some_and(|text| segment.matches(text))
+        }) && path_segments.next().is_none()
     }
 
-    /// Whether some path fits both patterns, so that a request's kind would depend on their order.
+    /// Returns whether some path matches both patterns, which would make the kind of a request ambiguous.
     pub fn overlaps(&self, other: &Self) -> bool {
         self.segments.len() == other.segments.len()
             && self
