--- a/crates/sorrelturn-bundle/src/check.rs
+++ b/crates/sorrelturn-bundle/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks that a bundle can be kept: everything that an operator would otherwise learn under load.
+//! Validation of a bundle before it is published.
 
 use crate::{
     BundleSource, Diagnostic, Execution, Kind, MAX_SECTION_BYTES, PathPattern, SourceMap,
@@ -8,10 +8,10 @@
 use sorrelturn_protocol::Importance;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest deadline that makes sense for a call; longer ones are taken for a wrong unit.
+/// Maximum deadline of a request. Longer ones probably have the wrong unit.
 pub(crate) const MAX_DEADLINE_MS: u32 = 600_000;
 
-/// Returns all findings, in the file's order of services and callers.
+/// Validates a bundle and returns all problems, grouped by check.
 pub fn check(source: &BundleSource, map: &SourceMap) -> Vec<Diagnostic> {
     let mut findings = Vec::new();
     check_services(source, map, &mut findings);
@@ -37,7 +37,7 @@
         findings.push(map.at(
             &["services"],
             "the bundle has no service",
-            "describe at least one",
+            "define at least one service",
         ));
     }
     for (name, service) in &source.services {
@@ -60,7 +60,7 @@
             findings.push(map.at(
                 &["services", name, "kinds"],
                 format!("service {name} answers no kind of request"),
-                "describe one or remove the service",
+                "define one or remove the service",
             ));
         }
     }
@@ -89,21 +89,21 @@
                 "kind {name} has the path {:?}, which is no pattern",
                 kind.path
             ),
-            "write segments and {names}, as in /transcripts/{id}".to_owned(),
+            "write literal segments and {names}, as in /transcripts/{id}".to_owned(),
         );
     }
     if kind.method.is_empty() || kind.method.bytes().any(|b| !b.is_ascii_uppercase()) {
         at(
             "method",
             format!("kind {name} has the method {:?}", kind.method),
-            "write an HTTP method in capitals, as in GET".to_owned(),
+            "write an HTTP method in upper case, as in GET".to_owned(),
         );
     }
     if kind.deadline_ms == 0 || kind.deadline_ms > MAX_DEADLINE_MS {
         at(
             "deadline_ms",
             format!("kind {name} has a deadline of {} ms", kind.deadline_ms),
-            format!("write milliseconds, from 1 to {MAX_DEADLINE_MS}"),
+            format!("write a time in milliseconds, from 1 to {MAX_DEADLINE_MS}"),
         );
     }
     if kind.attempts < min_executions {
@@ -113,7 +113,9 @@
                 "kind {name} may cost {} executions but needs {min_executions}",
                 kind.attempts
             ),
-            format!("write {min_executions} or more: itself and every call that it declares"),
+            format!(
+                "write {min_executions} or more: one for the request and one for each call below it"
+            ),
         );
     }
     if kind.importance == Importance::Critical
@@ -134,8 +136,8 @@
         if let Some(first) = seen.insert(name, service) {
             findings.push(map.at(
                 &["services", service, "kinds", name],
-                format!("kind {name} stands in {first} and in {service}"),
-                "give each kind a name of its own",
+                format!("kind {name} is defined in both {first} and {service}"),
+                "give each kind a unique name",
             ));
         }
     }
@@ -152,8 +154,8 @@
             if method == earlier_method && pattern.overlaps(earlier_pattern) {
                 findings.push(map.at(
                     &["services", service, "kinds", name, "path"],
-                    format!("kind {name} can't be reached: kind {earlier} has paths in common"),
-                    "give them paths or methods that differ",
+                    format!("kind {name} is ambiguous: kind {earlier} has paths in common"),
+                    "give them different paths or methods",
                 ));
             }
         }
@@ -171,7 +173,7 @@
                 findings.push(map.at(
                     &["services", service, "kinds", name, "calls", child],
                     format!("kind {name} calls {child}, which no service answers"),
-                    "correct the name or describe that kind",
+                    "correct the name or define that kind",
                 ));
             }
         }
@@ -179,14 +181,14 @@
             findings.push(map.at(
                 &["services", service, "kinds", name, "execution"],
                 format!("kind {name} may run twice but calls {child}, which may not"),
-                "write \"at-most-once\": each run of it would run its calls again",
+                "write \"at-most-once\": each execution repeats its calls",
             ));
         }
         if reaches(&by_name, name, name, 0) {
             findings.push(map.at(
                 &["services", service, "kinds", name, "calls"],
                 format!("kind {name} ends up calling itself"),
-                "break the cycle: a call graph must end",
+                "remove a call, so that the call graph has no cycle",
             ));
         }
     }
@@ -194,14 +196,14 @@
         if !kind.exposed && !called.contains(name) {
             findings.push(map.at(
                 &["services", service, "kinds", name],
-                format!("kind {name} can't be reached: it is not exposed and nothing calls it"),
+                format!("kind {name} is unreachable: it is not exposed and nothing calls it"),
                 "write \"exposed\": true, or name it in the calls of another kind",
             ));
         }
     }
 }
 
-/// The calls by which a repeatable kind would repeat what must not be repeated.
+/// Returns the at-most-once kinds that a repeatable kind calls.
 fn at_most_once_children<'a>(
     kind: &'a Kind,
     by_name: &'a BTreeMap<&str, &Kind>,
@@ -213,7 +215,7 @@
     })
 }
 
-fn reaches(by_name: &BTreeMap<&str, &Kind>, from: &str, goal: &str, depth: u32) -> bool {
+fn reaches(by_name: &BTreeMap<&str, &Kind>, from: &str, target: &str, depth: u32) -> bool {
     let Some(kind) = by_name.get(from) else {
         return false;
     };
@@ -221,7 +223,7 @@
         && kind
             .calls
             .keys()
-            .any(|child| child == goal || reaches(by_name, child, goal, depth + 1))
+            .any(|child| child == target || reaches(by_name, child, target, depth + 1))
 }
 
 fn check_callers(source: &BundleSource, map: &SourceMap, findings: &mut Vec<Diagnostic>) {
@@ -233,7 +235,7 @@
         if caller.token_blake3.is_none() && caller.networks.is_empty() {
             at(
                 "networks",
-                format!("caller {name} can't be recognised"),
+                format!("caller {name} can't be identified"),
                 "give token_blake3 or networks",
             );
         }
@@ -253,7 +255,7 @@
         {
             at(
                 "token_blake3",
-                format!("caller {name} has a token hash that is none"),
+                format!("caller {name} has an invalid token hash"),
                 "write the 64 hexadecimal digits of the token's BLAKE3 hash",
             );
         }
@@ -261,7 +263,7 @@
             at(
                 "rate_per_second",
                 format!("caller {name} may send nothing"),
-                "write requests a second, above 0",
+                "write a rate in requests per second, above 0",
             );
         }
         if !(0.0..=1.0).contains(&caller.retry_fraction) {
@@ -279,7 +281,7 @@
                 at(
                     "kinds",
                     format!("caller {name} may use {kind}, which no service answers"),
-                    "correct the name or describe that kind",
+                    "correct the name or define that kind",
                 );
             }
         }
@@ -296,7 +298,7 @@
             findings.push(map.at(
                 &["services", &section.name],
                 format!("section {} has {} bytes", section.name, section.bytes.len()),
-                format!("the platform holds {MAX_SECTION_BYTES} bytes: cut the service in two"),
+                format!("the maximum is {MAX_SECTION_BYTES} bytes: split the service in two"),
             ));
         }
     }
--- a/crates/sorrelturn-bundle/src/manifest.rs
+++ b/crates/sorrelturn-bundle/src/manifest.rs
@@ -1,14 +1,14 @@
-//! Sections and the signed manifest that names them.
+//! Sections of a bundle and the signed manifest that lists them.
 
 use crate::{Bundle, BundleSource, Caller, OperatorKey, Service, TrustedKeys};
 use displaydoc::Display;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
 
-/// The largest section, in bytes: the platform holds values up to a megabyte.
+/// Maximum size of a section, in bytes. The platform stores values of up to a megabyte.
 pub const MAX_SECTION_BYTES: usize = 1_000_000;
 
-/// The section that holds the callers; a service can't have this name because of its sign.
+/// The section that holds the callers. The `@` keeps it apart from names of services.
 const CALLERS_SECTION: &str = "@callers";
 
 /// The BLAKE3 hash of a section, in hexadecimal.
@@ -22,53 +22,53 @@
     }
 }
 
-/// One section: a service, or the callers.
+/// A serialized section: a service or the callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionBytes {
     /// The service's name, or `@callers`.
     pub name: String,
-    /// Its JSON text.
+    /// The section as JSON.
     pub bytes: Vec<u8>,
 }
 
-/// What one publication consists of.
+/// The list of sections of one published version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The version; each publication has a higher one than the publication before.
+    /// The version, which increases with each publication.
     pub version: u64,
-    /// Random, by which a publisher recognises its own publication after a lost answer.
+    /// A random id by which the publisher recognises its own publication after a lost response.
     pub publication: String,
-    /// When it was published, in milliseconds since the Unix epoch; for people only.
+    /// The time of publication, in milliseconds since the Unix epoch. Informational only.
     pub published_ms: u64,
-    /// What the operator says about it.
+    /// A comment by the operator.
     pub note: String,
-    /// The sections by name.
+    /// Content hashes of the sections by name.
     pub sections: BTreeMap<String, ContentHash>,
 }
 
-/// A manifest with its operator's signature.
+/// A manifest with the signature of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SignedManifest {
-    /// The manifest's JSON text, exactly as it was signed.
+    /// The JSON text of the manifest, byte for byte as signed.
     pub manifest: String,
-    /// The operator's name.
+    /// The name of the operator.
     pub operator: String,
-    /// The Ed25519 signature in hexadecimal.
+    /// The Ed25519 signature, in hexadecimal.
     pub signature: String,
 }
 
-/// Why a publication is refused.
+/// The reason why a publication is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ManifestError {
     /// operator {0} is not trusted by this daemon's settings
     UnknownOperator(String),
-    /// the signature of operator {0} doesn't fit
+    /// the signature of operator {0} is invalid
     BadSignature(String),
     /// the manifest can't be read
     Unreadable,
     /// section {0} is missing
     SectionMissing(String),
-    /// section {0} doesn't have the content that the manifest names
+    /// section {0} doesn't match its hash in the manifest
     SectionHashMismatch(String),
 }
 
@@ -85,14 +85,14 @@
         }
     }
 
-    /// Checks the signature, then reads the manifest; nothing is read before it is trusted.
+    /// Verifies the signature and parses the manifest, in that order.
     pub fn verify(&self, trusted: &TrustedKeys) -> Result<Manifest, ManifestError> {
         trusted.verify(&self.operator, self.manifest.as_bytes(), &self.signature)?;
         serde_json::from_str(&self.manifest).map_err(|_| ManifestError::Unreadable)
     }
 }
 
-/// Cuts a bundle into its sections.
+/// Splits a bundle into its sections.
 pub fn split(source: &BundleSource) -> Vec<SectionBytes> {
     let to_section = |name: &str, bytes: serde_json::Result<Vec<u8>>| SectionBytes {
         name: name.to_owned(),
@@ -107,9 +107,9 @@
         .collect()
 }
 
-/// Puts a bundle together from the sections that its manifest names.
+/// Assembles a bundle from the sections that its manifest lists.
 ///
-/// `section` finds a section's bytes by content; each is checked against its hash.
+/// `section` returns the bytes of a section by hash. Each section is verified against its hash.
 pub fn join<'a>(
     manifest: &Manifest,
     section: impl Fn(&ContentHash) -> Option<&'a [u8]>,
--- a/crates/sorrelturn-bundle/src/routes.rs
+++ b/crates/sorrelturn-bundle/src/routes.rs
@@ -1,7 +1,7 @@
-//! Routes: kinds of requests that are told by their host and the start of their path.
+//! Routes: request kinds that are matched by host and path prefix.
 //!
-//! A route table is the second form of a bundle. It is one document in the platform's store, which
-//! is trusted because only operators may write there; `docs/BUNDLE.md` describes its fields.
+//! A route table is the alternative form of a bundle: a single unsigned document in the platform's
+//! store, where only operators may write. `docs/BUNDLE.md` describes its fields.
 
 use crate::{
     CredentialHash, Execution, Kind, KindEntry, Service, Workspace, check::MAX_DEADLINE_MS,
@@ -15,81 +15,81 @@
     time::Duration,
 };
 
-/// A whole route table as operators wrote it, at its version.
+/// The source form of a route table, as operators write it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteTable {
-    /// Rises with each change; 0 is no version.
+    /// The version, which increases with each change. 0 is invalid.
     pub version: u64,
-    /// The routes by name.
+    /// Routes by name.
     pub routes: BTreeMap<String, Route>,
-    /// The services that routes lead to.
+    /// Services that routes refer to, by name.
     pub services: BTreeMap<String, RoutedService>,
     /// What a caller may send.
     #[serde(default)]
     pub limits: Limits,
-    /// The workspaces by name. Where there are any, a request needs a credential of one of them, but on
-    /// routes that are open.
+    /// Workspaces by name. If there are any, requests need a credential of one of them, except on
+    /// open routes.
     #[serde(default)]
     pub workspaces: BTreeMap<String, Workspace>,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
-    /// The host that a request names, without a port.
+    /// The host of a request, without a port.
     pub host: String,
-    /// What the path of a request starts with; begins and ends with a slash.
+    /// The prefix of request paths, which begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     pub execution: Execution,
-    /// How much it matters.
+    /// The importance of requests.
     pub importance: Importance,
-    /// The longest time that a request is held, in milliseconds.
+    /// Maximum time that a daemon holds a request, in milliseconds.
     pub deadline_ms: u32,
-    /// The time within which an answer is worth most, in milliseconds.
+    /// The target latency, in milliseconds.
     pub target_ms: u32,
-    /// The most instances that one request may run on.
+    /// Maximum number of instances that a request is tried on.
     pub attempts: u32,
-    /// The services that it leads to, with their weights; all of them above 0.
+    /// The services that share the requests, with their weights. At least one weight is above 0.
     pub shares: Vec<Share>,
-    /// Whether a request needs no credential.
+    /// Whether requests are accepted without a credential.
     #[serde(default)]
     pub open: bool,
 }
 
-/// A service's part of a route.
+/// A service's share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Its weight among all shares of the route.
+    /// The weight relative to the other shares of the route. 0 gets no requests.
     pub weight: u32,
 }
 
-/// What a route table says about a service.
+/// A service of a route table.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutedService {
-    /// How many connections one instance takes.
+    /// Maximum number of connections to one instance.
     pub connections: u32,
-    /// The path at which an instance answers whether it is well.
+    /// The health check path of its instances.
     pub probe_path: String,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits of requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: u32,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// The longest time for a head to arrive, in milliseconds.
+    /// Maximum time to receive a request head, in milliseconds.
     pub head_ms: u32,
-    /// The longest time that a connection may rest, in milliseconds.
+    /// Maximum time that a connection is idle, in milliseconds.
     pub idle_ms: u32,
 }
 
@@ -104,16 +104,16 @@
     }
 }
 
-/// Why a route table is not taken.
+/// The reason why a route table is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RouteError {
     /// the route table has no version
     NoVersion,
     /// route {0}: path_prefix must begin and end with a slash
     InvalidPrefix(String),
-    /// route {0}: no service, or none with a weight
+    /// route {0}: shares must name a service with a weight above 0
     NoWeightedShare(String),
-    /// route {0}: service {1} is not described
+    /// route {0}: service {1} is missing from services
     UnknownService(String, String),
     /// route {0}: attempts must be 1 or more
     NoAttempts(String),
@@ -121,7 +121,7 @@
     InvalidDeadline(String),
     /// routes {0} and {1} have the same host and path_prefix
     DuplicateRoute(String, String),
-    /// workspaces {0} and {1} have a credential in common
+    /// workspaces {0} and {1} have the same credential
     SharedCredential(String, String),
     /// workspace {0}: rate_per_second and burst must be 0 or more
     InvalidQuota(String),
@@ -130,16 +130,16 @@
 impl std::error::Error for RouteError {}
 
 impl RouteTable {
-    /// Finds the first rule that the table breaks.
+    /// Validates the table and returns the first error.
     pub fn check(&self) -> Result<(), RouteError> {
         if self.version == 0 {
             return Err(RouteError::NoVersion);
         }
-        let mut places: HashMap<(&str, &str), &str> = HashMap::new();
+        let mut routes_by_prefix: HashMap<(&str, &str), &str> = HashMap::new();
         for (name, route) in &self.routes {
             self.check_route(name, route)?;
-            let place = (route.host.as_str(), route.path_prefix.as_str());
-            if let Some(other) = places.insert(place, name) {
+            let host_and_prefix = (route.host.as_str(), route.path_prefix.as_str());
+            if let Some(other) = routes_by_prefix.insert(host_and_prefix, name) {
                 return Err(RouteError::DuplicateRoute(other.to_owned(), name.clone()));
             }
         }
@@ -147,14 +147,14 @@
     }
 
     fn check_workspaces(&self) -> Result<(), RouteError> {
-        let mut holders: HashMap<CredentialHash, &str> = HashMap::new();
+        let mut owners: HashMap<CredentialHash, &str> = HashMap::new();
         for (name, workspace) in &self.workspaces {
-            // Written so that a number that is none fails as well.
+            // The negation also rejects NaN.
             if !(workspace.rate_per_second >= 0.0 && workspace.burst >= 0.0) {
                 return Err(RouteError::InvalidQuota(name.clone()));
             }
             for credential in &workspace.credentials_blake3 {
-                match holders.insert(*credential, name) {
+                match owners.insert(*credential, name) {
                     Some(other) if other != name => {
                         let other = other.to_owned();
                         return Err(RouteError::SharedCredential(other, name.clone()));
@@ -194,34 +194,38 @@
     }
 }
 
-/// A route with what the path of a request needs of it.
+/// A route as request handling needs it.
 #[derive(Clone, Debug)]
 pub struct RouteEntry {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// Whether a request needs no credential.
+    /// Whether requests are accepted without a credential.
     pub open: bool,
     path_prefix: String,
-    /// Each share's kind with the sum of the weights up to it.
+    /// The kind of each share with the cumulative weight up to and including it.
     shares: Vec<(u64, Arc<KindEntry>)>,
 }
 
 impl RouteEntry {
-    /// The kind of the share at `point`, a number from 0 up to 1, of all weights.
-    pub fn kind_at(&self, point: f64) -> Option<&Arc<KindEntry>> {
+    /// Returns the kind of the share at `fraction` of the total weight, from 0 to below 1. A random
+    /// fraction distributes requests by weight.
+    pub fn kind_at(&self, fraction: f64) -> Option<&Arc<KindEntry>> {
         let (total, _) = self.shares.last()?;
-        let wanted = (point * *total as f64) as u64;
-        let share = self.shares.iter().find(|(upto, _)| wanted < *upto);
+        let position = (fraction * *total as f64) as u64;
+        let share = self
+            .shares
+            .iter()
+            .find(|(cumulative_weight, _)| position < *cumulative_weight);
         share.or(self.shares.last()).map(|(_, kind)| kind)
     }
 
-    /// The kinds of all shares.
+    /// Returns the kinds of all shares.
     pub fn kinds(&self) -> impl Iterator<Item = &Arc<KindEntry>> {
         self.shares.iter().map(|(_, kind)| kind)
     }
 }
 
-/// All routes, by host and by the length of their prefix.
+/// All routes by host, sorted by descending prefix length.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouteIndex {
     by_host: HashMap<String, Vec<Arc<RouteEntry>>>,
@@ -242,7 +246,7 @@
         Self { by_host }
     }
 
-    /// The route with the longest prefix that begins the path. A port in `host` doesn't count.
+    /// Returns the route with the longest prefix of `path`. A port in `host` is ignored.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteEntry>> {
         let name = host.split(':').next().unwrap_or_default();
         let routes = match self.by_host.get(name) {
@@ -260,14 +264,14 @@
 }
 
 fn entry(name: &str, route: &Route) -> RouteEntry {
-    let mut upto = 0;
+    let mut cumulative_weight = 0;
     let is_split = route.shares.len() > 1;
     let shares = route
         .shares
         .iter()
         .filter(|share| share.weight > 0)
         .map(|share| {
-            upto += u64::from(share.weight);
+            cumulative_weight += u64::from(share.weight);
             let kind_name = if is_split {
                 format!("{name}@{}", share.service)
             } else {
@@ -285,7 +289,7 @@
             };
             let target = Some(Duration::from_millis(route.target_ms.into()));
             let entry = KindEntry::for_route(kind_name, &share.service, kind, target);
-            (upto, Arc::new(entry))
+            (cumulative_weight, Arc::new(entry))
         })
         .collect();
     RouteEntry {
@@ -296,7 +300,7 @@
     }
 }
 
-/// What a daemon knows of a service before its instances announce their slots.
+/// Returns the defaults of a service until its instances announce their slots.
 pub(crate) fn routed_service(routed: &RoutedService) -> Service {
     Service {
         slots: 1,
--- a/crates/sorrelturn-bundle/src/sign.rs
+++ b/crates/sorrelturn-bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! Operators' keys.
+//! Keys with which operators sign bundles.
 
 use crate::ManifestError;
 use data_encoding::HEXLOWER_PERMISSIVE as HEX;
@@ -6,32 +6,32 @@
 use ed25519_dalek::{Signature, Signer, SigningKey, Verifier, VerifyingKey};
 use std::collections::BTreeMap;
 
-/// Why a key can't be read.
+/// An error of reading or generating a key.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum KeyError {
-    /// the key of {0} is not 64 hexadecimal digits of an Ed25519 key
+    /// the key of {0} is not an Ed25519 key of 64 hexadecimal digits
     Malformed(String),
-    /// the system gives no random numbers
+    /// the system provides no random numbers
     NoRandomness,
 }
 
 impl std::error::Error for KeyError {}
 
-/// The secret key by which an operator signs bundles.
+/// The secret key with which an operator signs bundles.
 pub struct OperatorKey {
     operator: String,
     key: SigningKey,
 }
 
 impl OperatorKey {
-    /// Makes a new key.
+    /// Generates a random key.
     pub fn generate(operator: &str) -> Result<Self, KeyError> {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret).map_err(|_| KeyError::NoRandomness)?;
         Ok(Self::from_secret(operator, &secret))
     }
 
-    /// Reads a key from the hexadecimal text of its secret.
+    /// Parses a secret key of 64 hexadecimal digits.
     pub fn from_hex(operator: &str, text: &str) -> Result<Self, KeyError> {
         let secret = decode_key(operator, text)?;
         Ok(Self::from_secret(operator, &secret))
@@ -44,17 +44,17 @@
         }
     }
 
-    /// The operator's name.
+    /// Returns the name of the operator.
     pub fn operator(&self) -> &str {
         &self.operator
     }
 
-    /// The secret in hexadecimal, for the operator's key file.
+    /// Returns the secret key in hexadecimal, for the operator's key file.
     pub fn secret_hex(&self) -> String {
         HEX.encode(&self.key.to_bytes())
     }
 
-    /// The public key in hexadecimal, for the daemons' settings.
+    /// Returns the public key in hexadecimal, for the settings of daemons.
     pub fn public_hex(&self) -> String {
         HEX.encode(self.key.verifying_key().as_bytes())
     }
@@ -64,14 +64,14 @@
     }
 }
 
-/// The operators whose bundles a daemon takes.
+/// The public keys of the operators whose bundles a daemon accepts.
 #[derive(Clone, Debug, Default)]
 pub struct TrustedKeys {
     keys: BTreeMap<String, VerifyingKey>,
 }
 
 impl TrustedKeys {
-    /// Reads public keys by operator.
+    /// Parses public keys in hexadecimal, by operator.
     pub fn from_hex(keys: &BTreeMap<String, String>) -> Result<Self, KeyError> {
         let keys = keys
             .iter()
@@ -95,10 +95,12 @@
             .keys
             .get(operator)
             .ok_or_else(|| ManifestError::UnknownOperator(operator.to_owned()))?;
-        let bad = || ManifestError::BadSignature(operator.to_owned());
-        let bytes = HEX.decode(signature.as_bytes()).map_err(|_| bad())?;
-        let signature = Signature::from_slice(&bytes).map_err(|_| bad())?;
-        key.verify(text, &signature).map_err(|_| bad())
+        let bad_signature = || ManifestError::BadSignature(operator.to_owned());
+        let bytes = HEX
+            .decode(signature.as_bytes())
+            .map_err(|_| bad_signature())?;
+        let signature = Signature::from_slice(&bytes).map_err(|_| bad_signature())?;
+        key.verify(text, &signature).map_err(|_| bad_signature())
     }
 }
 
--- a/crates/sorrelturn-bundle/src/workspaces.rs
+++ b/crates/sorrelturn-bundle/src/workspaces.rs
@@ -1,6 +1,6 @@
-//! Workspaces: who asks, how much it matters, and how much they may ask of the whole fleet.
+//! Workspaces: the credentials, importance and quota of a group of callers.
 //!
-//! A request shows a credential; the route table holds the hashes of the credentials that are valid.
+//! Requests carry a credential. The route table holds the hashes of valid credentials.
 //! See `docs/design/credentials.md`.
 
 use data_encoding::HEXLOWER_PERMISSIVE;
@@ -12,17 +12,17 @@
     sync::Arc,
 };
 
-/// The BLAKE3 hash of a credential. Credentials themselves are neither kept nor told.
+/// The BLAKE3 hash of a credential. Credentials themselves are neither stored nor logged.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CredentialHash([u8; 32]);
 
 impl CredentialHash {
-    /// The hash of what a request shows.
+    /// Hashes a credential.
     pub fn of(credential: &[u8]) -> Self {
         Self(*blake3::hash(credential).as_bytes())
     }
 
-    /// A short name for logs, from which nobody can tell the credential.
+    /// Returns a short fingerprint for logs, which doesn't reveal the credential.
     pub fn short(&self) -> String {
         HEXLOWER_PERMISSIVE.encode(&self.0[..4])
     }
@@ -46,49 +46,49 @@
         let bytes = HEXLOWER_PERMISSIVE.decode(text.as_bytes());
         let bytes = bytes.ok().and_then(|bytes| bytes.try_into().ok());
         bytes.map(Self).ok_or_else(|| {
-            D::Error::custom("a credential is given by its BLAKE3 hash, 64 hexadecimal digits")
+            D::Error::custom("a credential must be a BLAKE3 hash of 64 hexadecimal digits")
         })
     }
 }
 
-/// A workspace as operators write it.
+/// The source form of a workspace, as operators write it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Workspace {
-    /// The hashes of its credentials.
+    /// Hashes of its credentials.
     pub credentials_blake3: Vec<CredentialHash>,
-    /// How much its requests matter; goes before the route's.
+    /// The importance of its requests, which overrides that of the route.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub importance: Option<Importance>,
-    /// How many of its requests may run a second, summed over all daemons; 0 is no limit.
+    /// Maximum request rate over all daemons, in requests per second. 0 sets no limit.
     pub rate_per_second: f64,
-    /// How many may run on top of that at once.
+    /// Number of requests allowed above the rate at once.
     pub burst: f64,
 }
 
-/// How much of a workspace may run, summed over all daemons.
+/// The quota of a workspace over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests on top of that at once.
+    /// Number of requests allowed above the rate at once.
     pub burst: f64,
 }
 
-/// A workspace with what the entry needs of it.
+/// A workspace as the entry daemon needs it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkspaceEntry {
-    /// Its id.
+    /// The id of the workspace.
     pub id: CallerId,
-    /// Its name.
+    /// The name of the workspace.
     pub name: String,
-    /// How much its requests matter, where that goes before the route's importance.
+    /// The importance of its requests, if it overrides that of the route.
     pub importance: Option<Importance>,
-    /// How much of it may run; no limit where it is absent.
+    /// The quota, if there is one.
     pub quota: Option<QuotaLimit>,
 }
 
-/// All workspaces, by credential and by id.
+/// Workspaces by credential and by id.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WorkspaceIndex {
     by_credential: HashMap<CredentialHash, Arc<WorkspaceEntry>>,
@@ -134,7 +134,8 @@
     }
 }
 
-/// The id of a caller or a workspace, the same at every daemon and in every version.
+/// Derives the id of a caller or workspace from its name, so that it is the same on all daemons and
+/// in all versions.
 pub(crate) fn caller_id(name: &str) -> CallerId {
     let hash = blake3::hash(name.as_bytes());
     let mut id = [0; 8];
--- a/crates/sorrelturn-bundle/tests/check_finds.rs
+++ b/crates/sorrelturn-bundle/tests/check_finds.rs
@@ -1,4 +1,4 @@
-//! What `bundle check` finds, and where it points.
+//! Tests that `check` finds each mistake and reports its line.
 
 use sorrelturn_bundle::{BundleSource, SourceMap, check, parse};
 use std::path::Path;
@@ -11,17 +11,17 @@
 }
 
 fn findings(text: &str) -> Vec<String> {
-    let source: BundleSource = parse("bundle.jsonc", text).expect("it can be read");
+    let source: BundleSource = parse("bundle.jsonc", text).expect("the bundle is valid JSON");
     check(&source, &SourceMap::new("bundle.jsonc", text))
         .iter()
         .map(|finding| format!("{}:{} {}", finding.line, finding.column, finding.message))
         .collect()
 }
 
-/// The example with one text in the place of another; says the line that it changed.
+/// Returns the example with its first `from` replaced by `to`, and the number of the changed line.
 fn changed(from: &str, to: &str) -> (String, usize) {
     let text = example("protokols-riga.jsonc");
-    let at = text.find(from).expect("the example has it");
+    let at = text.find(from).expect("the example contains the text");
     let line = text[..at].matches('\n').count() + 1;
     (text.replacen(from, to, 1), line)
 }
--- a/crates/sorrelturn-bundle/tests/routes.rs
+++ b/crates/sorrelturn-bundle/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Route tables: which route a request takes, how shares are divided, and what is refused.
+//! Tests of route tables: matching, weighted shares and validation.
 
 use assert_matches::assert_matches;
 use sorrelturn_bundle::{
@@ -69,17 +69,17 @@
 fn shares_follow_their_weights_and_zero_gets_nothing() {
     let routes = vec![("r", route("h", "/", &[("a", 90), ("b", 10)]))];
     let bundle = Bundle::from_route_table(&table(routes));
-    let route = bundle.match_route("h", "/1").expect("the route");
-    let of_a = (0..1_000)
+    let route = bundle.match_route("h", "/1").expect("a matching route");
+    let count_of_a = (0..1_000)
         .filter(|step| {
             let kind = route.kind_at(f64::from(*step) / 1_000.0);
             kind.is_some_and(|kind| kind.service == "a")
         })
         .count();
-    assert_eq!(of_a, 900);
+    assert_eq!(count_of_a, 900);
     let routes = vec![("r", route_with_zero())];
     let bundle = Bundle::from_route_table(&table(routes));
-    let route = bundle.match_route("h", "/1").expect("the route");
+    let route = bundle.match_route("h", "/1").expect("a matching route");
     assert!(route.kinds().all(|kind| kind.service == "b"));
 }
 
@@ -102,17 +102,17 @@
         check(route("h", "/", &[("z", 1)])),
         Err(RouteError::UnknownService(_, service)) if service == "z"
     );
-    let mut none = route("h", "/", &[("a", 1)]);
-    none.attempts = 0;
-    assert_matches!(check(none), Err(RouteError::NoAttempts(_)));
-    let mut long = route("h", "/", &[("a", 1)]);
-    long.deadline_ms = 700_000;
-    assert_matches!(check(long), Err(RouteError::InvalidDeadline(_)));
-    let twice = table(vec![
+    let mut without_attempts = route("h", "/", &[("a", 1)]);
+    without_attempts.attempts = 0;
+    assert_matches!(check(without_attempts), Err(RouteError::NoAttempts(_)));
+    let mut long_deadline = route("h", "/", &[("a", 1)]);
+    long_deadline.deadline_ms = 700_000;
+    assert_matches!(check(long_deadline), Err(RouteError::InvalidDeadline(_)));
+    let duplicate = table(vec![
         ("one", route("h", "/", &[("a", 1)])),
         ("two", route("h", "/", &[("b", 1)])),
     ]);
-    assert_matches!(twice.check(), Err(RouteError::DuplicateRoute(_, _)));
+    assert_matches!(duplicate.check(), Err(RouteError::DuplicateRoute(_, _)));
     let unversioned = RouteTable {
         version: 0,
         ..table(Vec::new())
--- a/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
+++ b/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
@@ -1,4 +1,4 @@
-//! A bundle survives its way through sections, and nothing forged does.
+//! Tests that bundles survive splitting and joining, and that forged ones are rejected.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 
 fn source() -> BundleSource {
     let text = include_str!("../../../bundles/dalaqyz-soft.jsonc");
-    parse("dalaqyz-soft.jsonc", text).expect("the example is right")
+    parse("dalaqyz-soft.jsonc", text).expect("the example is valid")
 }
 
 fn key() -> OperatorKey {
@@ -38,14 +38,14 @@
 fn a_bundle_is_the_same_after_split_sign_verify_and_join() {
     let sections = split(&source());
     let signed = SignedManifest::sign(&manifest(&sections), &key());
-    let verified = signed.verify(&trusted()).expect("the signature fits");
+    let verified = signed.verify(&trusted()).expect("the signature is valid");
     let bundle = join(&verified, |hash| {
         let found = sections
             .iter()
             .find(|s| ContentHash::of(&s.bytes) == *hash)?;
         Some(found.bytes.as_slice())
     });
-    let bundle = bundle.expect("all sections are here");
+    let bundle = bundle.expect("all sections are present");
     assert_eq!((bundle.version, bundle.source()), (7, &source()));
 }
 
