--- a/crates/sorrelturn-platform/src/api.rs
+++ b/crates/sorrelturn-platform/src/api.rs
@@ -1,100 +1,101 @@
-//! The object API's messages. `docs/design/platform.md` describes the calls.
+//! Messages of the object API. `docs/design/platform.md` describes the calls.
 
 use serde::{Deserialize, Deserializer, Serialize, de::DeserializeOwned};
 use serde_json::Value;
 
-/// One object as the crate's users see it: a text under a key, at a version.
+/// An object of the platform's store: a text under a key, at a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Where it lies: its kind and its name, see [`keys::kind_and_name`].
+    /// The key, which holds its kind and its name. See [`keys::kind_and_name`].
     pub key: String,
-    /// The store's revision at its last change; 0 never occurs.
+    /// The revision of the store at the last change, never 0.
     pub version: u64,
-    /// Its content, at most a megabyte: a text, or JSON where another party wrote it as such.
+    /// The content, at most a megabyte. Values that are not JSON strings are kept as JSON text.
     pub value: String,
 }
 
-/// What a list or a watch answers.
+/// The result of a list or a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// The store's revision, from which the next watch goes on.
+    /// The revision of the store, from which the next watch continues.
     pub revision: u64,
-    /// The objects that changed and still exist.
+    /// Objects that were listed, created or changed.
     pub objects: Vec<Object>,
-    /// The keys of objects that were removed.
+    /// Keys of removed objects.
     pub removed: Vec<String>,
-    /// How many entries couldn't be read and were left out. Others than this client write to the store as well.
+    /// Number of entries that were skipped because they could not be parsed.
     pub left_out: usize,
 }
 
-/// What the store keeps about an object besides its content.
+/// Metadata that the store keeps with an object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Metadata {
-    /// Unique within the kind.
+    /// The name, unique within the kind.
     pub name: String,
-    /// The revision of the last change. In a write it is a condition; absent, there is none.
+    /// The revision of the last change. In a write it is the expected revision; 0 or absent sets no
+    /// condition.
     #[serde(skip_serializing_if = "is_zero")]
     pub revision: u64,
-    /// Who still has to agree before a deleted object goes.
+    /// Finalizers that must be cleared before a deleted object is removed.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub finalizers: Vec<String>,
-    /// Whether it was deleted and waits for its finalizers.
+    /// Whether the object was deleted and its finalizers are pending.
     #[serde(skip_serializing_if = "is_false")]
     pub deleting: bool,
 }
 
-/// An object on the wire.
+/// An object as sent over the wire.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WireObject {
-    /// Name, revision and what else the store keeps.
+    /// The metadata.
     pub metadata: Metadata,
     /// The content.
     #[serde(default)]
     pub value: Value,
-    /// What is observed of it; written apart from the content.
+    /// The observed status, written separately from the content.
     #[serde(default)]
     pub status: Value,
 }
 
-/// One page of a list.
+/// A page of a list.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WireList {
-    /// The objects, in the order of their names.
+    /// Objects sorted by name.
     pub items: Readable<WireObject>,
-    /// Whether the list goes on after the last name.
+    /// Whether there are more pages.
     #[serde(default)]
     pub has_more: bool,
-    /// The store's revision when the page was read.
+    /// The revision of the store when the page was read.
     pub store_revision: u64,
 }
 
-/// One change of an object.
+/// A change of an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WireEvent {
-    /// Whether the object was removed by it.
+    /// Whether the change removed the object.
     pub removed: bool,
-    /// The object after the change; the last state of one that was removed.
+    /// The object after the change, or its last state if it was removed.
     pub object: WireObject,
 }
 
-/// The answer of a watch.
+/// The response to a watch.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WireEvents {
-    /// What changed, oldest first; empty where the wait is over.
+    /// Changes, oldest first. Empty if the watch timed out.
     pub events: Readable<WireEvent>,
-    /// From where the next watch goes on.
+    /// The revision from which the next watch continues.
     pub store_revision: u64,
 }
 
-/// The entries of a list that can be read, and how many can't. Others than this client write to the store as well: one bad
-/// entry must not take the good ones with it.
+/// A list that skips entries that can't be parsed. Other clients write to the store too, and one
+/// invalid entry must not hide the valid ones.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Readable<T> {
-    /// Those that can be read.
+    /// The entries that could be parsed.
     pub entries: Vec<T>,
-    /// How many can't.
+    /// Number of skipped entries.
     #[serde(skip)]
     pub left_out: usize,
 }
@@ -116,12 +117,12 @@
 
 impl<'de, T: DeserializeOwned> Deserialize<'de> for Readable<T> {
     fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Self, D::Error> {
-        let written = Vec::<Value>::deserialize(input)?;
-        let all = written.len();
-        let read = written.into_iter().map(serde_json::from_value);
+        let values = Vec::<Value>::deserialize(input)?;
+        let total = values.len();
+        let read = values.into_iter().map(serde_json::from_value);
         let entries: Vec<T> = read.filter_map(Result::ok).collect();
         Ok(Self {
-            left_out: all - entries.len(),
+            left_out: total - entries.len(),
             entries,
         })
     }
@@ -136,7 +137,7 @@
 }
 
 impl WireObject {
-    /// An object that is to be written; `revision` 0 sets no condition.
+    /// Creates an object for a write. A `revision` of 0 sets no condition.
     pub(crate) fn of(name: &str, value: &str, revision: u64) -> Self {
         Self {
             metadata: Metadata {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The object as the crate's users see it; texts are unpacked, other JSON stays as it is.
+    /// Converts to an [`Object`] under `prefix`. JSON strings are unquoted, other JSON stays as text.
     pub(crate) fn into_object(self, prefix: &str) -> Object {
         Object {
             key: format!("{prefix}{}", self.metadata.name),
@@ -162,81 +163,80 @@
     }
 }
 
-/// Whether a VM is meant to be in use.
+/// Whether the platform keeps a VM in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
     /// In use.
     Live,
-    /// About to be taken away.
+    /// Scheduled for removal.
     Leaving,
 }
 
-/// One line of the list of VMs, which lags.
+/// An entry of the platform's list of VMs, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// The instance that runs on the VM.
+    /// The id of the instance on the VM.
     pub instance: String,
-    /// Whether it stays.
+    /// The state of the VM.
     pub state: VmState,
 }
 
-/// Faults that the stand-in plays until it is told otherwise.
+/// Faults that the stand-in injects until they are replaced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call fails with 503, which says that nothing was done.
+    /// Every call fails with 503 and has no effect.
     pub down: bool,
-    /// Every call is refused with 429, as when the rate is used up.
+    /// Every call is rejected with 429, as under a rate limit.
     pub busy: bool,
-    /// Calls are read and never answered.
+    /// Calls never get a response.
     pub silent: bool,
-    /// Every call takes this much longer, in milliseconds.
+    /// Delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes take effect, and their answers are lost.
+    /// Number of next writes that take effect but whose responses are lost.
     pub lose_write_answers: u32,
-    /// Writes without an answer take effect this much later, in milliseconds, if their condition
-    /// still holds then.
+    /// Delay of writes whose response is lost, in milliseconds. Their condition is checked after the
+    /// delay.
     pub late_write_ms: u64,
-    /// Watches never report anything.
+    /// Watches never report changes.
     pub silent_watches: bool,
-    /// The store has just forgotten its history: older watches get 410.
+    /// The store discards its history, so that watches from older revisions get 410.
     pub forget_history: bool,
 }
 
-/// How often each call came.
+/// Counts of calls by type.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Reads of one object, lists and reads of the VM list.
+    /// Reads of objects, lists and the VM list.
     pub reads: u64,
-    /// Writes, those that lost a race among them.
+    /// Writes, including those that failed with a conflict.
     pub writes: u64,
-    /// Watches; each time one is renewed counts.
+    /// Watches, including renewals.
     pub watches: u64,
-    /// Watches that wait now.
+    /// Watches that are currently open.
     pub watches_waiting: u64,
 }
 
-/// Where objects of sorrelturn's own kinds lie.
+/// Keys of the objects that daemons store on the platform.
 pub mod keys {
     use sorrelturn_protocol::{CallerId, CrashId, Incarnation};
 
-    /// The signed manifest of the bundle that was accepted last.
+    /// The signed manifest of the current bundle.
     pub const BUNDLE_HEAD: &str = "sorrelturn/bundle/head";
-    /// The members' own records.
+    /// The prefix of the members' records.
     pub const MEMBERS: &str = "sorrelturn/members/";
 
-    /// Proofs against requests that crash backend servers.
+    /// The prefix of crash records for the quarantine of requests.
     pub const QUARANTINE: &str = "sorrelturn/quarantine/";
 
-    /// The states of the failure domains.
+    /// The prefix of the states of failure domains.
     pub const STATUS: &str = "sorrelturn/status/";
 
-    /// The kind of keys that have no slash.
+    /// The kind of keys without a slash.
     const PLAIN_KIND: &str = "sorrelturn";
 
-    /// The kind and the name that a key stands for: the name is what follows the last slash, and
-    /// the kind is what stands before it, with hyphens for slashes.
+    /// Splits a key at its last slash into the kind, with hyphens in place of slashes, and the name.
     pub fn kind_and_name(key: &str) -> (String, &str) {
         match key.rsplit_once('/') {
             Some((kind, name)) => (kind.replace('/', "-"), name),
@@ -244,57 +244,57 @@
         }
     }
 
-    /// What stands before the names of a key's kind, the last slash included.
+    /// Returns the part of a key up to and including its last slash.
     pub(crate) fn prefix(key: &str) -> &str {
         key.rfind('/').map_or("", |slash| &key[..=slash])
     }
 
-    /// The state of one failure domain.
+    /// Returns the key of the state of a failure domain.
     pub fn status(failure_domain: &str) -> String {
         format!("{STATUS}{failure_domain}")
     }
 
-    /// What one crash proved.
+    /// Returns the key of the record of a crash.
     pub fn quarantine(by: CrashId) -> String {
         format!("{QUARANTINE}{:016x}", by.0)
     }
 
-    /// A section of a bundle, by its content.
+    /// Returns the key of a bundle section, by its content hash.
     pub fn section(hash: &str) -> String {
         format!("sorrelturn/bundle/sections/{hash}")
     }
 
-    /// An earlier signed manifest.
+    /// Returns the key of the signed manifest of an earlier version.
     pub fn history(version: u64) -> String {
         format!("{}{version:016}", history_prefix())
     }
 
-    /// Where the earlier manifests lie.
+    /// Returns the prefix of the keys of earlier manifests.
     pub fn history_prefix() -> String {
         "sorrelturn/bundle/history/".to_owned()
     }
 
-    /// A daemon's own record.
+    /// Returns the key of the member record of a daemon.
     pub fn member(instance: &str) -> String {
         format!("{MEMBERS}{instance}")
     }
 
-    /// Where all that one incarnation recorded of its tokens lies.
+    /// Returns the prefix of all token outcomes of an incarnation.
     pub fn outcomes_prefix(owner: Incarnation) -> String {
         format!("sorrelturn/outcomes/{owner}/")
     }
 
-    /// The outcomes of one segment of an incarnation's tokens.
+    /// Returns the key of the outcomes of one segment of an incarnation's tokens.
     pub fn outcomes(owner: Incarnation, segment: u64) -> String {
         format!("{}{segment}", outcomes_prefix(owner))
     }
 
-    /// The last word of an incarnation.
+    /// Returns the key of the record that an incarnation writes when it ends.
     pub fn closing_record(owner: Incarnation) -> String {
         format!("{}closing", outcomes_prefix(owner))
     }
 
-    /// The token that a caller's key is bound to; the key goes in as its hash.
+    /// Returns the key of the token that is bound to a caller's idempotency key, given as its hash.
     pub fn binding(caller: CallerId, key_hash: &str) -> String {
         format!("sorrelturn/once/{:016x}/{key_hash}", caller.0)
     }
--- a/crates/sorrelturn-platform/src/client.rs
+++ b/crates/sorrelturn-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the object API.
+//! Client of the object API.
 
 use crate::{
     Changes, Object, VmEntry,
@@ -16,44 +16,44 @@
     time::Duration,
 };
 
-/// Where objects lie on a platform that doesn't say otherwise.
+/// The default path of objects on the platform.
 pub const OBJECTS_PATH: &str = "/v1/objects";
 
-/// What a conditional update expects to find.
+/// The precondition of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// No object.
+    /// The object doesn't exist.
     Absent,
-    /// The object at this version.
+    /// The object is at this version.
     Version(u64),
-    /// Whatever there is: an update without a condition.
+    /// No precondition.
     Anything,
 }
 
-/// Why a call to the platform has no result.
+/// An error of a call to the platform.
 #[derive(Debug, Display)]
 pub enum PlatformError {
     /// the platform can't be reached: {0}
     Unavailable(String),
-    /// the write's answer was lost, so it may have taken effect: {0}
+    /// the response to the write was lost, so it may have taken effect: {0}
     AnswerLost(String),
-    /// somebody else changed the object first; it is at version {0} now
+    /// another client changed the object, which is now at version {0}
     Conflict(u64),
     /// the object doesn't exist
     Absent,
-    /// news came another way that a watch should have told: its connection is silent
+    /// the watch missed a change that was received another way, so its connection is stalled
     WatchStalled,
-    /// the platform no longer has the history that the watch asks for
+    /// the platform no longer has the history since the revision of the watch
     HistoryGone,
-    /// the platform refused the call with status {0}
+    /// the platform rejected the call with status {0}
     Refused(u16),
-    /// the platform's answer can't be read
+    /// the platform's response can't be parsed
     Unreadable,
 }
 
 impl std::error::Error for PlatformError {}
 
-/// A handle on the platform. It keeps no connection, so an outage leaves nothing to repair.
+/// A client of the platform. Each call uses a new connection, so there is none to re-establish after an outage.
 #[derive(Debug)]
 pub struct Platform {
     addr: SocketAddr,
@@ -63,7 +63,8 @@
 }
 
 impl Platform {
-    /// Talks to the platform at `addr`; each call but a watch ends within `timeout`.
+    /// Creates a client of the platform at `addr`. `timeout` applies to each call; watches add their own
+    /// waiting time to it.
     pub fn new(addr: SocketAddr, timeout: Duration) -> Self {
         Self {
             addr,
@@ -73,18 +74,18 @@
         }
     }
 
-    /// Takes another path for objects, for platforms that have them elsewhere.
+    /// Replaces the path of objects, which is [`OBJECTS_PATH`] by default.
     pub fn with_objects_path(mut self, path: &str) -> Self {
         self.objects_path = path.trim_end_matches('/').to_owned();
         self
     }
 
-    /// How many calls went out, for the budget in `docs/CAPACITY.md`.
+    /// Returns the number of calls made. `docs/CAPACITY.md` has the budget.
     pub fn call_count(&self) -> u64 {
         self.call_count.load(Ordering::Relaxed)
     }
 
-    /// Reads one object.
+    /// Reads an object, or `None` if it doesn't exist.
     pub async fn get(&self, key: &str) -> Result<Option<Object>, PlatformError> {
         let req = request(Method::GET, &self.object_path(key));
         let res = self.call(req, self.timeout).await.map_err(unavailable)?;
@@ -95,10 +96,10 @@
         }
     }
 
-    /// Writes one object and returns its new version.
+    /// Writes an object and returns its new version.
     ///
-    /// [`PlatformError::AnswerLost`] leaves open whether the write took effect; where that
-    /// matters use [`Platform::put_resolved`].
+    /// After [`PlatformError::AnswerLost`] the write may or may not have taken effect. Use
+    /// [`Platform::put_resolved`] to find out.
     pub async fn put(
         &self,
         key: &str,
@@ -122,7 +123,7 @@
             .await
     }
 
-    /// A version of 0 sets no condition.
+    /// Replaces an object. A version of 0 sets no condition.
     async fn replace(&self, key: &str, value: &str, version: u64) -> Result<u64, PlatformError> {
         let (_, name) = keys::kind_and_name(key);
         let object = WireObject::of(name, value, version);
@@ -159,9 +160,10 @@
         read::<WireObject>(&res).map(|object| object.metadata.revision)
     }
 
-    /// Writes one object; where the answer is lost or the race is, reads it back.
+    /// Writes an object and reads it back after a lost response or a conflict.
     ///
-    /// `is_mine` recognises the own value, so that a write that took effect unseen counts as done.
+    /// `is_mine` recognises the written value, so that a write that took effect without a response
+    /// succeeds.
     pub async fn put_resolved(
         &self,
         key: &str,
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Deletes one object, whatever its version; one that isn't there is deleted too.
+    /// Deletes an object at any version. Succeeds if it doesn't exist.
     pub async fn delete(&self, key: &str) -> Result<(), PlatformError> {
         let req = request(Method::DELETE, &self.object_path(key));
         let res = self.call(req, self.timeout).await.map_err(unavailable)?;
@@ -193,8 +195,7 @@
         }
     }
 
-    /// Reads all objects whose keys start with `prefix`, which ends with a slash; page by page
-    /// where there are many.
+    /// Lists all objects whose keys start with `prefix`, which ends with a slash, over all pages.
     pub async fn list(&self, prefix: &str) -> Result<Changes, PlatformError> {
         let mut all = Changes::default();
         let mut after = String::new();
@@ -206,7 +207,7 @@
             let req = request(Method::GET, &path);
             let res = self.call(req, self.timeout).await.map_err(unavailable)?;
             let page: WireList = read(&res)?;
-            // A change between two pages is seen by the watch, which goes on from the first one.
+            // The next watch continues from the first page, so it reports changes between pages.
             if all.revision == 0 {
                 all.revision = page.store_revision;
             }
@@ -223,16 +224,16 @@
         }
     }
 
-    /// Waits up to `wait` for changes under `prefix` after the revision `since`.
+    /// Waits up to `max_wait` for changes under `prefix` after the revision `since`.
     pub async fn watch(
         &self,
         prefix: &str,
         since: u64,
-        wait: Duration,
+        max_wait: Duration,
     ) -> Result<Changes, PlatformError> {
         let kind = self.kind_path(prefix);
-        let path = format!("{kind}?watch={since}&wait_ms={}", wait.as_millis());
-        let timeout = wait + self.timeout;
+        let path = format!("{kind}?watch={since}&wait_ms={}", max_wait.as_millis());
+        let timeout = max_wait + self.timeout;
         let req = request(Method::GET, &path);
         let res = self.call(req, timeout).await.map_err(unavailable)?;
         let answer: WireEvents = read(&res)?;
@@ -252,7 +253,7 @@
         Ok(changes)
     }
 
-    /// Reads the list of live and leaving VMs.
+    /// Reads the list of VMs.
     pub async fn vms(&self) -> Result<Vec<VmEntry>, PlatformError> {
         let req = request(Method::GET, "/v1/vms");
         read(&self.call(req, self.timeout).await.map_err(unavailable)?)
@@ -281,7 +282,7 @@
 fn request(method: Method, path: &str) -> Request<Bytes> {
     let mut req = Request::new(Bytes::new());
     *req.method_mut() = method;
-    *req.uri_mut() = path.parse().expect("keys hold only characters of a URI");
+    *req.uri_mut() = path.parse().expect("keys contain only URI characters");
     let json = hyper::header::HeaderValue::from_static("application/json");
     req.headers_mut().insert(CONTENT_TYPE, json);
     req
@@ -299,7 +300,7 @@
         StatusCode::NOT_FOUND => Err(PlatformError::Absent),
         StatusCode::GONE => Err(PlatformError::HistoryGone),
         status @ (StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) => {
-            Err(PlatformError::Unavailable(format!("it answers {status}")))
+            Err(PlatformError::Unavailable(format!("status {status}")))
         }
         status => Err(PlatformError::Refused(status.as_u16())),
     }
--- a/crates/sorrelturn-platform/src/http.rs
+++ b/crates/sorrelturn-platform/src/http.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP/1.1 exchange for control calls: one connection each, whole bodies, one timeout.
+//! Minimal HTTP/1.1 client for control calls: one connection per call, buffered bodies, one timeout.
 
 use crate::hyper_io;
 use bytes::Bytes;
@@ -12,23 +12,23 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// The largest answer that a control call takes, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Why an exchange has no answer.
+/// An error of an HTTP exchange.
 #[derive(Debug, Display)]
 pub enum ExchangeError {
-    /// no connection: {0}
+    /// can't connect: {0}
     NotSent(std::io::Error),
-    /// the exchange broke off after the request may have been sent: {0}
+    /// the exchange failed after the request may have been sent: {0}
     Interrupted(String),
-    /// no answer within {0:?}
+    /// no response within {0:?}
     TimedOut(Duration),
 }
 
 impl std::error::Error for ExchangeError {}
 
-/// Sends one request over a fresh connection and reads the whole answer.
+/// Sends a request over a new connection and reads the whole response.
 pub async fn exchange(
     addr: SocketAddr,
     req: Request<Bytes>,
@@ -48,8 +48,10 @@
     let stream = TcpStream::connect(addr)
         .await
         .map_err(ExchangeError::NotSent)?;
-    let broke = |error: hyper::Error| ExchangeError::Interrupted(error.to_string());
-    let (mut sender, conn) = http1::handshake(hyper_io(stream)).await.map_err(broke)?;
+    let interrupted = |error: hyper::Error| ExchangeError::Interrupted(error.to_string());
+    let (mut sender, conn) = http1::handshake(hyper_io(stream))
+        .await
+        .map_err(interrupted)?;
     let host = addr.to_string().parse();
     req.headers_mut()
         .entry(HOST)
@@ -58,7 +60,7 @@
         let res = sender
             .send_request(req.map(Full::new))
             .await
-            .map_err(broke)?;
+            .map_err(interrupted)?;
         let (head, body) = res.into_parts();
         let body = Limited::new(body, MAX_ANSWER_BYTES)
             .collect()
@@ -66,9 +68,9 @@
             .map_err(|error| ExchangeError::Interrupted(error.to_string()))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     };
-    let drive = async {
+    let drive_connection = async {
         let _ = conn.await;
         future::pending().await
     };
-    answer.or(drive).await
+    answer.or(drive_connection).await
 }
--- a/crates/sorrelturn-platform/src/hyper_io.rs
+++ b/crates/sorrelturn-platform/src/hyper_io.rs
@@ -1,9 +1,8 @@
-//! What hyper reads and writes through.
+//! I/O adapters for hyper.
 //!
-//! A stream of the runtime wakes its task for a write that would block only until the next write
-//! that succeeds. hyper 1.12 may write once more after a write that would block and then wait: when
-//! the socket had room again by then, nobody wakes the connection any more, and a long answer to a
-//! reader that reads in bursts stands still. Here such a task is woken once more.
+//! A stream of the runtime drops the waker of a blocked write as soon as a later write succeeds. hyper 1.12
+//! may write once more after a blocked write and then wait for a wake-up. If that write succeeds, the
+//! wake-up never comes and a long response stalls. [`WakeAfterBlockedWrite`] wakes the task instead.
 //! See `docs/design/streaming.md`.
 
 use crate::read_ahead::ReadAhead;
@@ -15,21 +14,21 @@
     task::{Context, Poll},
 };
 
-/// Gives hyper a stream of the runtime.
+/// Wraps a stream for use by hyper.
 pub fn hyper_io<S>(stream: S) -> FuturesIo<WakeAfterBlockedWrite<S>> {
     FuturesIo::new(WakeAfterBlockedWrite::new(stream))
 }
 
-/// Gives hyper the server's end of a connection. It fails once the client has left, whatever it
-/// has sent before that nobody has read.
+/// Wraps the server side of a connection for use by hyper. It fails once the client has closed the
+/// connection, even if bytes sent before are still unread.
 pub fn hyper_server_io<S>(stream: S) -> FuturesIo<ReadAhead<WakeAfterBlockedWrite<S>>> {
     FuturesIo::new(ReadAhead::new(WakeAfterBlockedWrite::new(stream)))
 }
 
-/// A stream that wakes its task after a write that succeeds where the one before would have blocked.
+/// A stream that wakes its task when a write succeeds after a blocked one.
 pub struct WakeAfterBlockedWrite<S> {
     stream: S,
-    /// The last write would have blocked.
+    /// Whether the last write would have blocked.
     blocked: bool,
 }
 
@@ -41,8 +40,8 @@
         }
     }
 
-    /// Wakes the task if `written` ends a time in which it waited for room.
-    fn woken<T>(&mut self, cx: &Context<'_>, written: Poll<T>) -> Poll<T> {
+    /// Wakes the task if `written` is the first completed write after a blocked one.
+    fn wake_if_unblocked<T>(&mut self, cx: &Context<'_>, written: Poll<T>) -> Poll<T> {
         let was_blocked = std::mem::replace(&mut self.blocked, written.is_pending());
         if was_blocked && written.is_ready() {
             cx.waker().wake_by_ref();
@@ -68,7 +67,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.woken(cx, written)
+        self.wake_if_unblocked(cx, written)
     }
 
     fn poll_write_vectored(
@@ -77,7 +76,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.woken(cx, written)
+        self.wake_if_unblocked(cx, written)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/sorrelturn-platform/src/read_ahead.rs
+++ b/crates/sorrelturn-platform/src/read_ahead.rs
@@ -1,10 +1,10 @@
-//! Seeing that a client has left while bytes of it lie unread.
+//! Detects that a client closed its connection while bytes from it are still unread.
 //!
-//! hyper reads a connection only as far as the request that it carries needs. The close of a client
-//! that has sent more than that, a second request or a body that nobody takes yet, lies behind
-//! those bytes, and its work would go on for nobody. Here the bytes are taken in, up to a limit, so that
-//! the close shows. A connection that hyper itself waits on costs nothing more than one look behind each request, by
-//! which a request whose client had left before it was read, as after a freeze, doesn't begin.
+//! hyper reads only as much of a connection as the current request needs. If the client has sent
+//! more, such as a second request or an unread body, hyper doesn't see the close behind those bytes
+//! and the request continues without a client. [`ReadAhead`] buffers the bytes, up to a limit, to
+//! find the close. It also reads once more after each request, so that a request whose client left
+//! before it was read doesn't start.
 //! See `docs/design/callers-that-leave.md`.
 
 use bytes::{Buf, BytesMut};
@@ -15,56 +15,56 @@
     task::{Context, Poll, ready},
 };
 
-/// The most that is taken in before hyper asks for it, in bytes: what hyper itself may hold of a
-/// request. Of a client that has sent more, the close often can't arrive before that is read.
+/// Maximum number of bytes buffered before hyper reads them, as many as hyper itself may buffer.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// The most that is taken in at once, in bytes; most of what lies behind a request is shorter.
+/// Size of a single read, in bytes.
 const READ_CHUNK_BYTES: usize = 1 << 10;
 
-/// The server's end of a connection, which fails as soon as the client has closed it.
+/// The server side of a connection, which fails as soon as the client has closed it.
 pub struct ReadAhead<S> {
     stream: S,
-    /// What was taken in and not asked for yet.
-    ahead: BytesMut,
-    /// The last read found nothing more: whoever reads is woken by the next byte and by the close.
-    waits: bool,
+    /// Bytes that were read from the stream and not yet by hyper.
+    buffered: BytesMut,
+    /// Whether the last read returned no bytes. The reader is then woken by the next byte or the close,
+    /// so reading ahead is unnecessary.
+    is_reader_waiting: bool,
 }
 
 impl<S> ReadAhead<S> {
     pub(crate) fn new(stream: S) -> Self {
         Self {
             stream,
-            ahead: BytesMut::new(),
-            waits: false,
+            buffered: BytesMut::new(),
+            is_reader_waiting: false,
         }
     }
 }
 
 impl<S: AsyncRead + Unpin> ReadAhead<S> {
-    /// Takes in what has arrived; fails if the client has closed the connection.
-    fn look(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
-        if self.waits {
+    /// Buffers bytes that have arrived. Fails if the client has closed the connection.
+    fn read_ahead(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
+        if self.is_reader_waiting {
             return Ok(());
         }
-        let mut piece = [0; READ_CHUNK_BYTES];
-        while self.ahead.len() < MAX_READ_AHEAD_BYTES {
-            match Pin::new(&mut self.stream).poll_read(cx, &mut piece)? {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        while self.buffered.len() < MAX_READ_AHEAD_BYTES {
+            match Pin::new(&mut self.stream).poll_read(cx, &mut chunk)? {
                 Poll::Ready(0) => return Err(io::ErrorKind::ConnectionAborted.into()),
-                Poll::Ready(len) => self.ahead.extend_from_slice(&piece[..len]),
+                Poll::Ready(len) => self.buffered.extend_from_slice(&chunk[..len]),
                 Poll::Pending => return Ok(()),
             }
         }
         Ok(())
     }
 
-    /// A write that has to wait is as good an occasion to look as any.
-    fn looked<T>(
+    /// Reads ahead if `written` is blocked.
+    fn read_ahead_if_blocked<T>(
         &mut self,
         cx: &mut Context<'_>,
         written: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         if written.is_pending() {
-            self.look(cx)?;
+            self.read_ahead(cx)?;
         }
         written
     }
@@ -76,25 +76,25 @@
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if !self.ahead.is_empty() {
-            let len = buf.len().min(self.ahead.len());
-            self.ahead.copy_to_slice(&mut buf[..len]);
-            if self.ahead.is_empty() {
-                // Its memory is of no use to a connection that rests.
-                self.ahead = BytesMut::new();
+        if !self.buffered.is_empty() {
+            let len = buf.len().min(self.buffered.len());
+            self.buffered.copy_to_slice(&mut buf[..len]);
+            if self.buffered.is_empty() {
+                // Frees the memory while the connection is idle.
+                self.buffered = BytesMut::new();
             }
             return Poll::Ready(Ok(len));
         }
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         let Poll::Ready(Ok(len @ 1..)) = read else {
-            // Behind the end of a connection there is nothing to look for.
-            self.waits = true;
+            // Also set at the end of the stream, where there is nothing to read ahead.
+            self.is_reader_waiting = true;
             return read;
         };
-        self.waits = false;
+        self.is_reader_waiting = false;
         if len < buf.len() {
-            // A client that has left by now has left before its request runs.
-            self.look(cx)?;
+            // Detects a client that left before its request starts.
+            self.read_ahead(cx)?;
         }
         read
     }
@@ -107,7 +107,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.looked(cx, written)
+        self.read_ahead_if_blocked(cx, written)
     }
 
     fn poll_write_vectored(
@@ -116,13 +116,13 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.looked(cx, written)
+        self.read_ahead_if_blocked(cx, written)
     }
 
-    /// hyper flushes whenever it has looked for something to do.
+    /// Also reads ahead, since hyper flushes each time that it polls the connection.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_flush(cx))?;
-        Poll::Ready(self.look(cx))
+        Poll::Ready(self.read_ahead(cx))
     }
 
     fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/sorrelturn-platform/src/ready_socket.rs
+++ b/crates/sorrelturn-platform/src/ready_socket.rs
@@ -1,8 +1,8 @@
-//! A TCP connection that asks the kernel for bytes only when there are some.
+//! A TCP connection that calls `read` only when the socket is readable.
 //!
-//! hyper looks for more to read whenever its task is woken: for a request, for a part of an answer, for the end of
-//! a write. The runtime's stream makes a system call for each look, and nearly all of them find nothing. Here a look
-//! costs one only once the reactor has seen the socket readable. See `docs/design/streaming.md`.
+//! hyper polls for more bytes whenever its task is woken. The runtime's stream makes a system call for
+//! each poll, and most of them return nothing. [`ReadySocket`] makes one only after the reactor has
+//! reported the socket readable. See `docs/design/streaming.md`.
 
 use smol::{
     Async,
@@ -16,22 +16,19 @@
     task::{Context, Poll, ready},
 };
 
-/// A TCP connection whose reads wait until the reactor has seen the socket readable.
-///
-/// With the daemon's settings on the users' platform, one request cost each daemon on its way 26 system calls,
-/// 10 of them reads that found nothing; it saves these. Counted by `strace -c` of two daemons under 500 requests/s.
+/// A TCP connection whose reads wait until the reactor reports the socket readable.
 pub struct ReadySocket {
     tcp: TcpStream,
-    /// The same socket, as the reactor knows it.
+    /// The same socket, registered with the reactor.
     source: Arc<Async<std::net::TcpStream>>,
-    /// The last read took all that there was: the reactor tells when there is more.
+    /// Whether the last read emptied the socket, so that the next one waits for the reactor.
     is_drained: bool,
-    /// Whether a read that took less than it might have counts as one that took all there was.
+    /// Whether a read that doesn't fill its buffer counts as having emptied the socket.
     trusts_short_reads: bool,
 }
 
 impl ReadySocket {
-    /// Takes a connection. Its clones may write, and must not read.
+    /// Wraps a connection. Clones of it may write but must not read.
     pub fn new(tcp: TcpStream) -> Self {
         Self {
             source: tcp.clone().into(),
@@ -41,8 +38,9 @@
         }
     }
 
-    /// As [`ReadySocket::new`], for a server's end. Behind the bytes of a request its client's close may lie already, of
-    /// which the reactor tells later: it costs a system call a request to find it before the request runs.
+    /// Wraps the server side of a connection. A short read doesn't count as emptying the socket, because
+    /// the client's close may follow the request. This costs one system call per request, and finds
+    /// the close before the request runs.
     pub fn for_server(tcp: TcpStream) -> Self {
         Self {
             trusts_short_reads: false,
@@ -64,7 +62,7 @@
             }
             match self.source.get_ref().read(buf) {
                 Ok(len) => {
-                    // The end, a read of nothing, is found again by whoever reads again.
+                    // After the end of the stream, each further read returns 0 again.
                     self.is_drained = self.trusts_short_reads && len > 0 && len < buf.len();
                     return Poll::Ready(Ok(len));
                 }
--- a/crates/sorrelturn-platform/src/stand_in.rs
+++ b/crates/sorrelturn-platform/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in's HTTP face.
+//! The HTTP server of the stand-in.
 
 use crate::{
     Faults,
@@ -18,18 +18,18 @@
     time::{Duration, Instant},
 };
 
-/// How often a waiting watch looks for changes; far below the seconds that a spread may take.
+/// Interval at which an open watch polls for changes.
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Room for an object's metadata beside its value, in bytes.
+/// Maximum size of the metadata of an object in a request body, in bytes.
 const MAX_METADATA_BYTES: usize = 4 << 10;
 
-/// The stand-in's state.
+/// An in-memory server of the object API, for tests and demos.
 #[derive(Clone, Default)]
 pub struct StandIn {
     store: Arc<Mutex<Store>>,
 }
 
-/// Serves the object API on `listener` until the task is dropped.
+/// Serves the object API on `listener` until the future is dropped.
 pub async fn serve(ex: Arc<Executor<'static>>, listener: TcpListener, stand_in: StandIn) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -66,8 +66,8 @@
         if faults.busy {
             return Ok(status(StatusCode::TOO_MANY_REQUESTS));
         }
-        if let Some(at) = path.strip_prefix("/v1/objects/") {
-            return self.objects(req, at).await;
+        if let Some(object_path) = path.strip_prefix("/v1/objects/") {
+            return self.objects(req, object_path).await;
         }
         Ok(match path.as_str() {
             "/v1/vms" => {
@@ -79,10 +79,14 @@
         })
     }
 
-    /// `at` is a kind, a kind and a name, or these and `status`.
-    async fn objects(&self, req: Request<Incoming>, at: &str) -> Result<Answer, hyper::Error> {
-        let (kind, rest) = at.split_once('/').unwrap_or((at, ""));
-        let (name, part) = rest.split_once('/').unwrap_or((rest, ""));
+    /// Handles `kind`, `kind/name` and `kind/name/status`.
+    async fn objects(
+        &self,
+        req: Request<Incoming>,
+        object_path: &str,
+    ) -> Result<Answer, hyper::Error> {
+        let (kind, rest) = object_path.split_once('/').unwrap_or((object_path, ""));
+        let (name, subresource) = rest.split_once('/').unwrap_or((rest, ""));
         let query = req.uri().query().unwrap_or("").to_owned();
         let query = Query(&query);
         match (req.method().clone(), name.is_empty()) {
@@ -95,7 +99,7 @@
                 })
                 .await
             }
-            (Method::PUT, false) if part == "status" => {
+            (Method::PUT, false) if subresource == "status" => {
                 self.write(req, kind, name, Store::replace_status).await
             }
             (Method::PUT, false) => self.write(req, kind, name, Store::replace).await,
@@ -122,7 +126,7 @@
         let mut store = self.store.lock().await;
         store.counters.writes += 1;
         let written = store.delete(kind, name, query.number("revision"));
-        answer_written(written)
+        write_response(written)
     }
 
     async fn write(
@@ -144,19 +148,19 @@
         let mut store = self.store.lock().await;
         store.counters.writes += 1;
         if store.faults.lose_write_answers == 0 {
-            return Ok(answer_written(apply(&mut store, kind, name, object)));
+            return Ok(write_response(apply(&mut store, kind, name, object)));
         }
         store.faults.lose_write_answers -= 1;
-        let late = Duration::from_millis(store.faults.late_write_ms);
+        let delay = Duration::from_millis(store.faults.late_write_ms);
         drop(store);
-        Timer::after(late).await;
+        Timer::after(delay).await;
         apply(&mut *self.store.lock().await, kind, name, object);
-        // The client sees a gateway's time-out, or gave up before: the write's fate stays open.
+        // The client gets a gateway timeout, or has timed out itself, and can't tell whether the write took effect.
         Ok(status(StatusCode::GATEWAY_TIMEOUT))
     }
 
     async fn watch(&self, kind: &str, query: &Query<'_>) -> Answer {
-        let until = Instant::now() + Duration::from_millis(query.number("wait_ms"));
+        let deadline = Instant::now() + Duration::from_millis(query.number("wait_ms"));
         let since = query.number("watch");
         {
             let mut store = self.store.lock().await;
@@ -166,16 +170,18 @@
         loop {
             let mut store = self.store.lock().await;
             let events = store.events(kind, since);
-            let deaf = store.faults.silent_watches;
-            let over = Instant::now() >= until || store.faults.down;
+            let is_silent = store.faults.silent_watches;
+            let is_expired = Instant::now() >= deadline || store.faults.down;
             let answer = match events {
                 None => Some(status(StatusCode::GONE)),
-                Some(_) if deaf && !over => None,
-                Some(_) if deaf => Some(json(&WireEvents {
+                Some(_) if is_silent && !is_expired => None,
+                Some(_) if is_silent => Some(json(&WireEvents {
                     events: Readable::default(),
                     store_revision: since,
                 })),
-                Some(changes) if over || !changes.events.entries.is_empty() => Some(json(&changes)),
+                Some(changes) if is_expired || !changes.events.entries.is_empty() => {
+                    Some(json(&changes))
+                }
                 Some(_) => None,
             };
             if let Some(answer) = answer {
@@ -215,7 +221,7 @@
     }
 }
 
-fn answer_written(written: Written) -> Answer {
+fn write_response(written: Written) -> Answer {
     match written {
         Written::Done(object) => json(&object),
         Written::Absent => status(StatusCode::NOT_FOUND),
--- a/crates/sorrelturn-platform/src/store.rs
+++ b/crates/sorrelturn-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in's objects, without any I/O.
+//! The in-memory object store of the stand-in, without I/O.
 
 use crate::{
     Counters, Faults, VmEntry,
@@ -6,20 +6,20 @@
 };
 use std::collections::{BTreeMap, VecDeque};
 
-/// The largest value, in bytes.
+/// Maximum size of a value, in bytes.
 pub(crate) const MAX_VALUE_BYTES: usize = 1_048_576;
-/// The most objects on one page of a list, as on the users' platform.
+/// Maximum number of objects on a page of a list.
 const PAGE_CAPACITY: usize = 500;
-/// Changes that watches can still be told of.
+/// Number of changes retained for watches.
 const HISTORY_CAPACITY: usize = 10_000;
 
-/// What became of a write.
+/// The result of a write.
 pub(crate) enum Written {
-    /// It took effect; the object as it is now.
+    /// The write took effect. Holds the new object.
     Done(WireObject),
-    /// Its condition doesn't hold; the object as it is.
+    /// The condition of the write doesn't hold. Holds the current object.
     Conflict(WireObject),
-    /// There is no such object.
+    /// The object doesn't exist.
     Absent,
 }
 
@@ -29,8 +29,8 @@
     pub(crate) counters: Counters,
     pub(crate) vms: Vec<VmEntry>,
     revision: u64,
-    /// Watches from before this revision get 410.
-    forgotten: u64,
+    /// Watches since an earlier revision get 410, because the history up to here is discarded.
+    discarded_revision: u64,
     kinds: BTreeMap<String, BTreeMap<String, WireObject>>,
     history: VecDeque<(u64, String, WireEvent)>,
 }
@@ -40,7 +40,7 @@
         self.kinds.get(kind)?.get(name)
     }
 
-    /// Creates an object, if none has its name.
+    /// Creates an object if its name is free.
     pub(crate) fn create(&mut self, kind: &str, object: WireObject) -> Written {
         match self.get(kind, &object.metadata.name) {
             Some(existing) => Written::Conflict(existing.clone()),
@@ -63,7 +63,7 @@
         self.update(kind, name, condition, |object| object.status = new.status)
     }
 
-    /// Removes an object, or marks it while it has finalizers.
+    /// Removes an object, or marks it as deleting if it has finalizers.
     pub(crate) fn delete(&mut self, kind: &str, name: &str, condition: u64) -> Written {
         let Some(object) = self.get(kind, name).cloned() else {
             return Written::Absent;
@@ -108,7 +108,7 @@
             .entry(kind.to_owned())
             .or_default()
             .insert(object.metadata.name.clone(), object.clone());
-        self.note(kind, false, object.clone());
+        self.record_event(kind, false, object.clone());
         Written::Done(object)
     }
 
@@ -117,31 +117,31 @@
         if let Some(objects) = self.kinds.get_mut(kind) {
             objects.remove(&object.metadata.name);
         }
-        self.note(kind, true, object.clone());
+        self.record_event(kind, true, object.clone());
         Written::Done(object)
     }
 
-    fn note(&mut self, kind: &str, removed: bool, object: WireObject) {
+    fn record_event(&mut self, kind: &str, removed: bool, object: WireObject) {
         let event = WireEvent { removed, object };
         self.history
             .push_back((self.revision, kind.to_owned(), event));
         while self.history.len() > HISTORY_CAPACITY {
             if let Some((revision, _, _)) = self.history.pop_front() {
-                self.forgotten = revision;
+                self.discarded_revision = revision;
             }
         }
     }
 
-    /// Forgets what watches could still be told of.
+    /// Discards the history, so that watches from earlier revisions fail.
     pub(crate) fn forget_history(&mut self) {
         self.history.clear();
-        self.forgotten = self.revision;
+        self.discarded_revision = self.revision;
     }
 
-    /// One page of the objects of a kind, after a name.
+    /// Returns a page of the objects of a kind, starting after a name.
     pub(crate) fn page(&self, kind: &str, after: &str) -> WireList {
-        let names = self.kinds.get(kind);
-        let mut rest = names
+        let objects_by_name = self.kinds.get(kind);
+        let mut rest = objects_by_name
             .into_iter()
             .flat_map(|objects| objects.range(after.to_owned()..))
             .filter(|(name, _)| name.as_str() > after)
@@ -154,15 +154,15 @@
         }
     }
 
-    /// The changes of a kind since a revision; `None` where the history doesn't go back so far.
+    /// Returns the changes of a kind since a revision, or `None` if that history was discarded.
     pub(crate) fn events(&self, kind: &str, since: u64) -> Option<WireEvents> {
-        if since < self.forgotten {
+        if since < self.discarded_revision {
             return None;
         }
         let events: Vec<WireEvent> = self
             .history
             .iter()
-            .filter(|(revision, of, _)| *revision > since && of == kind)
+            .filter(|(revision, event_kind, _)| *revision > since && event_kind == kind)
             .map(|(_, _, event)| event.clone())
             .collect();
         Some(WireEvents {
--- a/crates/sorrelturn-platform/tests/blocked_writes.rs
+++ b/crates/sorrelturn-platform/tests/blocked_writes.rs
@@ -1,4 +1,4 @@
-//! A connection whose socket fills and empties while it is served goes on to its end.
+//! Guards against a stalled response when a socket becomes writable again right after a blocked write.
 
 use bytes::Bytes;
 use http_body_util::StreamBody;
@@ -16,28 +16,28 @@
     task::{Context, Poll, Wake, Waker},
 };
 
-/// Pieces of the answer, and the size of each in bytes: far more than hyper buffers.
-const PIECES: usize = 200;
-const PIECE_BYTES: usize = 10_000;
-/// More polls than the answer needs; a connection that spins fails.
-const MOST_POLLS: usize = 10_000;
+// The response is far larger than hyper's write buffer.
+const CHUNK_COUNT: usize = 200;
+const CHUNK_BYTES: usize = 10_000;
+/// More polls than the response needs. A connection that is polled forever fails the test.
+const MAX_POLLS: usize = 10_000;
 
-/// What a socket of the runtime keeps for the one who writes.
+/// The write side of the socket, with the waker of a blocked write.
 #[derive(Default)]
-struct Room {
+struct WriteState {
     written: usize,
     writes: usize,
     waker: Option<Waker>,
 }
 
-/// A socket that is full at every other write and has room again right after it. As with the
-/// runtime's own, a write that succeeds takes back the wish to be woken.
-struct FullAtTimes {
+/// A socket that blocks every other write and is writable again right after it. Like the runtime's
+/// sockets, it drops the waker when a write succeeds.
+struct BlockingSocket {
     request: Option<&'static [u8]>,
-    room: Arc<Mutex<Room>>,
+    write_state: Arc<Mutex<WriteState>>,
 }
 
-impl AsyncRead for FullAtTimes {
+impl AsyncRead for BlockingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
@@ -53,20 +53,20 @@
     }
 }
 
-impl AsyncWrite for FullAtTimes {
+impl AsyncWrite for BlockingSocket {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let mut room = self.room.lock().expect("no test panics with it");
-        room.writes += 1;
-        if room.writes % 2 == 1 {
-            room.waker = Some(cx.waker().clone());
+        let mut write_state = self.write_state.lock().expect("the mutex is not poisoned");
+        write_state.writes += 1;
+        if write_state.writes % 2 == 1 {
+            write_state.waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        room.waker = None;
-        room.written += buf.len();
+        write_state.waker = None;
+        write_state.written += buf.len();
         Poll::Ready(Ok(buf.len()))
     }
 
@@ -79,55 +79,59 @@
     }
 }
 
-/// Remembers that its task is to be polled again.
+/// Records that the task was woken.
 #[derive(Default)]
-struct Woken(AtomicBool);
+struct WakeFlag(AtomicBool);
 
-impl Wake for Woken {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
-async fn long_answer(
+async fn long_response(
     _: Request<Incoming>,
 ) -> Result<
     Response<StreamBody<impl smol::stream::Stream<Item = Result<Frame<Bytes>, Infallible>>>>,
     Infallible,
 > {
-    let pieces = (0..PIECES).map(|_| Ok(Frame::data(Bytes::from_static(&[7; PIECE_BYTES]))));
-    Ok(Response::new(StreamBody::new(smol::stream::iter(pieces))))
+    let chunks = (0..CHUNK_COUNT).map(|_| Ok(Frame::data(Bytes::from_static(&[7; CHUNK_BYTES]))));
+    Ok(Response::new(StreamBody::new(smol::stream::iter(chunks))))
 }
 
 #[test]
 fn a_long_answer_goes_on_when_the_socket_has_room_again_at_once() {
-    let room = Arc::new(Mutex::new(Room::default()));
-    let socket = FullAtTimes {
+    let write_state = Arc::new(Mutex::new(WriteState::default()));
+    let socket = BlockingSocket {
         request: Some(b"GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n"),
-        room: Arc::clone(&room),
+        write_state: Arc::clone(&write_state),
     };
-    let service = hyper::service::service_fn(long_answer);
+    let service = hyper::service::service_fn(long_response);
     let mut conn = pin!(http1::Builder::new().serve_connection(hyper_io(socket), service));
-    let woken = Arc::new(Woken::default());
-    let waker = Waker::from(Arc::clone(&woken));
-    for _ in 0..MOST_POLLS {
-        woken.0.store(false, Ordering::Relaxed);
-        if let Poll::Ready(end) = conn.as_mut().poll(&mut Context::from_waker(&waker)) {
-            end.expect("the connection ends in good order");
-            let room = room.lock().expect("no test panics with it");
-            assert!(room.written > PIECES * PIECE_BYTES, "{}", room.written);
+    let wake_flag = Arc::new(WakeFlag::default());
+    let waker = Waker::from(Arc::clone(&wake_flag));
+    for _ in 0..MAX_POLLS {
+        wake_flag.0.store(false, Ordering::Relaxed);
+        if let Poll::Ready(result) = conn.as_mut().poll(&mut Context::from_waker(&waker)) {
+            result.expect("the connection ends without an error");
+            let write_state = write_state.lock().expect("the mutex is not poisoned");
+            assert!(
+                write_state.written > CHUNK_COUNT * CHUNK_BYTES,
+                "{}",
+                write_state.written
+            );
             return;
         }
-        // The socket has room: the runtime wakes whoever waits for it.
-        let mut room = room.lock().expect("no test panics with it");
-        if let Some(waker) = room.waker.take() {
+        // The socket is writable: the runtime wakes the registered task.
+        let mut write_state = write_state.lock().expect("the mutex is not poisoned");
+        if let Some(waker) = write_state.waker.take() {
             waker.wake();
         }
         assert!(
-            woken.0.load(Ordering::Relaxed),
-            "after {} bytes nobody wakes the connection",
-            room.written
+            wake_flag.0.load(Ordering::Relaxed),
+            "the connection is not woken after {} bytes",
+            write_state.written
         );
     }
-    panic!("the connection doesn't end");
+    panic!("the connection doesn't finish");
 }
--- a/crates/sorrelturn-platform/tests/faults_and_conditions.rs
+++ b/crates/sorrelturn-platform/tests/faults_and_conditions.rs
@@ -1,4 +1,4 @@
-//! The client against the stand-in: races, lost answers, outages, watches.
+//! Tests the client against the stand-in: conflicts, lost responses, outages and watches.
 
 use assert_matches::assert_matches;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
     }));
 }
 
-async fn play(addr: SocketAddr, faults: Faults) {
+async fn set_faults(addr: SocketAddr, faults: Faults) {
     let body = Bytes::from(serde_json::to_vec(&faults).expect("json"));
     let req = Request::put("/stand-in/faults")
         .body(body)
@@ -53,7 +53,7 @@
 #[test]
 fn a_write_whose_answer_is_lost_is_found_by_reading_back() {
     with_stand_in(|addr, platform| async move {
-        play(
+        set_faults(
             addr,
             Faults {
                 lose_write_answers: 2,
@@ -83,7 +83,7 @@
 #[test]
 fn an_outage_is_unavailable_and_ends() {
     with_stand_in(|addr, platform| async move {
-        play(
+        set_faults(
             addr,
             Faults {
                 down: true,
@@ -92,7 +92,7 @@
         )
         .await;
         assert_matches!(platform.get("c").await, Err(PlatformError::Unavailable(_)));
-        play(addr, Faults::default()).await;
+        set_faults(addr, Faults::default()).await;
         assert_matches!(platform.get("c").await, Ok(None));
     });
 }
@@ -110,9 +110,9 @@
             .put("d/2", "y", Expected::Anything)
             .await
             .expect("put");
-        let news = platform.watch("d/", version, TIMEOUT).await.expect("watch");
-        assert_eq!(news.objects.len(), 1);
-        assert_eq!(news.objects[0].key, "d/2");
+        let changes = platform.watch("d/", version, TIMEOUT).await.expect("watch");
+        assert_eq!(changes.objects.len(), 1);
+        assert_eq!(changes.objects[0].key, "d/2");
     });
 }
 
@@ -124,13 +124,13 @@
             .await
             .expect("put");
         platform.delete("e/1").await.expect("delete");
-        let news = platform.watch("e/", version, TIMEOUT).await.expect("watch");
-        assert_eq!(news.removed, ["e/1"]);
+        let changes = platform.watch("e/", version, TIMEOUT).await.expect("watch");
+        assert_eq!(changes.removed, ["e/1"]);
         let forget = Faults {
             forget_history: true,
             ..Faults::default()
         };
-        play(addr, forget).await;
+        set_faults(addr, forget).await;
         assert_matches!(
             platform.watch("e/", version, TIMEOUT).await,
             Err(PlatformError::HistoryGone)
@@ -163,7 +163,7 @@
             late_write_ms: 50,
             ..Faults::default()
         };
-        play(addr, late).await;
+        set_faults(addr, late).await;
         let lost = platform.put("g", "late", Expected::Version(first));
         let other = async {
             smol::Timer::after(Duration::from_millis(10)).await;
@@ -177,7 +177,7 @@
     });
 }
 
-/// Others write to the store as well: what of a list can't be read at all is counted, and the rest holds.
+/// Guards against one invalid entry of another client hiding a whole list.
 #[test]
 fn entries_of_a_list_that_cant_be_read_are_left_out_and_counted() {
     let page = r#"{"items":[{"metadata":{"name":"good","revision":2},"value":"v"},7,{"metadata":"none"}],"store_revision":3}"#;
--- a/crates/sorrelturn-platform/tests/read_ahead.rs
+++ b/crates/sorrelturn-platform/tests/read_ahead.rs
@@ -1,4 +1,4 @@
-//! What a server takes in before anybody asks for it arrives unchanged, and in its order.
+//! Guards against lost or reordered bytes when a server reads ahead, and against requests of clients that left.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,17 +16,17 @@
     time::Duration,
 };
 
-/// Far more than is taken in ahead.
+/// Far more than the read-ahead buffer.
 const BODY_BYTES: usize = 500_000;
-/// So long a body lies unread, so that some of it is taken in.
-const UNREAD: Duration = Duration::from_millis(100);
+/// Delay before a body is read, so that some of it is read ahead.
+const READ_DELAY: Duration = Duration::from_millis(100);
 
-/// The longest time for all of it; long, so that a busy machine doesn't fail.
-const WAIT: Duration = Duration::from_secs(60);
+/// Long enough for a busy machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Sends back the body that it reads late.
+/// Echoes the body, which it reads after a delay.
 async fn echo(req: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-    Timer::after(UNREAD).await;
+    Timer::after(READ_DELAY).await;
     let body = req.into_body().collect().await.expect("a whole body");
     Ok(Response::new(Full::new(body.to_bytes())))
 }
@@ -34,7 +34,7 @@
 async fn serve(listener: TcpListener) {
     let (tcp, _) = listener.accept().await.expect("a client");
     let conn = http1::Builder::new().serve_connection(hyper_server_io(tcp), service_fn(echo));
-    // The client closes it in the end.
+    // Fails when the client closes the connection.
     let _ = conn.await;
 }
 
@@ -69,26 +69,25 @@
                         reads.read_exact(&mut byte).await.expect("a head");
                         head.push(byte[0]);
                     }
-                    let mut back = vec![0; body.len()];
-                    reads.read_exact(&mut back).await.expect("a body");
-                    assert!(back == *body, "changed on its way");
+                    let mut echoed = vec![0; body.len()];
+                    reads.read_exact(&mut echoed).await.expect("a body");
+                    assert!(echoed == *body, "the body was changed in transit");
                 }
             };
             smol::future::zip(sends, receives).await;
         };
-        let both = async {
+        let exchange = async {
             smol::future::zip(serve(listener), client).await;
         };
-        let too_long = async {
-            Timer::after(WAIT).await;
-            panic!("something is missing")
+        let timeout = async {
+            Timer::after(TEST_TIMEOUT).await;
+            panic!("the exchange timed out")
         };
-        both.or(too_long).await;
+        exchange.or(timeout).await;
     });
 }
 
-/// Seen where a daemon was frozen: requests of clients that had left meanwhile lay in the kernel with the close behind
-/// them, and one in some hundred began before the reactor had told of the close.
+/// After a freeze, requests of clients that have left lie in the kernel's buffer with the close behind them.
 #[test]
 fn a_request_whose_client_had_left_before_it_was_read_never_begins() {
     let get = "GET / HTTP/1.1\r\nhost: x\r\n\r\n";
@@ -101,7 +100,7 @@
         chunked.to_owned(),
         unfinished.to_owned(),
     ] {
-        let begun = AtomicUsize::new(0);
+        let started_count = AtomicUsize::new(0);
         smol::block_on(async {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let addr = listener.local_addr().expect("an address");
@@ -111,13 +110,13 @@
             client.close().await.expect("closed");
             drop(client);
             let answer = service_fn(async |_: Request<Incoming>| {
-                begun.fetch_add(1, Ordering::Relaxed);
+                started_count.fetch_add(1, Ordering::Relaxed);
                 Ok::<_, Infallible>(Response::new(Full::new(Bytes::new())))
             });
             let stream = hyper_server_io(ReadySocket::for_server(tcp));
-            // It ends with an error, since the client has left.
+            // Fails because the client has left.
             let _ = http1::Builder::new().serve_connection(stream, answer).await;
         });
-        assert_eq!(begun.load(Ordering::Relaxed), 0, "{sent}");
+        assert_eq!(started_count.load(Ordering::Relaxed), 0, "{sent}");
     }
 }
--- a/crates/sorrelturn-platform/tests/ready_socket.rs
+++ b/crates/sorrelturn-platform/tests/ready_socket.rs
@@ -1,7 +1,5 @@
-//! What is read over a socket that waits until the reactor has seen it readable is what was sent, up to its end.
-//!
-//! The pattern: a sender writes in pieces of any size with pauses, a reader takes them in through buffers of any
-//! size, and so meets a drained socket at each point of the stream, its end and its reset included.
+//! Guards against lost bytes and missed ends of a `ReadySocket`: random write and read sizes with pauses
+//! empty the socket at any point of the stream.
 
 use smol::{
     Timer,
@@ -13,14 +11,14 @@
 use std::{io::ErrorKind, time::Duration};
 
 const STREAM_BYTES: usize = 300_000;
-/// Larger and smaller than what is read at once.
-const MOST_SENT_AT_ONCE: usize = 6_000;
-const MOST_READ_AT_ONCE: usize = 3_000;
+// Writes are both larger and smaller than reads.
+const MAX_WRITE_BYTES: usize = 6_000;
+const MAX_READ_BYTES: usize = 3_000;
 const SEEDS: u64 = 8;
-/// One pause in so many writes lets the reader drain the socket.
-const PAUSES: u32 = 4;
-/// The longest time for one stream; long, so that a busy machine doesn't fail.
-const WAIT: Duration = Duration::from_secs(60);
+/// Writes per pause, on average. A pause lets the reader empty the socket.
+const WRITES_PER_PAUSE: u32 = 4;
+/// Long enough for a busy machine.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn connected() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -30,12 +28,12 @@
     (client, server)
 }
 
-async fn in_time<T>(f: impl Future<Output = T>) -> T {
-    let too_long = async {
-        Timer::after(WAIT).await;
-        panic!("something is missing")
+async fn with_timeout<T>(f: impl Future<Output = T>) -> T {
+    let timeout = async {
+        Timer::after(TEST_TIMEOUT).await;
+        panic!("the stream timed out")
     };
-    f.or(too_long).await
+    f.or(timeout).await
 }
 
 #[test]
@@ -43,17 +41,17 @@
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
         let sent: Vec<u8> = (0..STREAM_BYTES).map(|_| rng.u8(..)).collect();
-        let mut rng_of_reader = rng.fork();
-        smol::block_on(in_time(async {
+        let mut reader_rng = rng.fork();
+        smol::block_on(with_timeout(async {
             let (mut writes, reads) = connected().await;
             let sends = async {
                 let mut rest = &sent[..];
                 while !rest.is_empty() {
                     let (piece, left) =
-                        rest.split_at(rng.usize(1..=MOST_SENT_AT_ONCE).min(rest.len()));
+                        rest.split_at(rng.usize(1..=MAX_WRITE_BYTES).min(rest.len()));
                     writes.write_all(piece).await.expect("sent");
                     rest = left;
-                    if rng.u32(..PAUSES) == 0 {
+                    if rng.u32(..WRITES_PER_PAUSE) == 0 {
                         Timer::after(Duration::from_millis(1)).await;
                     }
                 }
@@ -62,10 +60,10 @@
             let receives = async {
                 let mut reads = ReadySocket::new(reads);
                 let mut got = Vec::new();
-                let mut buf = [0; MOST_READ_AT_ONCE];
+                let mut buf = [0; MAX_READ_BYTES];
                 loop {
-                    let most = rng_of_reader.usize(1..=buf.len());
-                    let len = reads.read(&mut buf[..most]).await.expect("read");
+                    let max_len = reader_rng.usize(1..=buf.len());
+                    let len = reads.read(&mut buf[..max_len]).await.expect("read");
                     if len == 0 {
                         return got;
                     }
@@ -84,7 +82,7 @@
 
 #[test]
 fn the_end_is_seen_again_by_whoever_reads_again() {
-    smol::block_on(in_time(async {
+    smol::block_on(with_timeout(async {
         let (mut writes, reads) = connected().await;
         writes.write_all(b"last").await.expect("sent");
         writes.close().await.expect("closed");
@@ -100,7 +98,7 @@
 
 #[test]
 fn a_reset_of_a_drained_connection_is_an_error() {
-    smol::block_on(in_time(async {
+    smol::block_on(with_timeout(async {
         let (mut writes, reads) = connected().await;
         writes.write_all(b"some").await.expect("sent");
         let mut reads = ReadySocket::new(reads);
@@ -109,7 +107,10 @@
         // A close with unread bytes resets the connection.
         reads.write_all(b"never read").await.expect("sent");
         let mut unread = [0; 1];
-        writes.peek(&mut unread).await.expect("they have come");
+        writes
+            .peek(&mut unread)
+            .await
+            .expect("the bytes have arrived");
         drop(writes);
         let error = reads.read(&mut buf).await.expect_err("reset");
         assert_eq!(error.kind(), ErrorKind::ConnectionReset);
