--- a/crates/sorrelturn-bundle/src/index.rs
+++ b/crates/sorrelturn-bundle/src/index.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns whether requests of this kind are executed at max_prefix_bits once.
+    /// Returns whether requests of this kind are executed at most once.
     pub fn at_most_once(&self) -> bool {
         self.kind.execution == Execution::AtMostOnce
     }
