--- a/crates/sorrelturn-platform/src/api.rs
+++ b/crates/sorrelturn-platform/src/api.rs
@@ -289,7 +289,7 @@
         format!("{}{segment}", outcomes_prefix(owner))
     }
 
-    /// Returns the key of the record that an incarnation writes when it ends.
+    /// Returns the key of the record that an incarnation writes on a planned stop.
     pub fn closing_record(owner: Incarnation) -> String {
         format!("{}closing", outcomes_prefix(owner))
     }
