--- a/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
+++ b/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
@@ -1,4 +1,4 @@
-//! A bundle survives its way through sections, and nothing forged does.
+//! Tests that bundles survive splitting and joining, and that forged ones are rejected.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -9,7 +9,7 @@
 
 fn source() -> BundleSource {
     let text = include_str!("../../../bundles/dalaqyz-soft.jsonc");
-    parse("dalaqyz-soft.jsonc", text).expect("the example is right")
+    parse("dalaqyz-soft.jsonc", text).expect("the example is valid")
 }
 
 fn key() -> OperatorKey {
@@ -38,14 +38,14 @@
 fn a_bundle_is_the_same_after_split_sign_verify_and_join() {
     let sections = split(&source());
     let signed = SignedManifest::sign(&manifest(&sections), &key());
-    let verified = signed.verify(&trusted()).expect("the signature fits");
+    let verified = signed.verify(&trusted()).expect("the signature is valid");
     let bundle = join(&verified, |hash| {
         let found = sections
             .iter()
             .find(|s| ContentHash::of(&s.bytes) == *hash)?;
         Some(found.bytes.as_slice())
     });
-    let bundle = bundle.expect("all sections are here");
+    let bundle = bundle.expect("all sections are present");
     assert_eq!((bundle.version, bundle.source()), (7, &source()));
 }
 
@@ -58,7 +58,7 @@
         Err(ManifestError::SectionMissing(_))
     );
     let swapped = join(&manifest, |_| Some(b"{}".as_slice()));
-    assert_matches!(swapped, Err(ManifestError::SectionForged(_)));
+    assert_matches!(swapped, Err(ManifestError::SectionHashMismatch(_)));
 }
 
 #[test]
@@ -96,7 +96,10 @@
         Some("utility-clerks")
     );
     assert_eq!(caller(Some("guessed"), "10.30.4.5"), None);
-    assert_eq!(bundle.kind("tariff-pay").map(|kind| kind.need), Some(3));
+    assert_eq!(
+        bundle.kind("tariff-pay").map(|kind| kind.min_executions),
+        Some(3)
+    );
 }
 
 proptest! {
