--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -61,9 +61,9 @@
     let cfg = GateConfig {
         slots: 20,
         queue_len: 20,
-        queue_wait: Duration::from_millis(100),
+        queue_timeout: Duration::from_millis(100),
         cold_start: Duration::ZERO,
-        call_wait: None,
+        call_queue_timeout: None,
     };
     Gate::new(cfg, Duration::ZERO)
 }
@@ -77,7 +77,7 @@
     Arrival {
         id: round,
         priority: Priority::new(importance, (round * 37) as u8),
-        holds_work: round.is_multiple_of(3),
+        is_nested_call: round.is_multiple_of(3),
         deadline: now + Duration::from_secs(1),
         level: 0,
     }
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -3,8 +3,9 @@
 use super::file::{Experiment, Mechanism};
 use fastrand::Rng;
 use sorrelturn_policy::{
-    CallGraph, Candidate, FirstTries, Gate, GateConfig, Instance, InstanceReport, LearnedThreshold,
-    Now, Origins, Refusing, RetryAfter, RetryWindow, WorkedOn, bucket_of_return, choose, refuses,
+    CallGraph, Candidate, Gate, GateConfig, Instance, InstanceReport, LearnedThreshold, Now,
+    Origins, Refusing, RetryAfter, RetryDetector, RetryWindow, WorkedOn, bucket_for_retry, choose,
+    refuses,
 };
 use sorrelturn_protocol::{Importance, Incarnation, Priority};
 use std::{
@@ -24,7 +25,7 @@
 /// What a daemon has learnt about one kind.
 struct KindState {
     threshold: LearnedThreshold,
-    first_tries: FirstTries,
+    first_tries: RetryDetector,
     refusing: Refusing,
     /// What answers told of it: whether its requests are calls.
     is_call: bool,
@@ -103,9 +104,9 @@
         let cfg = GateConfig {
             slots: site.slots[service],
             queue_len: site.slots[service],
-            queue_wait: QUEUE_WAIT,
+            queue_timeout: QUEUE_WAIT,
             cold_start: Duration::ZERO,
-            call_wait: Some(CALL_WAIT),
+            call_queue_timeout: Some(CALL_WAIT),
         };
         Self {
             kinds: experiment.kinds.iter().map(|_| KindState::new()).collect(),
@@ -145,7 +146,7 @@
 
     /// Learns from a finished request what its kind calls.
     pub(super) fn learns_calls_of(&mut self, name: &str, took: Duration) {
-        self.graph.ended(name, took);
+        self.graph.record_end(name, took);
     }
 
     /// What a kind is known to call.
@@ -155,7 +156,7 @@
 
     /// Whether a kind is known to call nothing.
     pub(super) fn calls_nothing(&self, name: &str) -> bool {
-        self.graph.calls_nothing(name)
+        self.graph.is_leaf(name)
     }
 
     /// The backend server makes a call that is known as one.
@@ -175,7 +176,7 @@
                 count,
             });
         let candidates: Vec<Candidate> = candidates.collect();
-        self.graph.called(&names[child], &candidates);
+        self.graph.record_call(&names[child], &candidates);
     }
 
     /// A request of a kind came from the VM of a service.
@@ -208,7 +209,7 @@
     pub(super) fn works(&mut self, now: Now, takes: Duration) -> Now {
         let lag = self.free_at.saturating_sub(now);
         if !takes.is_zero() {
-            self.gate.lags(lag);
+            self.gate.report_lag(lag);
         }
         self.free_at = now.max(self.free_at) + takes;
         self.free_at
@@ -241,9 +242,11 @@
             return false;
         }
         let level = self.level(now, kind);
-        let was_tried = self.kinds[kind].first_tries.saw(left.as_millis() as u32);
+        let was_tried = self.kinds[kind]
+            .first_tries
+            .observe(left.as_millis() as u32);
         let bucket = if was_tried && experiment.is_on(Mechanism::ReturnOrder) {
-            bucket_of_return(bucket, rank.0)
+            bucket_for_retry(bucket, rank.0)
         } else {
             bucket
         };
@@ -316,8 +319,8 @@
 impl KindState {
     fn new() -> Self {
         Self {
-            threshold: LearnedThreshold::of_level(),
-            first_tries: FirstTries::default(),
+            threshold: LearnedThreshold::for_shedding_level(),
+            first_tries: RetryDetector::default(),
             refusing: Refusing::default(),
             is_call: false,
             was_answered: false,
--- a/crates/sorrelturn-bench/src/experiment/play/callers.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/callers.rs
@@ -2,7 +2,7 @@
 
 use super::{Call, Caller, Ended, Event, PATIENCE, Play, Tries, ms, seconds};
 use crate::experiment::outcome::Counts;
-use sorrelturn_policy::bucket_of_once;
+use sorrelturn_policy::bucket_for_at_most_once;
 use sorrelturn_protocol::RequestFingerprint;
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
         // Each try has an id of its own, and with it its own place in the order of shedding.
         let mut bucket = self.rng.u8(..);
         if self.kinds[kind].once_among_repeatable {
-            bucket = bucket_of_once(bucket);
+            bucket = bucket_for_at_most_once(bucket);
         }
         let left = (caller.first_sent + self.kinds[kind].deadline).saturating_sub(self.now);
         if left.is_zero() {
--- a/crates/sorrelturn-bench/src/experiment/play/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/mod.rs
@@ -12,7 +12,7 @@
     outcome::{Counts, KindOutcome, Outcome, SAMPLES_A_SECOND, ServiceOutcome},
 };
 use fastrand::Rng;
-use sorrelturn_policy::{Arrival, Began, Now, Quarantine};
+use sorrelturn_policy::{Arrival, Now, Quarantine, TuningSample};
 use sorrelturn_protocol::{CrashNews, Importance, Incarnation, Refusal, RequestFingerprint};
 use std::{
     cmp::Reverse,
@@ -134,7 +134,7 @@
     next_call: usize,
     level: u16,
     repeated: bool,
-    began: Began,
+    began: TuningSample,
 }
 
 /// How a call ended at its instance.
--- a/crates/sorrelturn-bench/src/experiment/play/owner.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/owner.rs
@@ -3,7 +3,7 @@
 use super::{Call, Ended, Event, Play, Run, TURNS_AWAY_IN, Tries, ms};
 use crate::experiment::daemon::Told;
 use crate::experiment::file::Mechanism;
-use sorrelturn_policy::{Arrival, Began, Decision, Outcome as GateOutcome};
+use sorrelturn_policy::{Arrival, Decision, Outcome as GateOutcome, TuningSample};
 use sorrelturn_protocol::{Priority, Refusal};
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
         let arrival = Arrival {
             id,
             priority: Priority::new(kind.importance, call.bucket),
-            holds_work: is_call.unwrap_or(call.parent.is_some()),
+            is_nested_call: is_call.unwrap_or(call.parent.is_some()),
             deadline: call.deadline,
             level: call.level,
         };
@@ -39,16 +39,16 @@
         self.works(owner);
         let gate = &mut self.daemons[owner].gate;
         let (decision, pushed_out) = gate.arrive(self.now, &arrival);
-        let wait = gate.queue_wait(&arrival);
+        let wait = gate.queue_timeout(&arrival);
         if let Some(id) = pushed_out {
             self.ends_at_owner(id, Ended::NotRun(Refusal::Overload));
         }
         match decision {
             Decision::Admit => {
-                let began = self.daemons[owner].gate.began();
+                let began = self.daemons[owner].gate.last_sample();
                 self.begins(id, began);
             }
-            Decision::Wait => self.after(wait, Event::WaitOver(id)),
+            Decision::Queue => self.after(wait, Event::WaitOver(id)),
             Decision::Refuse(refusal) => self.ends_at_owner(id, Ended::NotRun(refusal)),
         }
     }
@@ -57,7 +57,7 @@
         let Some((owner, arrival)) = self.at_gate(id) else {
             return;
         };
-        if self.daemons[owner].gate.give_up(&arrival, true) {
+        if self.daemons[owner].gate.remove_queued(&arrival, true) {
             self.ends_at_owner(id, Ended::NotRun(Refusal::Overload));
         }
     }
@@ -69,7 +69,7 @@
     }
 
     /// The backend server is handed a call.
-    pub(super) fn begins(&mut self, id: u64, began: Began) {
+    pub(super) fn begins(&mut self, id: u64, began: TuningSample) {
         let Some((daemon, _)) = self.at_gate(id) else {
             return;
         };
@@ -126,7 +126,7 @@
             return;
         };
         let outcome = match refusal {
-            Refusal::BackendUnreachable => GateOutcome::Broke,
+            Refusal::BackendUnreachable => GateOutcome::Failed,
             _ => GateOutcome::Overloaded,
         };
         self.slot_free(owner, outcome, TURNS_AWAY_IN);
@@ -136,7 +136,7 @@
     pub(super) fn slot_free(&mut self, owner: usize, outcome: GateOutcome, took: Duration) {
         let gate = &mut self.daemons[owner].gate;
         let released = gate.finish(self.now, outcome, took);
-        for (id, began) in released.admitted.into_iter().zip(released.began) {
+        for (id, began) in released.admitted.into_iter().zip(released.samples) {
             self.begins(id, began);
         }
         for (id, refusal) in released.refused {
@@ -196,10 +196,10 @@
         let leaf = kind.filter(|kind| self.calls_nothing(run.daemon, *kind));
         if self.experiment.is_on(Mechanism::BestSlots) {
             let gate = &mut self.daemons[run.daemon].gate;
-            gate.worked(self.now, run.began, leaf.map(|kind| kind as u64), took);
+            gate.end_sample(self.now, run.began, leaf.map(|kind| kind as u64), took);
         }
         let outcome = match ended {
-            Ended::Crashed => GateOutcome::Broke,
+            Ended::Crashed => GateOutcome::Failed,
             _ => GateOutcome::Answered,
         };
         self.slot_free(run.daemon, outcome, took);
--- a/crates/sorrelturn-bench/src/returns.rs
+++ b/crates/sorrelturn-bench/src/returns.rs
@@ -5,8 +5,8 @@
 
 use fastrand::Rng;
 use sorrelturn_policy::{
-    Arrival, Decision, FirstTries, Gate, GateConfig, LearnedThreshold, Now, Outcome, Refusing,
-    bucket_of_return, refuses,
+    Arrival, Decision, Gate, GateConfig, LearnedThreshold, Now, Outcome, Refusing, RetryDetector,
+    bucket_for_retry, refuses,
 };
 use sorrelturn_protocol::{Importance, Priority};
 use std::{
@@ -160,7 +160,7 @@
         let mut refusing = Refusing::default();
         Box::new(move |refused, rng| refusing.refused(refused.now, rng))
     },
-    order: bucket_of_return,
+    order: bucket_for_retry,
 };
 
 /// What came of the requests of one kind that were first sent while the pressure lasted or in the
@@ -228,7 +228,7 @@
 
 struct Entry {
     level: LearnedThreshold,
-    first_tries: FirstTries,
+    first_tries: RetryDetector,
     rule: ReturnRule,
 }
 
@@ -256,13 +256,13 @@
         let cfg = GateConfig {
             slots: SLOTS,
             queue_len: 60,
-            queue_wait: Duration::from_millis(100),
+            queue_timeout: Duration::from_millis(100),
             cold_start: Duration::ZERO,
-            call_wait: Some(Duration::from_millis(250)),
+            call_queue_timeout: Some(Duration::from_millis(250)),
         };
         let entry = || Entry {
-            level: LearnedThreshold::of_level(),
-            first_tries: FirstTries::default(),
+            level: LearnedThreshold::for_shedding_level(),
+            first_tries: RetryDetector::default(),
             rule: (way.rule)(),
         };
         let kinds = RETURNING_KINDS.len();
@@ -373,7 +373,7 @@
         });
         let entry = &mut self.entries[req.entry][req.kind];
         let mut bucket = req.bucket;
-        if entry.first_tries.saw(left.as_millis() as u32) {
+        if entry.first_tries.observe(left.as_millis() as u32) {
             bucket = (self.order)(bucket, kind.rank);
         }
         let level = entry.level.current(self.now).0;
@@ -425,20 +425,20 @@
         let arrival = Arrival {
             id,
             priority: Priority::new(RETURNING_KINDS[req.kind].importance, req.bucket),
-            holds_work: true,
+            is_nested_call: true,
             deadline: req.first_sent + RETURNING_KINDS[req.kind].deadline,
             level: req.level,
         };
         let instance = &mut self.instances[at];
         instance.calls.insert(id, (req, arrival));
         let (decision, pushed_out) = instance.gate.arrive(self.now, &arrival);
-        let wait = instance.gate.queue_wait(&arrival);
+        let wait = instance.gate.queue_timeout(&arrival);
         if let Some(id) = pushed_out {
             self.call_over(at, id, false);
         }
         match decision {
             Decision::Admit => self.works(at, id),
-            Decision::Wait => self.after(wait, Event::WaitOver(at, id)),
+            Decision::Queue => self.after(wait, Event::WaitOver(at, id)),
             Decision::Refuse(_) => self.call_over(at, id, false),
         }
     }
@@ -466,7 +466,7 @@
         let Some((_, arrival)) = instance.calls.get(&id) else {
             return;
         };
-        if instance.gate.give_up(arrival, true) {
+        if instance.gate.remove_queued(arrival, true) {
             self.call_over(at, id, false);
         }
     }
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -96,9 +96,9 @@
         GateConfig {
             slots,
             queue_len: slots,
-            queue_wait: QUEUE_WAIT,
+            queue_timeout: QUEUE_WAIT,
             cold_start: Duration::ZERO,
-            call_wait: Some(CALL_WAIT),
+            call_queue_timeout: Some(CALL_WAIT),
         }
     }
 
@@ -217,7 +217,7 @@
 fn takes_work(node: &Arc<Node>, routed: &Routed) {
     routed.saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
-    node.room.with_gate(|gate, _| gate.another_run());
+    node.room.with_gate(|gate, _| gate.reset_tuning());
     node.backend.forget_idle();
     let no_longer_leaving = node.stop_leaving(LeavingCause::Backend);
     // A daemon that leaves for another reason tells so already.
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -5,7 +5,7 @@
     Bundle, CallerEntry, KindEntry, SectionBytes, SignedManifest, WorkspaceEntry,
 };
 use sorrelturn_policy::{
-    FirstTries, LearnedThreshold, Now, RateBucket, Refusing, RetryBucket, RetryWindow,
+    LearnedThreshold, Now, RateBucket, Refusing, RetryBucket, RetryDetector, RetryWindow,
 };
 use sorrelturn_protocol::{CallerId, Importance, Priority};
 use std::{
@@ -103,7 +103,7 @@
     /// When a request of this kind was refused last because something below it has no instance.
     lacked_below: LastTime,
     /// How much time callers begin with.
-    pub(crate) first_tries: Mutex<FirstTries>,
+    pub(crate) first_tries: Mutex<RetryDetector>,
     /// How long this daemon has been refusing them as the entry.
     pub(crate) refusing: Mutex<Refusing>,
 }
@@ -321,7 +321,7 @@
         let known = before.and_then(|before| before.kinds.get(&kind.name));
         let state = match known {
             Some(known) if Arc::ptr_eq(&known.retries, retries) => Arc::clone(known),
-            _ => KindState::new(LearnedThreshold::of_level(), Arc::clone(retries)),
+            _ => KindState::new(LearnedThreshold::for_shedding_level(), Arc::clone(retries)),
         };
         kinds.insert(kind.name.clone(), state);
     }
--- a/crates/sorrelturn-daemon/src/config/knowledge.rs
+++ b/crates/sorrelturn-daemon/src/config/knowledge.rs
@@ -121,7 +121,7 @@
     }
 
     fn prove(&self, at: Now) {
-        lock(&self.freshness).prove(at);
+        lock(&self.freshness).confirm(at);
         self.failures.store(0, Ordering::Relaxed);
         let (least, most) = REFRESH_AFTER;
         let spread = (most - least).mul_f64(fastrand::f64());
@@ -142,7 +142,7 @@
     // What holds for its version says nothing of a lower one.
     if let Some(age_ms) = age_ms.filter(|_| version <= node.bundle_version()) {
         let age = Duration::from_millis(age_ms.into());
-        lock(&node.knowledge.freshness).told(sent, age);
+        lock(&node.knowledge.freshness).confirm_from_peer(sent, age);
     }
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -394,7 +394,7 @@
 
     /// Takes a reason for leaving back; returns whether this is news.
     pub(crate) fn stop_leaving(&self, cause: LeavingCause) -> bool {
-        if !lock(&self.leaving).stay(cause) {
+        if !lock(&self.leaving).revoke(cause) {
             return false;
         }
         self.set_own_state(MemberState::Live);
@@ -408,8 +408,8 @@
     GateConfig {
         slots: service.slots,
         queue_len: service.queue_len(),
-        queue_wait: Duration::from_millis(service.queue_wait_ms.into()),
+        queue_timeout: Duration::from_millis(service.queue_wait_ms.into()),
         cold_start: Duration::from_millis(service.cold_start_ms.into()),
-        call_wait: None,
+        call_queue_timeout: None,
     }
 }
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -20,8 +20,8 @@
 use sorrelturn_bundle::KindEntry;
 use sorrelturn_fleet::Source;
 use sorrelturn_policy::{
-    Attempt, CRASHES_TO_HOLD, InstanceReport, Now, Step, after_turned_away, choose, first_share,
-    next_step,
+    Attempt, CRASHES_TO_HOLD, InstanceReport, Now, Step, after_turned_away, choose,
+    first_attempt_share, next_step,
 };
 use sorrelturn_protocol::{
     AnswerContext, CallContext, Incarnation, Refusal, RequestId, SpanId, Verdict,
@@ -158,7 +158,7 @@
     let on_its_way = OnItsWay::start(node, &route, call, kind_state);
     let result = exchange(node, &route, call, req).await;
     if matches!(result, Err(Failure::TooLate)) {
-        kind_state.threshold.no_answer(node.now());
+        kind_state.threshold.observe_no_answer(node.now());
     }
     let was_silent = matches!(result, Err(Failure::NeverCame | Failure::AnswerLost));
     if on_its_way.finish(report(&result)) {
@@ -250,7 +250,7 @@
         self.route.stats.finished(now, InstanceReport::Cancelled);
         if now >= self.half_time {
             // Whoever asked has waited for long: its own time is over.
-            self.kind_state.threshold.no_answer(now);
+            self.kind_state.threshold.observe_no_answer(now);
         }
         self.node.events.note(
             &events::CANCELLED,
@@ -301,7 +301,7 @@
 fn share_of_try(call: &Call, progress: &Progress) -> u32 {
     match call.context.token {
         Some(_) => progress.share,
-        None => first_share(progress.attempts_left, call.kind.need),
+        None => first_attempt_share(progress.attempts_left, call.kind.need),
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -85,7 +85,7 @@
         let routes = self.node.routes.load();
         let now = self.node.now();
         let graph = lock(&routed.graph);
-        graph.needs(&self.kind.name).any(|call| {
+        graph.required_calls(&self.kind.name).any(|call| {
             let kind = self.in_force.bundle.kind(call);
             let state = self.in_force.state_of(call);
             kind.is_some_and(|kind| routes.of_service(&kind.service).is_empty())
@@ -113,7 +113,7 @@
             return Err(Refusal::Quarantined);
         }
         let graph = self.node.routed.as_ref().map(|routed| &routed.graph);
-        if graph.is_some_and(|graph| lock(graph).calls_nothing(&self.kind.name)) {
+        if graph.is_some_and(|graph| lock(graph).is_leaf(&self.kind.name)) {
             slot.is_of_leaf(&self.kind.name);
         }
         Ok(slot)
@@ -162,13 +162,13 @@
             Some(Err(SendError::NotSent)) => {
                 at_work.ended();
                 node.backend_reached(false);
-                slot.release(Outcome::Broke);
+                slot.release(Outcome::Failed);
                 let share = self.context.attempts;
                 unused(self.refused(Refusal::BackendUnreachable), share)
             }
             Some(Err(SendError::Broke)) => {
                 at_work.ended();
-                slot.release(Outcome::Broke);
+                slot.release(Outcome::Failed);
                 let refusal = match crash::broke_off(&node, self.context.names).await {
                     true => Refusal::BackendCrashed,
                     false => Refusal::BackendBroke,
@@ -176,7 +176,7 @@
                 self.failed(&guard, refusal)
             }
             Some(Err(SendError::NeverCame | SendError::AnswerLost)) => {
-                slot.release(Outcome::Broke);
+                slot.release(Outcome::Failed);
                 self.failed(&guard, Refusal::BackendBroke)
             }
             None => {
@@ -284,7 +284,7 @@
         }
         if word == Some(Word::NotOurs) {
             at_work.ended();
-            slot.release(Outcome::Broke);
+            slot.release(Outcome::Failed);
             return self.failed(&guard, Refusal::BackendBroke);
         }
         let by_status = service.is_some_and(|service| service.refused_statuses.contains(&status));
@@ -354,7 +354,7 @@
             return self.in_force.threshold_below(&self.kind, now);
         };
         let mut graph = lock(&routed.graph);
-        if let Some(calls) = graph.ended(&self.kind.name, now - self.started) {
+        if let Some(calls) = graph.record_end(&self.kind.name, now - self.started) {
             let fields = vec![
                 Field::new("kind", &self.kind.name),
                 Field::new("calls", calls.join(",")),
--- a/crates/sorrelturn-daemon/src/request/room.rs
+++ b/crates/sorrelturn-daemon/src/request/room.rs
@@ -5,7 +5,7 @@
     channel::{self, Receiver, Sender},
     future::FutureExt,
 };
-use sorrelturn_policy::{Arrival, Began, Decision, Gate, Now, Outcome, Released};
+use sorrelturn_policy::{Arrival, Decision, Gate, Now, Outcome, Released, TuningSample};
 use sorrelturn_protocol::{Priority, Refusal};
 use std::{
     collections::HashMap,
@@ -14,11 +14,11 @@
     time::Duration,
 };
 
-type Word = Result<Began, Refusal>;
+type Word = Result<TuningSample, Refusal>;
 
 /// What becomes of an arrival; only one that waits needs to hear a word.
 enum Arrived {
-    Admitted(Began),
+    Admitted(TuningSample),
     Refused(Refusal),
     /// It waits for a word, and no longer than this.
     Waits(Receiver<Word>, Duration),
@@ -41,7 +41,7 @@
 pub(crate) struct Slot {
     room: Arc<Room>,
     since: Now,
-    began: Began,
+    began: TuningSample,
     /// The kind of a request that calls nothing, by a hash of its name.
     leaf: Option<u64>,
     outcome: Outcome,
@@ -128,7 +128,7 @@
         let arrival = Arrival {
             id: inner.next_id,
             priority,
-            holds_work,
+            is_nested_call: holds_work,
             deadline,
             level,
         };
@@ -137,18 +137,18 @@
             let _ = tx.try_send(Err(Refusal::Overload));
         }
         let arrived = match decision {
-            Decision::Admit => Arrived::Admitted(inner.gate.began()),
+            Decision::Admit => Arrived::Admitted(inner.gate.last_sample()),
             Decision::Refuse(refusal) => Arrived::Refused(refusal),
-            Decision::Wait => {
+            Decision::Queue => {
                 let (tx, rx) = channel::bounded(1);
                 inner.waiters.insert(arrival.id, tx);
-                Arrived::Waits(rx, inner.gate.queue_wait(&arrival))
+                Arrived::Waits(rx, inner.gate.queue_timeout(&arrival))
             }
         };
         (arrival, arrived)
     }
 
-    fn slot(self: &Arc<Self>, began: Began) -> Slot {
+    fn slot(self: &Arc<Self>, began: TuningSample) -> Slot {
         Slot {
             room: Arc::clone(self),
             since: self.clock.now(),
@@ -158,18 +158,18 @@
         }
     }
 
-    fn finish(&self, began: Began, leaf: Option<u64>, outcome: Outcome, took: Duration) {
+    fn finish(&self, began: TuningSample, leaf: Option<u64>, outcome: Outcome, took: Duration) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.gate.worked(now, began, leaf, took);
+        inner.gate.end_sample(now, began, leaf, took);
         let mut released = inner.gate.finish(now, outcome, took);
         while let Some(unclaimed) = inner.pass_on(&released) {
             released = Released::default();
             for began in unclaimed {
-                inner.gate.worked(now, began, None, Duration::ZERO);
+                inner.gate.end_sample(now, began, None, Duration::ZERO);
                 let more = inner.gate.finish(now, Outcome::Cancelled, Duration::ZERO);
                 released.admitted.extend(more.admitted);
-                released.began.extend(more.began);
+                released.samples.extend(more.samples);
                 released.refused.extend(more.refused);
             }
         }
@@ -182,14 +182,14 @@
 
 impl Inner {
     /// Tells those that wait; returns how those began whose waiters are gone, if any are.
-    fn pass_on(&mut self, released: &Released) -> Option<Vec<Began>> {
+    fn pass_on(&mut self, released: &Released) -> Option<Vec<TuningSample>> {
         for (id, refusal) in &released.refused {
             if let Some(tx) = self.waiters.remove(id) {
                 let _ = tx.try_send(Err(*refusal));
             }
         }
-        let admitted = released.admitted.iter().zip(&released.began);
-        let unclaimed: Vec<Began> = admitted
+        let admitted = released.admitted.iter().zip(&released.samples);
+        let unclaimed: Vec<TuningSample> = admitted
             .filter(|(id, began)| {
                 let tx = self.waiters.remove(id);
                 tx.is_none_or(|tx| tx.try_send(Ok(**began)).is_err())
@@ -233,7 +233,7 @@
         self.over = true;
         let mut inner = self.room.lock();
         inner.waiters.remove(&self.arrival.id);
-        if inner.gate.give_up(&self.arrival, true) {
+        if inner.gate.remove_queued(&self.arrival, true) {
             return Err(if until == self.arrival.deadline {
                 Refusal::Deadline
             } else {
@@ -255,7 +255,7 @@
         }
         let mut inner = self.room.lock();
         inner.waiters.remove(&self.arrival.id);
-        let waited = inner.gate.give_up(&self.arrival, false);
+        let waited = inner.gate.remove_queued(&self.arrival, false);
         drop(inner);
         if !waited && let Ok(Ok(began)) = self.rx.try_recv() {
             let unused = Duration::ZERO;
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -25,7 +25,7 @@
 };
 use smol::future::FutureExt;
 use sorrelturn_bundle::{KindEntry, WorkspaceEntry};
-use sorrelturn_policy::{Now, bucket_of_once, bucket_of_return, refuses};
+use sorrelturn_policy::{Now, bucket_for_at_most_once, bucket_for_retry, refuses};
 use sorrelturn_protocol::{CallContext, CallerId, Refusal, RequestId, SpanId, Verdict};
 use sorrelturn_telemetry::{Field, events, metrics};
 use std::{
@@ -178,7 +178,7 @@
 ) -> Result<(), Reply> {
     if asked.is_call {
         let groups = node.parents.may_call_until(asked.deadline);
-        lock(&routed.graph).called(&asked.kind.name, &groups);
+        lock(&routed.graph).record_call(&asked.kind.name, &groups);
         return Ok(());
     }
     if arrives == Arrives::WhileEnding {
@@ -186,16 +186,16 @@
     }
     let was_tried = asked
         .left_ms
-        .is_some_and(|left_ms| lock(&state.first_tries).saw(left_ms));
+        .is_some_and(|left_ms| lock(&state.first_tries).observe(left_ms));
     let (rank_of_kind, ranks) = asked.in_force.rank_of_root(asked.kind.importance());
     // A workspace that matters more goes before what its requests' kinds say among the others.
     let rank = rank_of_kind + asked.in_force.steps_above(asked.workspace.as_deref());
     let mut bucket = asked.request.keep_bucket();
     if asked.in_force.is_once_among_repeatable(&asked.kind) {
-        bucket = bucket_of_once(bucket);
+        bucket = bucket_for_at_most_once(bucket);
     }
     if was_tried {
-        bucket = bucket_of_return(bucket, rank);
+        bucket = bucket_for_retry(bucket, rank);
     }
     if !refuses(asked.level, rank, ranks, bucket) {
         return Ok(());
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -55,9 +55,9 @@
 const GATE_BEFORE_BUNDLE: GateConfig = GateConfig {
     slots: 1,
     queue_len: 1,
-    queue_wait: Duration::from_millis(100),
+    queue_timeout: Duration::from_millis(100),
     cold_start: Duration::ZERO,
-    call_wait: None,
+    call_queue_timeout: None,
 };
 /// So long before it may exit a daemon that stops takes no more calls of others, which hear of it in
 /// a few milliseconds; most calls end within this time.
@@ -393,7 +393,7 @@
             // The runtime's timers stand still while the VM is suspended; what is due by now isn't due by them.
             node.timers.look_now();
         }
-        node.room.with_gate(|gate, _| gate.lags(paused));
+        node.room.with_gate(|gate, _| gate.report_lag(paused));
         if paused >= PAUSE {
             let fields = vec![Field::new("paused_ms", paused.as_millis())];
             node.note(&events::PAUSE_NOTICED, fields);
--- a/crates/sorrelturn-policy/src/attempts.rs
+++ b/crates/sorrelturn-policy/src/attempts.rs
@@ -7,7 +7,7 @@
 ///
 /// One execution of the whole subtree is held back for a second try where there is enough,
 /// because the share of a lost answer is forfeited.
-pub fn first_share(share: u32, need: u32) -> u32 {
+pub fn first_attempt_share(share: u32, need: u32) -> u32 {
     if share >= need.saturating_mul(2) {
         share - need
     } else {
--- a/crates/sorrelturn-policy/src/call_graph.rs
+++ b/crates/sorrelturn-policy/src/call_graph.rs
@@ -68,7 +68,7 @@
 
 impl CallGraph {
     /// The backend server made a call while it worked on `candidates`.
-    pub fn called(&mut self, child: &str, candidates: &[Candidate]) {
+    pub fn record_call(&mut self, child: &str, candidates: &[Candidate]) {
         let weights: Vec<f64> = candidates
             .iter()
             .map(|candidate| self.weight(candidate, child))
@@ -100,7 +100,7 @@
         } else {
             1.0
         };
-        let rate = self.rate(&candidate.kind, child);
+        let rate = self.call_rate(&candidate.kind, child);
         rate / self.mean_time_s(&candidate.kind) * f64::from(candidate.count) * likelier
     }
 
@@ -114,7 +114,7 @@
 
     /// The backend server has finished a request that took so long; returns what its kind calls, if
     /// that has changed.
-    pub fn ended(&mut self, kind: &str, took: Duration) -> Option<&[String]> {
+    pub fn record_end(&mut self, kind: &str, took: Duration) -> Option<&[String]> {
         let caller = caller(&mut self.callers, kind);
         caller.ended += 1.0;
         caller.took_s += took.as_secs_f64();
@@ -154,7 +154,7 @@
     }
 
     /// The calls of a kind that one request of another kind makes.
-    pub fn rate(&self, parent: &str, child: &str) -> f64 {
+    pub fn call_rate(&self, parent: &str, child: &str) -> f64 {
         let caller = self.callers.get(parent);
         let ended = caller.map_or(0.0, |caller| caller.ended);
         let credit = caller
@@ -174,7 +174,7 @@
     }
 
     /// Whether requests of a kind are known to call nothing.
-    pub fn calls_nothing(&self, kind: &str) -> bool {
+    pub fn is_leaf(&self, kind: &str) -> bool {
         let caller = self.callers.get(kind);
         caller.is_some_and(|caller| {
             caller.ended >= f64::from(WORKED_OUT_EVERY) && caller.calls.is_empty()
@@ -182,9 +182,9 @@
     }
 
     /// The kinds that nearly every request of a kind calls.
-    pub fn needs<'a>(&'a self, parent: &'a str) -> impl Iterator<Item = &'a str> {
+    pub fn required_calls<'a>(&'a self, parent: &'a str) -> impl Iterator<Item = &'a str> {
         let calls = self.calls(parent).iter().map(String::as_str);
-        calls.filter(move |child| self.rate(parent, child) >= NEEDED_RATE)
+        calls.filter(move |child| self.call_rate(parent, child) >= NEEDED_RATE)
     }
 
     fn work_out(&self, parent: &str) -> Vec<String> {
@@ -193,7 +193,7 @@
             .into_iter()
             .flat_map(|caller| caller.credit.keys())
             .filter(|child| {
-                let rate = self.rate(parent, child);
+                let rate = self.call_rate(parent, child);
                 rate >= LEAST_RATE && rate >= LEAST_SHARE * self.highest_rate(child)
             })
             .cloned()
@@ -205,7 +205,7 @@
     fn highest_rate(&self, child: &str) -> f64 {
         self.callers
             .keys()
-            .map(|parent| self.rate(parent, child))
+            .map(|parent| self.call_rate(parent, child))
             .fold(0.0, f64::max)
     }
 }
--- a/crates/sorrelturn-policy/src/best_slots.rs
+++ b/crates/sorrelturn-policy/src/concurrency_tuner.rs
@@ -26,7 +26,7 @@
 
 /// How a request began; given back when it is over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Began {
+pub struct TuningSample {
     /// The comparison that it is a sample of, and its side.
     sample: Option<(u32, Side)>,
 }
@@ -122,7 +122,7 @@
 /// faster meanwhile isn't taken for one that is too full; and samples are chosen when they begin, since those that end
 /// first are the short ones. Only kinds that call nothing tell anything: others take the time of other services too.
 #[derive(Clone, Debug)]
-pub struct BestSlots {
+pub struct ConcurrencyTuner {
     slots: u32,
     rung: usize,
     number: u32,
@@ -132,7 +132,7 @@
     next_at: Now,
 }
 
-impl BestSlots {
+impl ConcurrencyTuner {
     /// Starts with all slots.
     pub fn new(slots: u32) -> Self {
         Self {
@@ -146,7 +146,7 @@
     }
 
     /// Another run of the backend server, or other slots: nothing of what was found holds.
-    pub fn forget(&mut self, slots: u32) {
+    pub fn reset(&mut self, slots: u32) {
         *self = Self {
             number: self.number + 1,
             ..Self::new(slots)
@@ -154,7 +154,7 @@
     }
 
     /// How many requests it works best with, as far as is known.
-    pub fn best(&self) -> u32 {
+    pub fn best_limit(&self) -> u32 {
         self.slots_of(self.rung)
     }
 
@@ -164,19 +164,19 @@
         match compared.and_then(|compared| Some((compared, compared.turn()?))) {
             Some((compared, Side::Upper)) => self.slots_of(compared.upper),
             Some((compared, Side::Lower)) => self.slots_of(compared.lower),
-            None => self.best(),
+            None => self.best_limit(),
         }
     }
 
     /// A request begins beside so many others, itself among them.
-    pub fn begins(&mut self, now: Now, at_once: u32) -> Began {
+    pub fn begin(&mut self, now: Now, at_once: u32) -> TuningSample {
         self.drop_overdue(now);
-        if self.comparison.is_none() && at_once >= self.best() && now >= self.next_at {
+        if self.comparison.is_none() && at_once >= self.best_limit() && now >= self.next_at {
             self.compare(now);
         }
         let (slots, number) = (self.slots, self.number);
         let Some(comparison) = &mut self.comparison else {
-            return Began::default();
+            return TuningSample::default();
         };
         let side = comparison.turn().filter(|side| {
             let rung = match side {
@@ -188,16 +188,16 @@
         match side {
             Some(Side::Upper) => comparison.begun_upper += 1,
             Some(Side::Lower) => comparison.begun_lower += 1,
-            None => return Began::default(),
+            None => return TuningSample::default(),
         }
         comparison.at_work += 1;
-        Began {
+        TuningSample {
             sample: side.map(|side| (number, side)),
         }
     }
 
     /// A request is over. `kind` is that of one that was answered and calls nothing; of others nothing is learnt.
-    pub fn ends(&mut self, now: Now, began: Began, kind: Option<u64>, took: Duration) {
+    pub fn end(&mut self, now: Now, began: TuningSample, kind: Option<u64>, took: Duration) {
         let Some((number, side)) = began.sample else {
             return;
         };
@@ -227,7 +227,7 @@
 
     /// Begins to compare the limit with the nearest rung that is due.
     fn compare(&mut self, now: Now) {
-        let others = (0..RUNGS.len()).filter(|other| self.slots_of(*other) != self.best());
+        let others = (0..RUNGS.len()).filter(|other| self.slots_of(*other) != self.best_limit());
         let due = others.filter(|other| self.due[*other].at <= now);
         let Some(other) = due.min_by_key(|other| other.abs_diff(self.rung)) else {
             return;
--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -1,23 +1,23 @@
 //! Admission to one backend server: a limit and a short queue in the order of shedding.
 //! See `docs/design/admission.md`.
 
-use crate::{AdaptiveLimit, Began, BestSlots, LoadLevel, Now, Outcome, Pressure};
+use crate::{AdaptiveLimit, ConcurrencyTuner, LoadLevel, Now, Outcome, Pressure, TuningSample};
 use sorrelturn_protocol::{Importance, Priority, Refusal};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
 /// A critical request waits so many times longer: asking for it again costs its caller more.
-const CRITICAL_WAITS: u32 = 4;
+const CRITICAL_QUEUE_TIMEOUT_FACTOR: u32 = 4;
 /// Critical requests find so many times more room in the queue.
-const CRITICAL_ROOM: usize = 2;
+const CRITICAL_QUEUE_CAPACITY_FACTOR: usize = 2;
 
 /// Calls find so many times more room in the queue where they have a wait of their own.
-const CALL_ROOM: usize = 4;
+const CALL_QUEUE_CAPACITY_FACTOR: usize = 4;
 
 /// And so many more places at the most: each holds two connections and their memory.
-const MOST_CALL_ROOM: usize = 100;
+const MAX_EXTRA_CALL_QUEUE_CAPACITY: usize = 100;
 
 /// With this share of the limit in use, a gate counts as busy.
-const BUSY_SHARE: f64 = 0.9;
+const BUSY_FRACTION: f64 = 0.9;
 
 /// What the bundle says about a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,12 +27,12 @@
     /// How many requests may wait.
     pub queue_len: u32,
     /// The longest wait.
-    pub queue_wait: Duration,
+    pub queue_timeout: Duration,
     /// The time over which a fresh backend server is brought to full load.
     pub cold_start: Duration,
     /// Where the priority of a call isn't its root request's: the longest wait of calls, for which
     /// the roots are refused where they begin, and the level by which that is told.
-    pub call_wait: Option<Duration>,
+    pub call_queue_timeout: Option<Duration>,
 }
 
 /// A request at the gate.
@@ -43,7 +43,7 @@
     /// The root request's place in the shedding order.
     pub priority: Priority,
     /// Whether finished work of other backend servers is lost with it.
-    pub holds_work: bool,
+    pub is_nested_call: bool,
     /// When its answer is of no more use.
     pub deadline: Now,
     /// The level of load at which its root was admitted, where pressure is told by level.
@@ -55,8 +55,8 @@
 pub enum Decision {
     /// Forward it now.
     Admit,
-    /// It waits; [`Gate::finish`] releases it, or [`Gate::give_up`] takes it out.
-    Wait,
+    /// It waits; [`Gate::finish`] releases it, or [`Gate::remove_queued`] takes it out.
+    Queue,
     /// Refuse it now.
     Refuse(Refusal),
 }
@@ -67,7 +67,7 @@
     /// Forward these now.
     pub admitted: Vec<u64>,
     /// How each of them began.
-    pub began: Vec<Began>,
+    pub samples: Vec<TuningSample>,
     /// Refuse these now.
     pub refused: Vec<(u64, Refusal)>,
 }
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     importance: Importance,
-    holds_work: bool,
+    is_nested_call: bool,
     priority: Priority,
     deadline: Reverse<Now>,
     id: Reverse<u64>,
@@ -86,7 +86,7 @@
     fn from(arrival: &Arrival) -> Self {
         Self {
             importance: arrival.priority.importance(),
-            holds_work: arrival.holds_work,
+            is_nested_call: arrival.is_nested_call,
             priority: arrival.priority,
             deadline: Reverse(arrival.deadline),
             id: Reverse(arrival.id),
@@ -99,8 +99,8 @@
 pub struct Gate {
     cfg: GateConfig,
     limit: AdaptiveLimit,
-    best: BestSlots,
-    began: Began,
+    tuner: ConcurrencyTuner,
+    last_sample: TuningSample,
     pressure: Pressure,
     level: LoadLevel,
     in_flight: u32,
@@ -113,8 +113,8 @@
         Self {
             cfg,
             limit: AdaptiveLimit::new(cfg.slots, cfg.cold_start, now),
-            best: BestSlots::new(cfg.slots),
-            began: Began::default(),
+            tuner: ConcurrencyTuner::new(cfg.slots),
+            last_sample: TuningSample::default(),
             pressure: Pressure::new(now),
             level: LoadLevel::new(now),
             in_flight: 0,
@@ -126,7 +126,7 @@
     pub fn reconfigure(&mut self, cfg: GateConfig) {
         if cfg != self.cfg {
             if cfg.slots != self.cfg.slots {
-                self.best.forget(cfg.slots);
+                self.tuner.reset(cfg.slots);
             }
             self.cfg = cfg;
             self.limit.reconfigure(cfg.slots, cfg.cold_start);
@@ -136,22 +136,22 @@
     /// Decides on an arrival; the second value is a waiting request that it pushes out.
     pub fn arrive(&mut self, now: Now, arrival: &Arrival) -> (Decision, Option<u64>) {
         self.pressure.arrived(now, arrival.priority);
-        if self.cfg.call_wait.is_some() {
+        if self.cfg.call_queue_timeout.is_some() {
             self.level.arrived(arrival.level);
-            self.pass(now);
+            self.update_level(now);
         }
-        if self.has_room(now) && self.queue.is_empty() {
+        if self.has_free_slot(now) && self.queue.is_empty() {
             self.admit(now, Duration::ZERO);
             return (Decision::Admit, None);
         }
-        if now + self.expected_wait(now, arrival) >= arrival.deadline {
+        if now + self.expected_queueing_delay(now, arrival) >= arrival.deadline {
             self.pressure.shed(arrival.priority);
             return (Decision::Refuse(Refusal::Deadline), None);
         }
         let key = QueueKey::from(arrival);
-        if self.queue.len() < self.room_for(arrival) {
+        if self.queue.len() < self.queue_capacity_for(arrival) {
             self.queue.insert(key, now);
-            return (Decision::Wait, None);
+            return (Decision::Queue, None);
         }
         match self.queue.first_key_value() {
             Some((least, _)) if *least < key => {
@@ -159,7 +159,7 @@
                 self.pressure.shed(least.priority);
                 self.queue.pop_first();
                 self.queue.insert(key, now);
-                (Decision::Wait, Some(pushed_out))
+                (Decision::Queue, Some(pushed_out))
             }
             _ => {
                 self.pressure.shed(arrival.priority);
@@ -170,9 +170,9 @@
 
     /// An admitted request is over.
     pub fn finish(&mut self, now: Now, outcome: Outcome, took: Duration) -> Released {
-        let counted = match self.cfg.call_wait {
+        let counted = match self.cfg.call_queue_timeout {
             None => outcome,
-            Some(_) => self.finish_by_level(now, outcome, took),
+            Some(_) => self.record_finish_for_level(now, outcome, took),
         };
         self.limit.observe(now, counted, took, self.in_flight);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -180,24 +180,30 @@
     }
 
     /// How the request began that [`Gate::arrive`] admitted just now; those that are released say it themselves.
-    pub fn began(&self) -> Began {
-        self.began
+    pub fn last_sample(&self) -> TuningSample {
+        self.last_sample
     }
 
     /// An admitted request is over, as [`Gate::finish`] is told next; `kind` is that of one that was answered and calls
     /// nothing.
-    pub fn worked(&mut self, now: Now, began: Began, kind: Option<u64>, took: Duration) {
-        self.best.ends(now, began, kind, took);
+    pub fn end_sample(
+        &mut self,
+        now: Now,
+        sample: TuningSample,
+        kind: Option<u64>,
+        took: Duration,
+    ) {
+        self.tuner.end(now, sample, kind, took);
     }
 
     /// Another run of the backend server is there: how it works under load is to be found anew.
-    pub fn another_run(&mut self) {
-        self.best.forget(self.cfg.slots);
+    pub fn reset_tuning(&mut self) {
+        self.tuner.reset(self.cfg.slots);
     }
 
     /// Tells the level of a request that is over; returns what the limit may learn from it.
-    fn finish_by_level(&mut self, now: Now, outcome: Outcome, took: Duration) -> Outcome {
-        self.pass(now);
+    fn record_finish_for_level(&mut self, now: Now, outcome: Outcome, took: Duration) -> Outcome {
+        self.update_level(now);
         match outcome {
             Outcome::Answered => self.level.finished(took),
             // Where slots are announced, a backend server that refuses is not full but unwell. What it turns away
@@ -214,16 +220,16 @@
     /// Takes a waiting request out: its wait is over, or its caller went away.
     ///
     /// Returns whether it was still waiting. A wait that is over is a sign of overload.
-    pub fn give_up(&mut self, arrival: &Arrival, wait_is_over: bool) -> bool {
+    pub fn remove_queued(&mut self, arrival: &Arrival, timed_out: bool) -> bool {
         let waited = self.queue.remove(&QueueKey::from(arrival)).is_some();
-        if waited && wait_is_over {
+        if waited && timed_out {
             self.pressure.shed(arrival.priority);
         }
         waited
     }
 
     /// The daemon runs so late.
-    pub fn lags(&mut self, lag: Duration) {
+    pub fn report_lag(&mut self, lag: Duration) {
         self.level.lags(lag);
     }
 
@@ -233,13 +239,13 @@
     }
 
     /// The longest wait of an arrival.
-    pub fn queue_wait(&self, arrival: &Arrival) -> Duration {
-        if let (true, Some(wait)) = (arrival.holds_work, self.cfg.call_wait) {
+    pub fn queue_timeout(&self, arrival: &Arrival) -> Duration {
+        if let (true, Some(wait)) = (arrival.is_nested_call, self.cfg.call_queue_timeout) {
             return wait;
         }
         match arrival.priority.importance() {
-            Importance::Critical => self.cfg.queue_wait * CRITICAL_WAITS,
-            _ => self.cfg.queue_wait,
+            Importance::Critical => self.cfg.queue_timeout * CRITICAL_QUEUE_TIMEOUT_FACTOR,
+            _ => self.cfg.queue_timeout,
         }
     }
 
@@ -255,12 +261,12 @@
 
     /// The limit now.
     pub fn limit(&self, now: Now) -> u32 {
-        self.limit.get(now).min(self.best.limit()).max(1)
+        self.limit.get(now).min(self.tuner.limit()).max(1)
     }
 
     /// The limit that holds for long, which is what others go by.
     pub fn steady_limit(&self, now: Now) -> u32 {
-        self.limit.get(now).min(self.best.best()).max(1)
+        self.limit.get(now).min(self.tuner.best_limit()).max(1)
     }
 
     /// Requests in flight and waiting, in percent of the limit.
@@ -271,54 +277,54 @@
 
     /// Requests below this priority are being shed; where pressure is told by level, that.
     pub fn threshold(&mut self, now: Now) -> Priority {
-        if self.cfg.call_wait.is_none() {
+        if self.cfg.call_queue_timeout.is_none() {
             return self.pressure.threshold(now);
         }
-        self.pass(now);
+        self.update_level(now);
         Priority(self.level.level())
     }
 
-    fn pass(&mut self, now: Now) {
+    fn update_level(&mut self, now: Now) {
         let limit = self.steady_limit(now);
         self.level.passed(now, self.queue.len(), limit);
     }
 
     /// How long the pressure has lasted; `None` while there is none.
-    pub fn pressure_lasting(&self, now: Now) -> Option<Duration> {
-        match self.cfg.call_wait {
+    pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
+        match self.cfg.call_queue_timeout {
             None => self.pressure.lasting(now),
             Some(_) => self.level.lasting(now),
         }
     }
 
     /// How many may wait before an arrival finds no room.
-    fn room_for(&self, arrival: &Arrival) -> usize {
+    fn queue_capacity_for(&self, arrival: &Arrival) -> usize {
         let all = self.cfg.queue_len as usize;
-        if arrival.holds_work && self.cfg.call_wait.is_some() {
-            return (all * CALL_ROOM).min(all + MOST_CALL_ROOM);
+        if arrival.is_nested_call && self.cfg.call_queue_timeout.is_some() {
+            return (all * CALL_QUEUE_CAPACITY_FACTOR).min(all + MAX_EXTRA_CALL_QUEUE_CAPACITY);
         }
         match arrival.priority.importance() {
-            Importance::Critical => all * CRITICAL_ROOM,
+            Importance::Critical => all * CRITICAL_QUEUE_CAPACITY_FACTOR,
             _ => all,
         }
     }
 
-    fn has_room(&self, now: Now) -> bool {
+    fn has_free_slot(&self, now: Now) -> bool {
         self.in_flight < self.limit(now)
     }
 
     fn admit(&mut self, now: Now, wait: Duration) {
         self.in_flight += 1;
-        self.began = self.best.begins(now, self.in_flight);
+        self.last_sample = self.tuner.begin(now, self.in_flight);
         self.pressure.admitted(wait);
-        if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_SHARE {
+        if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_FRACTION {
             self.pressure.busy();
         }
     }
 
     fn release(&mut self, now: Now) -> Released {
         let mut released = Released::default();
-        while self.has_room(now) {
+        while self.has_free_slot(now) {
             let Some((key, since)) = self.queue.pop_last() else {
                 break;
             };
@@ -329,13 +335,13 @@
             }
             self.admit(now, now.saturating_sub(since));
             released.admitted.push(key.id.0);
-            released.began.push(self.began);
+            released.samples.push(self.last_sample);
         }
         released
     }
 
     /// The time until as many requests have finished as would go before this one.
-    fn expected_wait(&self, now: Now, arrival: &Arrival) -> Duration {
+    fn expected_queueing_delay(&self, now: Now, arrival: &Arrival) -> Duration {
         let ahead = self.queue.range(QueueKey::from(arrival)..).count() as u32;
         self.limit.service_time() * ahead / self.limit(now)
     }
--- a/crates/sorrelturn-policy/src/learned.rs
+++ b/crates/sorrelturn-policy/src/learned.rs
@@ -37,7 +37,7 @@
 impl LearnedThreshold {
     /// Learns a level of load. Where most requests are refused, answers are few and far between, and a
     /// level that fell as fast as a threshold would let a burst in after each of them.
-    pub fn of_level() -> Self {
+    pub fn for_shedding_level() -> Self {
         Self {
             word: AtomicU64::new(0),
             is_level: true,
@@ -60,7 +60,7 @@
     }
 
     /// A call had no answer in time: whoever should have told the threshold is too busy for it.
-    pub fn no_answer(&self, now: Now) {
+    pub fn observe_no_answer(&self, now: Now) {
         let raised = self.current(now).0.saturating_add(NO_ANSWER_STEP);
         self.observe(now, Priority(raised.min(Priority::HIGHEST.0)));
     }
--- a/crates/sorrelturn-policy/src/leaving.rs
+++ b/crates/sorrelturn-policy/src/leaving.rs
@@ -34,7 +34,7 @@
     }
 
     /// The backend server or the VM list takes its word back; a signal or an operator doesn't.
-    pub fn stay(&mut self, cause: LeavingCause) -> bool {
+    pub fn revoke(&mut self, cause: LeavingCause) -> bool {
         let revocable = matches!(cause, LeavingCause::Backend | LeavingCause::VmList);
         let taken_back = revocable && self.cause.is_some_and(|(first, _)| first == cause);
         if taken_back {
--- a/crates/sorrelturn-policy/src/lib.rs
+++ b/crates/sorrelturn-policy/src/lib.rs
@@ -1,10 +1,9 @@
 #![doc = include_str!("../README.md")]
 
 mod attempts;
-mod best_slots;
 mod bucket;
 mod call_graph;
-mod first_tries;
+mod concurrency_tuner;
 mod freshness;
 mod gate;
 mod learned;
@@ -17,15 +16,15 @@
 mod quarantine;
 mod retry;
 mod retry_after;
+mod retry_detector;
 mod retry_window;
 mod routing;
 mod worked_on;
 
-pub use attempts::{AttemptPool, first_share};
-pub use best_slots::{Began, BestSlots};
+pub use attempts::{AttemptPool, first_attempt_share};
 pub use bucket::{RateBucket, RetryBucket};
 pub use call_graph::{CallGraph, Candidate};
-pub use first_tries::{FirstTries, bucket_of_once, bucket_of_return};
+pub use concurrency_tuner::{ConcurrencyTuner, TuningSample};
 pub use freshness::Freshness;
 pub use gate::{Arrival, Decision, Gate, GateConfig, Released};
 pub use learned::LearnedThreshold;
@@ -38,6 +37,7 @@
 pub use quarantine::{CRASHES_TO_HOLD, Learnt, Quarantine};
 pub use retry::{Attempt, MOST_TURNED_AWAY, Step, after_turned_away, next_step};
 pub use retry_after::{Refusing, RetryAfter};
+pub use retry_detector::{RetryDetector, bucket_for_at_most_once, bucket_for_retry};
 pub use retry_window::RetryWindow;
 pub use routing::{Instance, InstanceReport, choose};
 pub use worked_on::WorkedOn;
--- a/crates/sorrelturn-policy/src/limit.rs
+++ b/crates/sorrelturn-policy/src/limit.rs
@@ -11,30 +11,30 @@
     /// It said that it sheds load, or let a deadline pass.
     Overloaded,
     /// It couldn't be reached or broke off.
-    Broke,
+    Failed,
     /// The caller went away first; says nothing about the backend server.
     Cancelled,
 }
 
 /// The factor by which a sign of overload cuts the limit.
-const DECREASE: f64 = 0.85;
+const DECREASE_FACTOR: f64 = 0.85;
 /// The share of the slots that the limit never falls below.
-const FLOOR_SHARE: f64 = 0.1;
+const MIN_LIMIT_FRACTION: f64 = 0.1;
 /// The limit rises only while at least this share of it is in use; else nothing is learnt.
-const BUSY_SHARE: f64 = 0.75;
+const MIN_UTILIZATION_FRACTION: f64 = 0.75;
 
-/// A concurrency limit between a floor and the slots of the bundle.
+/// A concurrency limit between a min_limit and the slots of the bundle.
 ///
 /// It falls when the backend server says that it is overloaded, at most once a service time,
 /// and rises by one for each limit's worth of answers. A cold start caps it for a while.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     slots: f64,
-    floor: f64,
+    min_limit: f64,
     current: f64,
     cold_since: Now,
     cold_start: Duration,
-    last_cut: Option<Now>,
+    last_decrease: Option<Now>,
     service_time: Duration,
 }
 
@@ -44,11 +44,11 @@
         let slots = f64::from(slots.max(1));
         Self {
             slots,
-            floor: (slots * FLOOR_SHARE).max(1.0),
+            min_limit: (slots * MIN_LIMIT_FRACTION).max(1.0),
             current: slots,
             cold_since: now,
             cold_start,
-            last_cut: None,
+            last_decrease: None,
             service_time: Duration::ZERO,
         }
     }
@@ -57,14 +57,14 @@
     pub fn reconfigure(&mut self, slots: u32, cold_start: Duration) {
         let share = self.current / self.slots;
         self.slots = f64::from(slots.max(1));
-        self.floor = (self.slots * FLOOR_SHARE).max(1.0);
-        self.current = (self.slots * share).clamp(self.floor, self.slots);
+        self.min_limit = (self.slots * MIN_LIMIT_FRACTION).max(1.0);
+        self.current = (self.slots * share).clamp(self.min_limit, self.slots);
         self.cold_start = cold_start;
     }
 
     /// The limit now.
     pub fn get(&self, now: Now) -> u32 {
-        self.current.min(self.cold_cap(now)) as u32
+        self.current.min(self.cold_start_limit(now)) as u32
     }
 
     /// The smoothed time that the backend server takes for a request.
@@ -81,26 +81,26 @@
     pub fn observe(&mut self, now: Now, outcome: Outcome, took: Duration, in_flight: u32) {
         match outcome {
             Outcome::Answered => {
-                self.smooth(took);
-                if f64::from(in_flight) >= self.current * BUSY_SHARE {
+                self.update_service_time(took);
+                if f64::from(in_flight) >= self.current * MIN_UTILIZATION_FRACTION {
                     self.current = (self.current + 1.0 / self.current).min(self.slots);
                 }
             }
-            Outcome::Overloaded => self.cut(now),
-            Outcome::Broke | Outcome::Cancelled => {}
+            Outcome::Overloaded => self.decrease(now),
+            Outcome::Failed | Outcome::Cancelled => {}
         }
     }
 
-    fn cut(&mut self, now: Now) {
+    fn decrease(&mut self, now: Now) {
         let spacing = self.service_time.max(Duration::from_millis(1));
-        if self.last_cut.is_some_and(|last| now < last + spacing) {
+        if self.last_decrease.is_some_and(|last| now < last + spacing) {
             return;
         }
-        self.last_cut = Some(now);
-        self.current = (self.current * DECREASE).max(self.floor);
+        self.last_decrease = Some(now);
+        self.current = (self.current * DECREASE_FACTOR).max(self.min_limit);
     }
 
-    fn smooth(&mut self, took: Duration) {
+    fn update_service_time(&mut self, took: Duration) {
         self.service_time = if self.service_time.is_zero() {
             took
         } else {
@@ -108,13 +108,13 @@
         };
     }
 
-    fn cold_cap(&self, now: Now) -> f64 {
+    fn cold_start_limit(&self, now: Now) -> f64 {
         let age = now.saturating_sub(self.cold_since);
         if age >= self.cold_start {
             return self.slots;
         }
         let warm = age.as_secs_f64() / self.cold_start.as_secs_f64();
-        let start = (self.slots / 4.0).max(self.floor);
+        let start = (self.slots / 4.0).max(self.min_limit);
         start + (self.slots - start) * warm
     }
 }
--- a/crates/sorrelturn-policy/src/first_tries.rs
+++ b/crates/sorrelturn-policy/src/retry_detector.rs
@@ -21,7 +21,7 @@
 /// The place in its rank (0 to 255, lowest first) by which a request is shed that was tried before; ranks count from
 /// 0, the lowest. Whoever is refused anyway is refused at the second try rather than one more at the first, since as
 /// many are served and more of them at once.
-pub fn bucket_of_return(bucket: u8, rank: usize) -> u8 {
+pub fn bucket_for_retry(bucket: u8, rank: usize) -> u8 {
     match rank {
         0 => bucket / TRIED_BEFORE_DIVISOR,
         _ => bucket / TRIED_BEFORE_DIVISOR_OF_HIGHER_RANKS,
@@ -32,21 +32,21 @@
 /// loses more by a refusal: half of the rank is refused before the first of them. With one service that binds and answers
 /// bookings itself, 80 instead of 61 in 100 bookings are served in time, and 44.0 instead of 44.6 in 100 of the reads of
 /// their rank, which make nine in ten of it (`experiments/large-fleet.jsonc`).
-pub fn bucket_of_once(bucket: u8) -> u8 {
+pub fn bucket_for_at_most_once(bucket: u8) -> u8 {
     u8::MAX - (u8::MAX - bucket) / 2
 }
 
 /// The times that callers of one kind begin with.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstTries {
+pub struct RetryDetector {
     full_ms: u32,
     /// One bit for each of the last requests: whether it had the full time.
     last: u32,
 }
 
-impl FirstTries {
+impl RetryDetector {
     /// A request came with this much time left; returns whether it was tried before.
-    pub fn saw(&mut self, left_ms: u32) -> bool {
+    pub fn observe(&mut self, left_ms: u32) -> bool {
         if left_ms > self.full_ms {
             if left_ms > self.full_ms + SAME_TIME_MS {
                 self.last = 0;
--- a/crates/sorrelturn-policy/tests/admission.rs
+++ b/crates/sorrelturn-policy/tests/admission.rs
@@ -13,9 +13,9 @@
     let cfg = GateConfig {
         slots,
         queue_len,
-        queue_wait: ms(100),
+        queue_timeout: ms(100),
         cold_start: Duration::ZERO,
-        call_wait: None,
+        call_queue_timeout: None,
     };
     Gate::new(cfg, ms(0))
 }
@@ -24,7 +24,7 @@
     Arrival {
         id,
         priority: Priority::new(importance, bucket),
-        holds_work: false,
+        is_nested_call: false,
         deadline: ms(10_000),
         level: 0,
     }
@@ -39,14 +39,14 @@
     );
     assert_eq!(
         gate.arrive(ms(0), &arrival(2, Importance::Normal, 9)).0,
-        Decision::Wait
+        Decision::Queue
     );
     assert_eq!(
         gate.arrive(ms(0), &arrival(3, Importance::Background, 9)).0,
-        Decision::Wait
+        Decision::Queue
     );
     let high = gate.arrive(ms(0), &arrival(4, Importance::High, 0));
-    assert_eq!(high, (Decision::Wait, Some(3)));
+    assert_eq!(high, (Decision::Queue, Some(3)));
     let background = gate.arrive(ms(0), &arrival(5, Importance::Background, 255));
     assert_eq!(background, (Decision::Refuse(Refusal::Overload), None));
     let released = gate.finish(ms(1), Outcome::Answered, ms(1));
@@ -59,7 +59,7 @@
     gate.arrive(ms(0), &arrival(1, Importance::Normal, 0));
     gate.arrive(ms(0), &arrival(2, Importance::Normal, 255));
     let holder = Arrival {
-        holds_work: true,
+        is_nested_call: true,
         ..arrival(3, Importance::Normal, 0)
     };
     gate.arrive(ms(0), &holder);
@@ -93,7 +93,7 @@
         level: 0,
         ..arrival(2, Importance::Normal, 0)
     };
-    assert_eq!(gate.arrive(ms(0), &short).0, Decision::Wait);
+    assert_eq!(gate.arrive(ms(0), &short).0, Decision::Queue);
     let released = gate.finish(ms(30), Outcome::Answered, ms(30));
     assert_eq!(released.refused, [(2, Refusal::Deadline)]);
     assert!(released.admitted.is_empty());
@@ -151,7 +151,7 @@
                     counts.entry(importance).or_default().0 += 1;
                 }
                 Decision::Refuse(_) => counts.entry(importance).or_default().1 += 1,
-                Decision::Wait => {}
+                Decision::Queue => {}
             }
             if let Some(id) = pushed_out {
                 counts.entry(importance_of[&id]).or_default().1 += 1;
@@ -220,7 +220,7 @@
                 (_, Some(id)) => waiting.remove(&id),
                 _ => None,
             };
-            if decision == Decision::Wait {
+            if decision == Decision::Queue {
                 waiting.insert(arrival.id, arrival);
             }
             if let Some(refused) = refused {
--- a/crates/sorrelturn-policy/tests/allocations.rs
+++ b/crates/sorrelturn-policy/tests/allocations.rs
@@ -34,9 +34,9 @@
     let cfg = GateConfig {
         slots: 20,
         queue_len: 20,
-        queue_wait: Duration::from_millis(100),
+        queue_timeout: Duration::from_millis(100),
         cold_start: Duration::ZERO,
-        call_wait: None,
+        call_queue_timeout: None,
     };
     let mut gate = Gate::new(cfg, Duration::ZERO);
     let idle = blocks_per_round(|round| {
@@ -44,7 +44,7 @@
         let arrival = Arrival {
             id: round,
             priority: Priority::new(Importance::Normal, round as u8),
-            holds_work: false,
+            is_nested_call: false,
             deadline: now + Duration::from_secs(1),
             level: 0,
         };
--- a/crates/sorrelturn-policy/tests/best_slots.rs
+++ b/crates/sorrelturn-policy/tests/concurrency_tuner.rs
@@ -3,7 +3,7 @@
 //! won are those of the design note.
 
 use fastrand::Rng;
-use sorrelturn_policy::{Began, BestSlots, Now};
+use sorrelturn_policy::{ConcurrencyTuner, Now, TuningSample};
 use std::{
     cmp::Reverse,
     collections::{BinaryHeap, HashMap},
@@ -36,9 +36,9 @@
     /// Plays it with the limit found, or with all slots.
     fn play(&self, seed: u64, until: Now, finds: bool) -> Played {
         let mut rng = Rng::with_seed(seed);
-        let mut best = BestSlots::new(self.slots);
+        let mut tuner = ConcurrencyTuner::new(self.slots);
         let mut at_work = AtWork::new();
-        let mut began: HashMap<u64, (Now, Began)> = HashMap::new();
+        let mut began: HashMap<u64, (Now, TuningSample)> = HashMap::new();
         let (mut now, mut id) = (Duration::ZERO, 0);
         let mut played = Played {
             done: 0,
@@ -46,11 +46,11 @@
             limits: HashMap::new(),
         };
         while now < until {
-            let limit = if finds { best.limit() } else { self.slots };
+            let limit = if finds { tuner.limit() } else { self.slots };
             while at_work.len() < limit as usize {
                 id += 1;
                 let at_once = at_work.len() as u32 + 1;
-                began.insert(id, (now, best.begins(now, at_once)));
+                began.insert(id, (now, tuner.begin(now, at_once)));
                 at_work.push(Reverse((now + self.work(now, at_once, &mut rng), id)));
             }
             *played.limits.entry(limit).or_default() += 1;
@@ -60,10 +60,10 @@
             now = at;
             played.done += 1;
             if let Some((since, began)) = began.remove(&ended) {
-                best.ends(now, began, Some(1), now - since);
+                tuner.end(now, began, Some(1), now - since);
             }
         }
-        played.best = best.best();
+        played.best = tuner.best_limit();
         played
     }
 
@@ -158,59 +158,60 @@
 
 #[test]
 fn a_kind_that_takes_much_longer_decides_nothing_by_its_share() {
-    let mut best = BestSlots::new(35);
+    let mut tuner = ConcurrencyTuner::new(35);
     let mut now = Duration::ZERO;
     let mut rng = Rng::with_seed(4);
     let mut at_work: AtWork = AtWork::new();
     let mut began = HashMap::new();
     for id in 0..40_000u64 {
-        while at_work.len() >= best.limit() as usize {
+        while at_work.len() >= tuner.limit() as usize {
             let Some(Reverse((at, ended))) = at_work.pop() else {
                 break;
             };
             now = at;
-            let (since, kind, how): (Now, u64, Began) = began.remove(&ended).expect("it began");
-            best.ends(now, how, Some(kind), now - since);
+            let (since, kind, how): (Now, u64, TuningSample) =
+                began.remove(&ended).expect("it began");
+            tuner.end(now, how, Some(kind), now - since);
         }
         // One in twenty takes thirty times as long; the lower side has more of them by chance.
         let kind = u64::from(rng.u8(..20) == 0);
         let mean_ms = if kind == 1 { 600.0 } else { 20.0 };
         let work = Duration::from_secs_f64(mean_ms * (0.5 + rng.f64()) / 1_000.0);
-        began.insert(id, (now, kind, best.begins(now, at_work.len() as u32 + 1)));
+        began.insert(id, (now, kind, tuner.begin(now, at_work.len() as u32 + 1)));
         at_work.push(Reverse((now + work, id)));
     }
-    assert!(best.best() >= 32, "{}", best.best());
+    assert!(tuner.best_limit() >= 32, "{}", tuner.best_limit());
 }
 
 #[test]
 fn another_run_is_found_anew_and_samples_of_the_last_one_tell_nothing_of_it() {
-    let mut best = BestSlots::new(35);
-    let began = best.begins(Duration::from_secs(1), 35);
-    best.forget(35);
-    assert_eq!(best.limit(), 35);
-    best.ends(
+    let mut tuner = ConcurrencyTuner::new(35);
+    let began = tuner.begin(Duration::from_secs(1), 35);
+    tuner.reset(35);
+    assert_eq!(tuner.limit(), 35);
+    tuner.end(
         Duration::from_secs(2),
         began,
         Some(1),
         Duration::from_secs(1),
     );
-    assert_eq!(best.limit(), 35);
+    assert_eq!(tuner.limit(), 35);
 }
 
 #[test]
 fn a_backend_server_of_very_few_slots_keeps_them() {
     for slots in 1..8 {
-        let mut best = BestSlots::new(slots);
+        let mut tuner = ConcurrencyTuner::new(slots);
         for step in 0..1_000 {
             let now = Duration::from_millis(20) * step;
-            let began = best.begins(now, slots);
-            best.ends(
+            let began = tuner.begin(now, slots);
+            tuner.end(
                 now + Duration::from_millis(10),
                 began,
                 Some(1),
                 Duration::from_millis(10),
             );
-            assert!(best.limit() >= 1);
+            assert!(tuner.limit() >= 1);
         }
     }
 }
--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -1,8 +1,8 @@
 //! What the entry's admission learns: the level of load, who calls whom, and what are calls.
 
 use sorrelturn_policy::{
-    CallGraph, Candidate, FirstTries, LEVEL_STEPS, LearnedThreshold, LoadLevel, Origins,
-    bucket_of_return, refuses,
+    CallGraph, Candidate, LEVEL_STEPS, LearnedThreshold, LoadLevel, Origins, RetryDetector,
+    bucket_for_retry, refuses,
 };
 use sorrelturn_protocol::Priority;
 use std::time::Duration;
@@ -145,18 +145,18 @@
                 candidate("caller", false, callers),
                 candidate("other", false, others),
             ];
-            graph.called("child", &candidates);
+            graph.record_call("child", &candidates);
         }
         if rng.u32(0..80) < callers {
-            graph.ended("caller", Duration::from_millis(100));
+            graph.record_end("caller", Duration::from_millis(100));
         }
         if rng.u32(0..80) < others {
-            graph.ended("other", Duration::from_millis(100));
+            graph.record_end("other", Duration::from_millis(100));
         }
     }
     assert_eq!(graph.calls("caller"), ["child"]);
     let others = graph.calls("other");
-    assert!(others.is_empty(), "{}", graph.rate("other", "child"));
+    assert!(others.is_empty(), "{}", graph.call_rate("other", "child"));
 }
 
 /// A start under load: each instance of a large service sees a few requests of a kind in its first half second.
@@ -190,14 +190,14 @@
         same_end: true,
         count: 1,
     };
-    graph.called("call", &[made_by("caller")]);
-    graph.ended("leaf", WORK);
+    graph.record_call("call", &[made_by("caller")]);
+    graph.record_end("leaf", WORK);
     assert_eq!(graph.calls("caller"), ["call"]);
     assert_eq!(graph.calls("leaf"), ["call"]);
     for _ in 0..8 {
-        graph.called("call", &[made_by("caller")]);
-        graph.ended("caller", WORK);
-        graph.ended("leaf", WORK);
+        graph.record_call("call", &[made_by("caller")]);
+        graph.record_end("caller", WORK);
+        graph.record_end("leaf", WORK);
     }
     assert_eq!(graph.calls("caller"), ["call"]);
     assert!(graph.calls("leaf").is_empty());
@@ -219,34 +219,36 @@
 
 #[test]
 fn a_request_with_less_time_than_its_like_was_tried_before() {
-    let mut tries = FirstTries::default();
+    let mut tries = RetryDetector::default();
     for number in 0..40 {
-        assert!(!tries.saw(4_999 + number % 2));
+        assert!(!tries.observe(4_999 + number % 2));
     }
-    assert!(tries.saw(3_300));
-    assert!(tries.saw(4_980));
-    assert!(!tries.saw(4_995));
+    assert!(tries.observe(3_300));
+    assert!(tries.observe(4_980));
+    assert!(!tries.observe(4_995));
 }
 
 #[test]
 fn nothing_is_concluded_where_callers_begin_with_all_sorts_of_times() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut tries = FirstTries::default();
-    let concluded = (0..500).filter(|_| tries.saw(rng.u32(100..5_000))).count();
+    let mut tries = RetryDetector::default();
+    let concluded = (0..500)
+        .filter(|_| tries.observe(rng.u32(100..5_000)))
+        .count();
     assert!(concluded < 10, "{concluded}");
 }
 
 #[test]
 fn callers_that_wait_less_than_earlier_ones_are_first_tries_again() {
-    let mut tries = FirstTries::default();
+    let mut tries = RetryDetector::default();
     for _ in 0..40 {
-        tries.saw(5_000);
+        tries.observe(5_000);
     }
     for _ in 0..64 {
-        tries.saw(1_000);
+        tries.observe(1_000);
     }
-    assert!(!tries.saw(1_000));
-    assert!(tries.saw(700));
+    assert!(!tries.observe(1_000));
+    assert!(tries.observe(700));
 }
 
 #[test]
@@ -266,7 +268,7 @@
     let learned = LearnedThreshold::default();
     let now = Duration::from_secs(1);
     for _ in 0..8 {
-        learned.no_answer(now);
+        learned.observe_no_answer(now);
     }
     let raised = learned.current(now);
     assert!(raised.0 > LEVEL_STEPS / 4, "{raised:?}");
@@ -278,7 +280,7 @@
 
 #[test]
 fn a_learnt_level_outlasts_the_pauses_between_few_answers_and_then_falls() {
-    let learned = LearnedThreshold::of_level();
+    let learned = LearnedThreshold::for_shedding_level();
     let at = |ms| Duration::from_millis(ms);
     learned.observe(at(1_000), Priority(600));
     learned.observe(at(1_010), Priority(600));
@@ -304,16 +306,16 @@
                 candidate("read", false, 2),
                 candidate("read", true, 1),
             ];
-            graph.called("fetch", &candidates);
-            graph.ended("read", Duration::from_millis(30));
+            graph.record_call("fetch", &candidates);
+            graph.record_end("read", Duration::from_millis(30));
         } else {
             let candidates = [
                 candidate("payment", false, 30),
                 candidate("payment", true, 1),
                 candidate("read", false, 3),
             ];
-            graph.called("fetch", &candidates);
-            graph.ended("payment", Duration::from_millis(700));
+            graph.record_call("fetch", &candidates);
+            graph.record_end("payment", Duration::from_millis(700));
         }
     }
     assert_eq!(graph.calls("payment"), ["fetch"]);
@@ -321,7 +323,7 @@
         graph.calls("read"),
         ["fetch"],
         "{}",
-        graph.rate("read", "fetch")
+        graph.call_rate("read", "fetch")
     );
 }
 
@@ -330,8 +332,8 @@
     let mut graph = CallGraph::default();
     let mut origins = Origins::default();
     for _ in 0..100 {
-        graph.called("child", &[candidate("old", true, 1)]);
-        graph.ended("old", Duration::from_millis(10));
+        graph.record_call("child", &[candidate("old", true, 1)]);
+        graph.record_end("old", Duration::from_millis(10));
         origins.saw("old", "a");
     }
     assert_eq!(graph.calls("old"), ["child"]);
@@ -351,7 +353,7 @@
         let kept = (0..=255u8).filter(|bucket| !refuses(level, rank, 2, place(*bucket, rank)));
         kept.count()
     };
-    let (first, returned) = (served(1, |bucket, _| bucket), served(1, bucket_of_return));
+    let (first, returned) = (served(1, |bucket, _| bucket), served(1, bucket_for_retry));
     assert!((64..first).contains(&returned), "{returned} of {first}");
-    assert_eq!(served(0, bucket_of_return), 0);
+    assert_eq!(served(0, bucket_for_retry), 0);
 }
--- a/crates/sorrelturn-policy/tests/leaving.rs
+++ b/crates/sorrelturn-policy/tests/leaving.rs
@@ -14,11 +14,11 @@
     let mut leaving = Leaving::default();
     assert!(leaving.leave(s(0), LeavingCause::VmList));
     assert!(!leaving.leave(s(1), LeavingCause::VmList));
-    assert!(leaving.stay(LeavingCause::VmList));
+    assert!(leaving.revoke(LeavingCause::VmList));
     assert_eq!(leaving.cause(), None);
     assert!(leaving.leave(s(2), LeavingCause::Signal));
-    assert!(!leaving.stay(LeavingCause::VmList));
-    assert!(!leaving.stay(LeavingCause::Signal));
+    assert!(!leaving.revoke(LeavingCause::VmList));
+    assert!(!leaving.revoke(LeavingCause::Signal));
 }
 
 #[test]
--- a/crates/sorrelturn-policy/tests/retries.rs
+++ b/crates/sorrelturn-policy/tests/retries.rs
@@ -34,7 +34,7 @@
     fn call(&mut self, depth: u32, mut share: u32) -> (bool, u32) {
         let need = self.need(depth);
         loop {
-            let first = first_share(share, need);
+            let first = first_attempt_share(share, need);
             share -= first;
             let (good, already_retried, back) = self.execute(depth, first);
             let lost = self.rng.f64() < self.trouble.loses;
