--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -1,78 +1,78 @@
-//! Admission to one backend server: a limit and a short queue in the order of shedding.
+//! Admission to one backend server: a concurrency limit and a short priority queue.
 //! See `docs/design/admission.md`.
 
 use crate::{AdaptiveLimit, ConcurrencyTuner, LoadLevel, Now, Outcome, Pressure, TuningSample};
 use sorrelturn_protocol::{Importance, Priority, Refusal};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
-/// A critical request waits so many times longer: asking for it again costs its caller more.
+/// Critical requests may queue longer because a retry costs their callers more.
 const CRITICAL_QUEUE_TIMEOUT_FACTOR: u32 = 4;
-/// Critical requests find so many times more room in the queue.
+/// Critical requests are queued up to this multiple of the queue length.
 const CRITICAL_QUEUE_CAPACITY_FACTOR: usize = 2;
 
-/// Calls find so many times more room in the queue where they have a wait of their own.
+/// Nested calls with a queue timeout of their own are queued up to this multiple of the queue length.
 const CALL_QUEUE_CAPACITY_FACTOR: usize = 4;
 
-/// And so many more places at the most: each holds two connections and their memory.
-const MAX_EXTRA_CALL_QUEUE_CAPACITY: usize = 100;
+/// Bounds the additional queue places for nested calls; each holds two connections.
+const MAX_EXTRA_CALL_QUEUE_LEN: usize = 100;
 
-/// With this share of the limit in use, a gate counts as busy.
+/// A gate is busy when at least this fraction of the limit is in use.
 const BUSY_FRACTION: f64 = 0.9;
 
-/// What the bundle says about a backend server.
+/// Settings of a backend server from the bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateConfig {
-    /// How many requests it works on at once.
+    /// The maximum number of concurrent requests.
     pub slots: u32,
-    /// How many requests may wait.
+    /// The maximum number of queued requests.
     pub queue_len: u32,
-    /// The longest wait.
+    /// The maximum queueing delay.
     pub queue_timeout: Duration,
-    /// The time over which a fresh backend server is brought to full load.
+    /// The time over which a restarted backend server is ramped up to full load.
     pub cold_start: Duration,
-    /// Where the priority of a call isn't its root request's: the longest wait of calls, for which
-    /// the roots are refused where they begin, and the level by which that is told.
+    /// The maximum queueing delay of nested calls, where root requests are shed at their entry by shedding level.
+    /// `None` sheds each request here, by its priority.
     pub call_queue_timeout: Option<Duration>,
 }
 
-/// A request at the gate.
+/// A request that arrives at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Unique at this gate, and rising.
+    /// Unique at this gate and increasing.
     pub id: u64,
-    /// The root request's place in the shedding order.
+    /// The priority of the root request.
     pub priority: Priority,
-    /// Whether finished work of other backend servers is lost with it.
+    /// Whether this is a nested call; refusing it wastes work that other backend servers have finished.
     pub is_nested_call: bool,
-    /// When its answer is of no more use.
+    /// The time after which the answer is useless.
     pub deadline: Now,
-    /// The level of load at which its root was admitted, where pressure is told by level.
+    /// The shedding level at which the root request was admitted, where shedding levels are in use.
     pub level: u16,
 }
 
-/// What becomes of an arrival.
+/// The decision on an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Forward it now.
+    /// Forward the request now.
     Admit,
-    /// It waits; [`Gate::finish`] releases it, or [`Gate::remove_queued`] takes it out.
+    /// The request is queued until [`Gate::finish`] releases it or [`Gate::remove_queued`] removes it.
     Queue,
-    /// Refuse it now.
+    /// Refuse the request now.
     Refuse(Refusal),
 }
 
-/// The requests that leave the queue when another one finishes or arrives.
+/// The requests that leave the queue when another request finishes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Released {
-    /// Forward these now.
+    /// The requests to forward now.
     pub admitted: Vec<u64>,
-    /// How each of them began.
+    /// The tuning sample of each admitted request, in the same order.
     pub samples: Vec<TuningSample>,
-    /// Refuse these now.
+    /// The requests to refuse now.
     pub refused: Vec<(u64, Refusal)>,
 }
 
-/// The order of the queue: the greatest is admitted first, the least pushed out first.
+/// The order of the queue: the greatest key is admitted first, the smallest is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     importance: Importance,
@@ -108,7 +108,7 @@
 }
 
 impl Gate {
-    /// A gate before a backend server that just started.
+    /// Creates the gate of a backend server that just started.
     pub fn new(cfg: GateConfig, now: Now) -> Self {
         Self {
             cfg,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes over what a new bundle says; nothing in flight or waiting is lost.
+    /// Applies settings from a new bundle; requests in flight and queued requests are retained.
     pub fn reconfigure(&mut self, cfg: GateConfig) {
         if cfg != self.cfg {
             if cfg.slots != self.cfg.slots {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Decides on an arrival; the second value is a waiting request that it pushes out.
+    /// Decides on an arrival. The second value is the queued request that it evicts, if any.
     pub fn arrive(&mut self, now: Now, arrival: &Arrival) -> (Decision, Option<u64>) {
         self.pressure.arrived(now, arrival.priority);
         if self.cfg.call_queue_timeout.is_some() {
@@ -154,12 +154,12 @@
             return (Decision::Queue, None);
         }
         match self.queue.first_key_value() {
-            Some((least, _)) if *least < key => {
-                let pushed_out = least.id.0;
-                self.pressure.shed(least.priority);
+            Some((lowest, _)) if *lowest < key => {
+                let evicted = lowest.id.0;
+                self.pressure.shed(lowest.priority);
                 self.queue.pop_first();
                 self.queue.insert(key, now);
-                (Decision::Queue, Some(pushed_out))
+                (Decision::Queue, Some(evicted))
             }
             _ => {
                 self.pressure.shed(arrival.priority);
@@ -168,48 +168,53 @@
         }
     }
 
-    /// An admitted request is over.
-    pub fn finish(&mut self, now: Now, outcome: Outcome, took: Duration) -> Released {
-        let counted = match self.cfg.call_queue_timeout {
+    /// Records the end of an admitted request and releases queued requests.
+    pub fn finish(&mut self, now: Now, outcome: Outcome, duration: Duration) -> Released {
+        let observed = match self.cfg.call_queue_timeout {
             None => outcome,
-            Some(_) => self.record_finish_for_level(now, outcome, took),
+            Some(_) => self.record_finish_for_level(now, outcome, duration),
         };
-        self.limit.observe(now, counted, took, self.in_flight);
+        self.limit.observe(now, observed, duration, self.in_flight);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.release(now)
     }
 
-    /// How the request began that [`Gate::arrive`] admitted just now; those that are released say it themselves.
+    /// The tuning sample of the request that [`Gate::arrive`] admitted last. [`Released`] holds those of released
+    /// requests.
     pub fn last_sample(&self) -> TuningSample {
         self.last_sample
     }
 
-    /// An admitted request is over, as [`Gate::finish`] is told next; `kind` is that of one that was answered and calls
-    /// nothing.
+    /// Ends the tuning sample of an admitted request; call [`Gate::finish`] next. `kind` is set only for answered
+    /// requests of a kind that makes no calls.
     pub fn end_sample(
         &mut self,
         now: Now,
         sample: TuningSample,
         kind: Option<u64>,
-        took: Duration,
+        duration: Duration,
     ) {
-        self.tuner.end(now, sample, kind, took);
+        self.tuner.end(now, sample, kind, duration);
     }
 
-    /// Another run of the backend server is there: how it works under load is to be found anew.
+    /// Discards the tuned concurrency for a new incarnation of the backend server.
     pub fn reset_tuning(&mut self) {
         self.tuner.reset(self.cfg.slots);
     }
 
-    /// Tells the level of a request that is over; returns what the limit may learn from it.
-    fn record_finish_for_level(&mut self, now: Now, outcome: Outcome, took: Duration) -> Outcome {
+    /// Updates the shedding level with a finished request and returns the outcome that the limit observes.
+    fn record_finish_for_level(
+        &mut self,
+        now: Now,
+        outcome: Outcome,
+        duration: Duration,
+    ) -> Outcome {
         self.update_level(now);
         match outcome {
-            Outcome::Answered => self.level.finished(took),
-            // Where slots are announced, a backend server that refuses is not full but unwell. What it turns away
-            // takes hardly any time of a slot.
+            Outcome::Answered => self.level.finished(duration),
+            // With announced slots, a refusal by the backend server is a fault and not a sign that it is full.
             Outcome::Overloaded => {
-                self.level.finished(took);
+                self.level.finished(duration);
                 return Outcome::Cancelled;
             }
             _ => {}
@@ -217,31 +222,31 @@
         outcome
     }
 
-    /// Takes a waiting request out: its wait is over, or its caller went away.
+    /// Removes a queued request that timed out or whose caller cancelled.
     ///
-    /// Returns whether it was still waiting. A wait that is over is a sign of overload.
+    /// Returns whether it was still queued. A timeout counts as overload.
     pub fn remove_queued(&mut self, arrival: &Arrival, timed_out: bool) -> bool {
-        let waited = self.queue.remove(&QueueKey::from(arrival)).is_some();
-        if waited && timed_out {
+        let was_queued = self.queue.remove(&QueueKey::from(arrival)).is_some();
+        if was_queued && timed_out {
             self.pressure.shed(arrival.priority);
         }
-        waited
+        was_queued
     }
 
-    /// The daemon runs so late.
+    /// Reports the scheduling delay of the daemon.
     pub fn report_lag(&mut self, lag: Duration) {
         self.level.lags(lag);
     }
 
-    /// The backend server was away and is back.
+    /// Starts a new cold start after the backend server was unavailable.
     pub fn backend_restarted(&mut self, now: Now) {
         self.limit.restarted(now);
     }
 
-    /// The longest wait of an arrival.
+    /// The maximum queueing delay of an arrival.
     pub fn queue_timeout(&self, arrival: &Arrival) -> Duration {
-        if let (true, Some(wait)) = (arrival.is_nested_call, self.cfg.call_queue_timeout) {
-            return wait;
+        if let (true, Some(timeout)) = (arrival.is_nested_call, self.cfg.call_queue_timeout) {
+            return timeout;
         }
         match arrival.priority.importance() {
             Importance::Critical => self.cfg.queue_timeout * CRITICAL_QUEUE_TIMEOUT_FACTOR,
@@ -249,33 +254,33 @@
         }
     }
 
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Requests that wait.
+    /// The number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// The limit now.
+    /// The current limit, which varies while the tuner compares two limits.
     pub fn limit(&self, now: Now) -> u32 {
         self.limit.get(now).min(self.tuner.limit()).max(1)
     }
 
-    /// The limit that holds for long, which is what others go by.
+    /// The current limit without the variation of a running comparison. Load figures use it.
     pub fn steady_limit(&self, now: Now) -> u32 {
         self.limit.get(now).min(self.tuner.best_limit()).max(1)
     }
 
-    /// Requests in flight and waiting, in percent of the limit.
+    /// Requests in flight and queued, in percent of the steady limit.
     pub fn load_percent(&self, now: Now) -> u16 {
         let load = (u64::from(self.in_flight) + self.queue.len() as u64) * 100;
         (load / u64::from(self.steady_limit(now))).min(u64::from(u16::MAX)) as u16
     }
 
-    /// Requests below this priority are being shed; where pressure is told by level, that.
+    /// The priority below which requests are shed, or the shedding level where levels are in use.
     pub fn threshold(&mut self, now: Now) -> Priority {
         if self.cfg.call_queue_timeout.is_none() {
             return self.pressure.threshold(now);
@@ -289,7 +294,7 @@
         self.level.passed(now, self.queue.len(), limit);
     }
 
-    /// How long the pressure has lasted; `None` while there is none.
+    /// The duration of the current overload; `None` without overload.
     pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
         match self.cfg.call_queue_timeout {
             None => self.pressure.lasting(now),
@@ -297,15 +302,16 @@
         }
     }
 
-    /// How many may wait before an arrival finds no room.
+    /// The queue length from which `arrival` has to evict another request.
     fn queue_capacity_for(&self, arrival: &Arrival) -> usize {
-        let all = self.cfg.queue_len as usize;
+        let queue_len = self.cfg.queue_len as usize;
         if arrival.is_nested_call && self.cfg.call_queue_timeout.is_some() {
-            return (all * CALL_QUEUE_CAPACITY_FACTOR).min(all + MAX_EXTRA_CALL_QUEUE_CAPACITY);
+            return (queue_len * CALL_QUEUE_CAPACITY_FACTOR)
+                .min(queue_len + MAX_EXTRA_CALL_QUEUE_LEN);
         }
         match arrival.priority.importance() {
-            Importance::Critical => all * CRITICAL_QUEUE_CAPACITY_FACTOR,
-            _ => all,
+            Importance::Critical => queue_len * CRITICAL_QUEUE_CAPACITY_FACTOR,
+            _ => queue_len,
         }
     }
 
@@ -313,10 +319,10 @@
         self.in_flight < self.limit(now)
     }
 
-    fn admit(&mut self, now: Now, wait: Duration) {
+    fn admit(&mut self, now: Now, queueing_delay: Duration) {
         self.in_flight += 1;
         self.last_sample = self.tuner.begin(now, self.in_flight);
-        self.pressure.admitted(wait);
+        self.pressure.admitted(queueing_delay);
         if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_FRACTION {
             self.pressure.busy();
         }
@@ -325,7 +331,7 @@
     fn release(&mut self, now: Now) -> Released {
         let mut released = Released::default();
         while self.has_free_slot(now) {
-            let Some((key, since)) = self.queue.pop_last() else {
+            let Some((key, queued_at)) = self.queue.pop_last() else {
                 break;
             };
             if key.deadline.0 <= now {
@@ -333,14 +339,14 @@
                 released.refused.push((key.id.0, Refusal::Deadline));
                 continue;
             }
-            self.admit(now, now.saturating_sub(since));
+            self.admit(now, now.saturating_sub(queued_at));
             released.admitted.push(key.id.0);
             released.samples.push(self.last_sample);
         }
         released
     }
 
-    /// The time until as many requests have finished as would go before this one.
+    /// The estimated queueing delay, from the number of queued requests that precede `arrival`.
     fn expected_queueing_delay(&self, now: Now, arrival: &Arrival) -> Duration {
         let ahead = self.queue.range(QueueKey::from(arrival)..).count() as u32;
         self.limit.service_time() * ahead / self.limit(now)
--- a/crates/sorrelturn-policy/src/lib.rs
+++ b/crates/sorrelturn-policy/src/lib.rs
@@ -42,5 +42,5 @@
 pub use routing::{Instance, InstanceReport, choose};
 pub use worked_on::WorkedOn;
 
-/// A point in time: what has passed since the process started, the time included that its VM was suspended.
+/// A point in time: the time since the process started, including time that its VM was suspended.
 pub type Now = std::time::Duration;
--- a/crates/sorrelturn-policy/src/limit.rs
+++ b/crates/sorrelturn-policy/src/limit.rs
@@ -1,32 +1,32 @@
-//! How many requests a backend server is given at once. See `docs/design/admission.md`.
+//! Adaptive concurrency limit of a backend server. See `docs/design/admission.md`.
 
 use crate::Now;
 use std::time::Duration;
 
-/// How an exchange with the backend server ended, as far as its limit is concerned.
+/// How an exchange with the backend server ended, as the concurrency limit sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered.
+    /// The backend server answered.
     Answered,
-    /// It said that it sheds load, or let a deadline pass.
+    /// The backend server reported overload or missed the deadline.
     Overloaded,
-    /// It couldn't be reached or broke off.
+    /// The backend server was unreachable or the connection broke.
     Failed,
-    /// The caller went away first; says nothing about the backend server.
+    /// The caller cancelled; this says nothing about the backend server.
     Cancelled,
 }
 
-/// The factor by which a sign of overload cuts the limit.
+/// Applied to the limit on overload.
 const DECREASE_FACTOR: f64 = 0.85;
-/// The share of the slots that the limit never falls below.
+/// Lower bound of the limit, as a fraction of the slots.
 const MIN_LIMIT_FRACTION: f64 = 0.1;
-/// The limit rises only while at least this share of it is in use; else nothing is learnt.
+/// The limit rises only while at least this fraction of it is in use.
 const MIN_UTILIZATION_FRACTION: f64 = 0.75;
 
-/// A concurrency limit between a min_limit and the slots of the bundle.
+/// A concurrency limit between a minimum and the slots that the bundle configures.
 ///
-/// It falls when the backend server says that it is overloaded, at most once a service time,
-/// and rises by one for each limit's worth of answers. A cold start caps it for a while.
+/// The limit decreases multiplicatively on overload, at most once per service time, and increases
+/// by one for every `limit` answers. It is capped during the cold start of the backend server.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     slots: f64,
@@ -39,7 +39,7 @@
 }
 
 impl AdaptiveLimit {
-    /// A limit that starts at the slots and is capped while the backend server warms up.
+    /// Creates a limit that starts at `slots` and is capped while the backend server warms up.
     pub fn new(slots: u32, cold_start: Duration, now: Now) -> Self {
         let slots = f64::from(slots.max(1));
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes over changed slots from a new bundle; what was learnt stays, within the new bounds.
+    /// Applies new slots from a bundle and keeps the current limit relative to the slots.
     pub fn reconfigure(&mut self, slots: u32, cold_start: Duration) {
         let share = self.current / self.slots;
         self.slots = f64::from(slots.max(1));
@@ -62,22 +62,22 @@
         self.cold_start = cold_start;
     }
 
-    /// The limit now.
+    /// The current limit.
     pub fn get(&self, now: Now) -> u32 {
         self.current.min(self.cold_start_limit(now)) as u32
     }
 
-    /// The smoothed time that the backend server takes for a request.
+    /// The moving average of the time that the backend server takes for a request.
     pub fn service_time(&self) -> Duration {
         self.service_time
     }
 
-    /// The backend server was away and is back: it starts cold.
+    /// Starts a new cold start after the backend server was unavailable.
     pub fn restarted(&mut self, now: Now) {
         self.cold_since = now;
     }
 
-    /// Learns from one exchange.
+    /// Updates the limit after one exchange; `in_flight` includes that exchange.
     pub fn observe(&mut self, now: Now, outcome: Outcome, took: Duration, in_flight: u32) {
         match outcome {
             Outcome::Answered => {
@@ -92,8 +92,11 @@
     }
 
     fn decrease(&mut self, now: Now) {
-        let spacing = self.service_time.max(Duration::from_millis(1));
-        if self.last_decrease.is_some_and(|last| now < last + spacing) {
+        let min_interval = self.service_time.max(Duration::from_millis(1));
+        if self
+            .last_decrease
+            .is_some_and(|last| now < last + min_interval)
+        {
             return;
         }
         self.last_decrease = Some(now);
@@ -113,8 +116,8 @@
         if age >= self.cold_start {
             return self.slots;
         }
-        let warm = age.as_secs_f64() / self.cold_start.as_secs_f64();
-        let start = (self.slots / 4.0).max(self.min_limit);
-        start + (self.slots - start) * warm
+        let warm_fraction = age.as_secs_f64() / self.cold_start.as_secs_f64();
+        let initial_limit = (self.slots / 4.0).max(self.min_limit);
+        initial_limit + (self.slots - initial_limit) * warm_fraction
     }
 }
