--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -172,7 +172,7 @@
             .into_iter()
             .map(|((kind, same_end), count)| Candidate {
                 kind: names[kind].clone(),
-                same_end,
+                has_same_deadline: same_end,
                 count,
             });
         let candidates: Vec<Candidate> = candidates.collect();
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -158,7 +158,7 @@
     let on_its_way = OnItsWay::start(node, &route, call, kind_state);
     let result = exchange(node, &route, call, req).await;
     if matches!(result, Err(Failure::TooLate)) {
-        kind_state.threshold.observe_no_answer(node.now());
+        kind_state.threshold.observe_no_response(node.now());
     }
     let was_silent = matches!(result, Err(Failure::NeverCame | Failure::AnswerLost));
     if on_its_way.finish(report(&result)) {
@@ -250,7 +250,7 @@
         self.route.stats.finished(now, InstanceReport::Cancelled);
         if now >= self.half_time {
             // Whoever asked has waited for long: its own time is over.
-            self.kind_state.threshold.observe_no_answer(now);
+            self.kind_state.threshold.observe_no_response(now);
         }
         self.node.events.note(
             &events::CANCELLED,
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -112,7 +112,7 @@
         let groups = groups.filter(|(_, count)| *count > 0);
         groups.map(|(same_end, count)| Candidate {
             kind: self.kind.clone(),
-            same_end,
+            has_same_deadline: same_end,
             count,
         })
     }
--- a/crates/sorrelturn-policy/src/attempts.rs
+++ b/crates/sorrelturn-policy/src/attempts.rs
@@ -1,12 +1,12 @@
-//! The attempts of a root request, divided over its calls. See `docs/design/retries.md`.
+//! The attempt budget of a root request, divided among its nested calls. See `docs/design/retries.md`.
 //!
-//! One attempt is one execution at some backend server. Shares are only ever split and handed
-//! back, so their sum over the whole tree never exceeds the root's number, however deep or wide.
+//! One attempt is one execution at a backend server. Shares are only split and returned, so their
+//! sum over the call tree never exceeds the budget of the root request.
 
-/// The share that the first try of a call gets out of `share`.
+/// The share that the first attempt of a call receives out of `share`.
 ///
-/// One execution of the whole subtree is held back for a second try where there is enough,
-/// because the share of a lost answer is forfeited.
+/// If possible, it reserves the `need` of one execution of the whole subtree for a second attempt, because the
+/// share of an attempt is lost with its response.
 pub fn first_attempt_share(share: u32, need: u32) -> u32 {
     if share >= need.saturating_mul(2) {
         share - need
@@ -15,7 +15,7 @@
     }
 }
 
-/// What is left for the nested calls of one running request.
+/// The attempts left for the nested calls of one request in progress.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptPool {
     left: u32,
@@ -23,7 +23,7 @@
 }
 
 impl AttemptPool {
-    /// The pool of a request that was forwarded with `share`: its own execution is spent.
+    /// Creates the pool of a request that was forwarded with `share`, of which its own execution uses one attempt.
     pub fn new(share: u32, need: u32) -> Self {
         Self {
             left: share.saturating_sub(1),
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Takes a child's share: what it needs, and half of what nobody needs.
+    /// Takes the share of a nested call: its need and half of the surplus.
     ///
-    /// `None` means that the attempts of the root request are used up here.
+    /// Returns `None` when no attempts are left.
     pub fn take(&mut self, need: u32) -> Option<u32> {
         let surplus = self.left.saturating_sub(self.still_needed);
         let share = self.left.min(need.saturating_add(surplus / 2));
@@ -45,12 +45,12 @@
         Some(share)
     }
 
-    /// Takes back what a child's answer brought along.
+    /// Returns unused attempts that the response of a nested call reported.
     pub fn give_back(&mut self, unused: u32) {
         self.left += unused;
     }
 
-    /// Ends the pool and returns what is left; later calls of the same request get nothing.
+    /// Closes the pool and returns the attempts left; later calls of the same request receive none.
     pub fn close(&mut self) -> u32 {
         std::mem::take(&mut self.left)
     }
--- a/crates/sorrelturn-policy/src/bucket.rs
+++ b/crates/sorrelturn-policy/src/bucket.rs
@@ -1,30 +1,30 @@
-//! Token buckets: a caller's rate, and retries as a fraction of successes.
+//! Token buckets for the request rate of a caller and for retries as a fraction of successes.
 
 use crate::Now;
 
-/// A caller's rate, with one second's worth of burst.
+/// Limits the request rate of a caller; the burst is one second's worth of requests.
 #[derive(Clone, Debug)]
 pub struct RateBucket {
     rate: f64,
     tokens: f64,
-    filled: Now,
+    refilled_at: Now,
 }
 
 impl RateBucket {
-    /// A full bucket that refills at `rate` tokens a second.
+    /// Creates a full bucket that refills at `rate` tokens per second.
     pub fn new(rate: f64, now: Now) -> Self {
         Self {
             rate,
             tokens: rate.max(1.0),
-            filled: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token; returns `false` if none is available.
     pub fn take(&mut self, now: Now) -> bool {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * self.rate).min(self.rate.max(1.0));
-        self.filled = now;
+        let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.tokens = (self.tokens + elapsed_s * self.rate).min(self.rate.max(1.0));
+        self.refilled_at = now;
         let taken = self.tokens >= 1.0;
         if taken {
             self.tokens -= 1.0;
@@ -33,10 +33,9 @@
     }
 }
 
-/// The most retries that successes can pay for in advance.
-const RETRY_BURST: f64 = 10.0;
+const MAX_RETRY_TOKENS: f64 = 10.0;
 
-/// Retries of one edge of the call graph, paid for by its successes.
+/// Limits the retries on one edge of the call graph to a fraction of its successes.
 #[derive(Clone, Debug)]
 pub struct RetryBucket {
     fraction: f64,
@@ -44,20 +43,20 @@
 }
 
 impl RetryBucket {
-    /// A full bucket; each success pays for `fraction` of a retry.
+    /// Creates a full bucket; each success adds `fraction` of a retry.
     pub fn new(fraction: f64) -> Self {
         Self {
             fraction,
-            tokens: RETRY_BURST,
+            tokens: MAX_RETRY_TOKENS,
         }
     }
 
-    /// A call succeeded.
+    /// Records a successful call.
     pub fn succeeded(&mut self) {
-        self.tokens = (self.tokens + self.fraction).min(RETRY_BURST);
+        self.tokens = (self.tokens + self.fraction).min(MAX_RETRY_TOKENS);
     }
 
-    /// Takes the price of one retry if it is there.
+    /// Takes one retry; returns `false` if none is available.
     pub fn take(&mut self) -> bool {
         let taken = self.tokens >= 1.0;
         if taken {
--- a/crates/sorrelturn-policy/src/call_graph.rs
+++ b/crates/sorrelturn-policy/src/call_graph.rs
@@ -1,73 +1,69 @@
-//! Which kinds of requests call which, learnt beside the backend server that makes the calls.
+//! Learns which request kinds call which, at the daemon of the backend server that makes the calls.
 //! See `docs/design/entry-admission.md`.
 //!
-//! A call names no parent. What is known are the requests that the backend server works on when it
-//! makes the call, and that a call ends no later than its parent. Each call is credited to those
-//! that could have made it, in proportion to how many calls their kinds are known to make in the time
-//! that they are worked on; over many calls the credit goes where the calls come from. A kind that is
-//! worked on for long is present by chance at many calls, and gets the less for each.
+//! A call doesn't name its parent. Known are the requests in progress at the backend server when it makes the
+//! call, and that a call ends no later than its parent. Each call is credited to the requests that could have
+//! made it, in proportion to the estimated call rate of their kinds per time in progress. Over many calls, the
+//! credit converges to the actual callers. Kinds with long requests receive less credit per call because they are
+//! often in progress by chance.
 
 use std::{collections::HashMap, time::Duration};
 
-/// A kind counts as a caller if it makes so many calls a request, or more.
-const LEAST_RATE: f64 = 0.2;
-/// And so many, as a part of what the kind with the most makes: the rest is credit gone astray.
-const LEAST_SHARE: f64 = 0.3;
-/// A kind needs what its requests call so often, in calls a request. Below it many get by without; some
-/// credit goes astray, so that one call a request shows as a little less.
-const NEEDED_RATE: f64 = 0.75;
-/// How much likelier a request is the parent if it ends at the same time as the call. A call that
-/// isn't cut short by a time limit of its own ends with its parent; the rest allows for those that are.
-const SAME_END_WEIGHT: f64 = 1_000.0;
-/// What is assumed of a pair of kinds before anything was seen, in calls a request, and how many
-/// requests that assumption weighs.
+/// The minimum number of calls per request at which a kind counts as a caller.
+const MIN_CALL_RATE: f64 = 0.2;
+/// The minimum call rate of a caller, as a fraction of the highest rate among all kinds; less is misattributed credit.
+const MIN_CALL_RATE_FRACTION: f64 = 0.3;
+/// Calls per request at which a kind requires the called kind; below 1 because some credit is misattributed.
+const REQUIRED_CALL_RATE: f64 = 0.75;
+/// Weight of a candidate with the deadline of the call; most calls inherit the deadline of their parent.
+const SAME_DEADLINE_WEIGHT: f64 = 1_000.0;
+/// The prior call rate of a pair of kinds, in calls per request.
 const PRIOR_RATE: f64 = 0.5;
+/// The weight of the priors, in requests.
 const PRIOR_REQUESTS: f64 = 5.0;
-/// The time that such a request is assumed to take, in seconds.
-const PRIOR_TIME_S: f64 = 0.1;
-/// Before so many requests of a kind have ended, it is taken to call all that the backend server calls. Levels reach the
-/// entries seconds sooner that way; a kind that calls nothing is refused with the others until then. By the figures
-/// above, no call in so many requests leaves it below [`LEAST_RATE`].
-const FIRST_WORKED_OUT: u32 = 8;
-/// What a kind calls is worked out anew whenever so many of its requests have ended.
-const WORKED_OUT_EVERY: u32 = 20;
-/// When so many requests of a kind have ended, older ones begin to count less.
-const MEMORY_REQUESTS: f64 = 500.0;
-
-/// What one kind calls.
+/// The prior duration of a request, in seconds.
+const PRIOR_DURATION_S: f64 = 0.1;
+/// Until this many requests of a kind have ended, the kind is assumed to make all calls of the backend server.
+const FIRST_EVALUATION_REQUESTS: u32 = 8;
+/// The number of ended requests of a kind after which its calls are evaluated again.
+const EVALUATION_INTERVAL_REQUESTS: u32 = 20;
+/// The number of ended requests of a kind above which its counts are halved.
+const MAX_WEIGHT_REQUESTS: f64 = 500.0;
+
+/// The statistics of one kind as a caller.
 #[derive(Clone, Debug, Default)]
 struct Caller {
     ended: f64,
-    /// How long those that ended took, in seconds.
-    took_s: f64,
+    /// The total duration of ended requests, in seconds.
+    total_duration_s: f64,
     credit: HashMap<String, f64>,
-    /// What it calls, in the order of their names, as last worked out.
+    /// The called kinds as last evaluated, sorted by name.
     calls: Vec<String>,
-    ended_since: u32,
-    worked_out: bool,
+    ended_since_evaluation: u32,
+    evaluated: bool,
 }
 
-/// Requests of one kind that may have made a call.
+/// The requests in progress of one kind that may have made a call.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Their kind.
+    /// The kind of the requests.
     pub kind: String,
-    /// Whether their time ends when the call's does.
-    pub same_end: bool,
-    /// How many they are.
+    /// Whether the requests have the same deadline as the call.
+    pub has_same_deadline: bool,
+    /// The number of requests.
     pub count: u32,
 }
 
-/// The calls that kinds make, as learnt at one backend server.
+/// The call graph between request kinds, as learned at one backend server.
 #[derive(Clone, Debug, Default)]
 pub struct CallGraph {
     callers: HashMap<String, Caller>,
-    /// The kinds that the backend server has called, in the order of their names.
+    /// The kinds that the backend server has called, sorted by name.
     called: Vec<String>,
 }
 
 impl CallGraph {
-    /// The backend server made a call while it worked on `candidates`.
+    /// Records a call that the backend server made while `candidates` were in progress.
     pub fn record_call(&mut self, child: &str, candidates: &[Candidate]) {
         let weights: Vec<f64> = candidates
             .iter()
@@ -77,11 +73,11 @@
         if total <= 0.0 {
             return;
         }
-        if let Err(place) = self
+        if let Err(position) = self
             .called
             .binary_search_by(|known| known.as_str().cmp(child))
         {
-            self.called.insert(place, child.to_owned());
+            self.called.insert(position, child.to_owned());
         }
         for (candidate, weight) in candidates.iter().zip(weights) {
             let caller = caller(&mut self.callers, &candidate.kind);
@@ -95,48 +91,47 @@
     }
 
     fn weight(&self, candidate: &Candidate, child: &str) -> f64 {
-        let likelier = if candidate.same_end {
-            SAME_END_WEIGHT
+        let deadline_weight = if candidate.has_same_deadline {
+            SAME_DEADLINE_WEIGHT
         } else {
             1.0
         };
         let rate = self.call_rate(&candidate.kind, child);
-        rate / self.mean_time_s(&candidate.kind) * f64::from(candidate.count) * likelier
+        rate / self.mean_duration_s(&candidate.kind) * f64::from(candidate.count) * deadline_weight
     }
 
-    fn mean_time_s(&self, kind: &str) -> f64 {
-        let (ended, took_s) = self
+    fn mean_duration_s(&self, kind: &str) -> f64 {
+        let (ended, total_duration_s) = self
             .callers
             .get(kind)
-            .map_or((0.0, 0.0), |caller| (caller.ended, caller.took_s));
-        (took_s + PRIOR_TIME_S * PRIOR_REQUESTS) / (ended + PRIOR_REQUESTS)
+            .map_or((0.0, 0.0), |caller| (caller.ended, caller.total_duration_s));
+        (total_duration_s + PRIOR_DURATION_S * PRIOR_REQUESTS) / (ended + PRIOR_REQUESTS)
     }
 
-    /// The backend server has finished a request that took so long; returns what its kind calls, if
-    /// that has changed.
+    /// Records the end of a request; returns the calls of its kind if they have changed.
     pub fn record_end(&mut self, kind: &str, took: Duration) -> Option<&[String]> {
         let caller = caller(&mut self.callers, kind);
         caller.ended += 1.0;
-        caller.took_s += took.as_secs_f64();
-        if caller.ended > MEMORY_REQUESTS {
+        caller.total_duration_s += took.as_secs_f64();
+        if caller.ended > MAX_WEIGHT_REQUESTS {
             caller.ended /= 2.0;
-            caller.took_s /= 2.0;
+            caller.total_duration_s /= 2.0;
             for credit in caller.credit.values_mut() {
                 *credit /= 2.0;
             }
         }
-        caller.ended_since += 1;
-        let wanted = if caller.worked_out {
-            WORKED_OUT_EVERY
+        caller.ended_since_evaluation += 1;
+        let interval = if caller.evaluated {
+            EVALUATION_INTERVAL_REQUESTS
         } else {
-            FIRST_WORKED_OUT
+            FIRST_EVALUATION_REQUESTS
         };
-        if caller.ended_since < wanted {
+        if caller.ended_since_evaluation < interval {
             return None;
         }
-        caller.ended_since = 0;
-        caller.worked_out = true;
-        let calls = self.work_out(kind);
+        caller.ended_since_evaluation = 0;
+        caller.evaluated = true;
+        let calls = self.evaluate_calls(kind);
         let caller = self.callers.get_mut(kind)?;
         let changed = caller.calls != calls;
         caller.calls = calls;
@@ -153,7 +148,7 @@
         }
     }
 
-    /// The calls of a kind that one request of another kind makes.
+    /// The estimated number of calls to kind `child` per request of kind `parent`.
     pub fn call_rate(&self, parent: &str, child: &str) -> f64 {
         let caller = self.callers.get(parent);
         let ended = caller.map_or(0.0, |caller| caller.ended);
@@ -164,37 +159,37 @@
         (credit + PRIOR_RATE * PRIOR_REQUESTS) / (ended + PRIOR_REQUESTS)
     }
 
-    /// The kinds that requests of a kind call, as far as is known.
+    /// The kinds that requests of kind `parent` call, as far as known.
     pub fn calls(&self, parent: &str) -> &[String] {
         match self.callers.get(parent) {
-            Some(caller) if caller.worked_out => &caller.calls,
+            Some(caller) if caller.evaluated => &caller.calls,
             Some(_) => &self.called,
             None => &[],
         }
     }
 
-    /// Whether requests of a kind are known to call nothing.
+    /// Whether requests of a kind are known to make no calls.
     pub fn is_leaf(&self, kind: &str) -> bool {
         let caller = self.callers.get(kind);
         caller.is_some_and(|caller| {
-            caller.ended >= f64::from(WORKED_OUT_EVERY) && caller.calls.is_empty()
+            caller.ended >= f64::from(EVALUATION_INTERVAL_REQUESTS) && caller.calls.is_empty()
         })
     }
 
-    /// The kinds that nearly every request of a kind calls.
+    /// The kinds that nearly every request of kind `parent` calls.
     pub fn required_calls<'a>(&'a self, parent: &'a str) -> impl Iterator<Item = &'a str> {
         let calls = self.calls(parent).iter().map(String::as_str);
-        calls.filter(move |child| self.call_rate(parent, child) >= NEEDED_RATE)
+        calls.filter(move |child| self.call_rate(parent, child) >= REQUIRED_CALL_RATE)
     }
 
-    fn work_out(&self, parent: &str) -> Vec<String> {
+    fn evaluate_calls(&self, parent: &str) -> Vec<String> {
         let caller = self.callers.get(parent);
         let mut calls: Vec<String> = caller
             .into_iter()
             .flat_map(|caller| caller.credit.keys())
             .filter(|child| {
                 let rate = self.call_rate(parent, child);
-                rate >= LEAST_RATE && rate >= LEAST_SHARE * self.highest_rate(child)
+                rate >= MIN_CALL_RATE && rate >= MIN_CALL_RATE_FRACTION * self.highest_rate(child)
             })
             .cloned()
             .collect();
@@ -210,7 +205,7 @@
     }
 }
 
-/// What a kind calls; its name is copied once only.
+/// Returns the statistics of a kind; allocates its name only on insertion.
 fn caller<'a>(callers: &'a mut HashMap<String, Caller>, kind: &str) -> &'a mut Caller {
     if !callers.contains_key(kind) {
         callers.insert(kind.to_owned(), Caller::default());
--- a/crates/sorrelturn-policy/src/concurrency_tuner.rs
+++ b/crates/sorrelturn-policy/src/concurrency_tuner.rs
@@ -1,33 +1,30 @@
-//! How many of its slots a backend server works best with. See `docs/design/admission.md`.
+//! Tunes the concurrency limit of a backend server for throughput. See `docs/design/admission.md`.
 
 use crate::Now;
 use std::{collections::HashMap, time::Duration};
 
-/// The parts of the slots that are compared, most first; below a half, a backend server is broken rather than full.
-const RUNGS: [f64; 6] = [1.0, 0.94, 0.88, 0.8, 0.65, 0.5];
-/// Each side of a comparison of two neighbours is the mean of so many requests. Where their times vary by half of their
-/// mean, it is known to 4 in 100.
-const SAMPLES: f64 = 160.0;
-/// What a comparison of neighbours has to tell apart: times that are longer by so much. Wider steps take fewer samples.
-const NEIGHBOURS_APART: f64 = 0.128;
-/// But so many at least, so that no few slow requests decide.
-const LEAST_SAMPLES: f64 = 64.0;
-/// Fewer slots have to give so much more work a second: where nothing slows down, chance alone then takes slots away
-/// in about one comparison of a hundred, until the next one.
-const LEAST_GAIN: f64 = 1.08;
-/// The pause before the next comparison once one is over: the requests of the last one are through by then.
-const PAUSE_AFTER: Duration = Duration::from_millis(100);
-/// The first pause between two comparisons with the same rung, where it is a neighbour. It doubles while they change
-/// nothing. With one comparison of a quarter of a second in 16 s, looking costs less than 1 in 100 of the work.
-const PAUSE: Duration = Duration::from_millis(1_000);
-const LONGEST_PAUSE: Duration = Duration::from_secs(16);
-/// A comparison that takes longer compares different times of day, and is dropped.
-const LONGEST_COMPARISON: Duration = Duration::from_secs(4);
+/// The candidate limits as fractions of the slots, in descending order.
+const LIMIT_FRACTIONS: [f64; 6] = [1.0, 0.94, 0.88, 0.8, 0.65, 0.5];
+/// The number of requests on each side of a comparison of two neighboring candidates.
+const MAX_SAMPLES: f64 = 160.0;
+/// The relative slowdown that a comparison of neighbors has to detect; wider steps need fewer samples.
+const NEIGHBOR_SLOWDOWN: f64 = 0.128;
+/// Keeps a few slow requests from deciding a comparison.
+const MIN_SAMPLES: f64 = 64.0;
+/// The throughput ratio that the lower limit must exceed to be chosen, so that noise rarely reduces the limit.
+const MIN_GAIN_FACTOR: f64 = 1.08;
+/// The delay between the end of a comparison and the next one, so that requests of the last one can finish.
+const COMPARISON_DELAY: Duration = Duration::from_millis(100);
+/// The initial interval between comparisons with the same neighboring candidate; it doubles while the limit stays.
+const INITIAL_INTERVAL: Duration = Duration::from_millis(1_000);
+const MAX_INTERVAL: Duration = Duration::from_secs(16);
+/// A comparison that takes longer is dropped because the load may have changed meanwhile.
+const COMPARISON_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How a request began; given back when it is over.
+/// Identifies the comparison that a request is a sample of; passed back when the request ends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TuningSample {
-    /// The comparison that it is a sample of, and its side.
+    /// The number of the comparison and the side; `None` if the request is no sample.
     sample: Option<(u32, Side)>,
 }
 
@@ -37,14 +34,14 @@
     Lower,
 }
 
-/// The times of the samples of one kind on one side.
+/// The durations of the samples of one request kind on one side.
 #[derive(Clone, Copy, Debug, Default)]
-struct Times {
+struct DurationSum {
     count: u32,
     sum_s: f64,
 }
 
-impl Times {
+impl DurationSum {
     fn add(&mut self, took: Duration) {
         self.count += 1;
         self.sum_s += took.as_secs_f64();
@@ -55,97 +52,95 @@
     }
 }
 
-/// A comparison of two rungs.
+/// A running comparison of two candidate limits.
 #[derive(Clone, Debug)]
 struct Comparison {
     upper: usize,
     lower: usize,
-    begun: Now,
-    /// Requests on each side.
+    started_at: Now,
+    /// The number of samples on each side.
     samples: u32,
-    /// Those that have begun.
-    begun_upper: u32,
-    begun_lower: u32,
-    /// Those that aren't over.
-    at_work: u32,
-    by_kind: HashMap<u64, (Times, Times)>,
+    started_upper: u32,
+    started_lower: u32,
+    /// The number of samples in progress.
+    in_progress: u32,
+    by_kind: HashMap<u64, (DurationSum, DurationSum)>,
 }
 
 impl Comparison {
-    /// Whose turn it is; `None` while the last samples are worked on. Half of the upper side comes before the lower
-    /// one and half after it.
-    fn turn(&self) -> Option<Side> {
-        if self.begun_upper < self.samples / 2 {
+    /// The side to sample next; `None` once all samples have started. The lower side is sampled between two halves of
+    /// the upper side.
+    fn next_side(&self) -> Option<Side> {
+        if self.started_upper < self.samples / 2 {
             Some(Side::Upper)
-        } else if self.begun_lower < self.samples {
+        } else if self.started_lower < self.samples {
             Some(Side::Lower)
-        } else if self.begun_upper < self.samples {
+        } else if self.started_upper < self.samples {
             Some(Side::Upper)
         } else {
             None
         }
     }
 
-    /// How many times longer requests took on the upper side. Each kind counts by as many as it has on both sides, and
-    /// each time as a part of its kind's mean: few requests of a long kind would else outweigh all others.
-    fn slower(&self) -> f64 {
-        let (mut with_most, mut with_fewer) = (0.0, 0.0);
+    /// The ratio of request durations on the upper side to those on the lower side. Durations are relative to the mean of
+    /// their kind, and a kind weighs as much as its smaller sample count, so that a few long requests don't dominate.
+    fn slowdown(&self) -> f64 {
+        let (mut with_upper, mut with_lower) = (0.0, 0.0);
         for (upper, lower) in self.by_kind.values() {
             let weight = f64::from(upper.count.min(lower.count));
             let mean = (upper.sum_s + lower.sum_s) / f64::from(upper.count + lower.count);
             if weight > 0.0 && mean > 0.0 {
-                with_most += weight * upper.mean_s() / mean;
-                with_fewer += weight * lower.mean_s() / mean;
+                with_upper += weight * upper.mean_s() / mean;
+                with_lower += weight * lower.mean_s() / mean;
             }
         }
-        if with_fewer > 0.0 {
-            with_most / with_fewer
+        if with_lower > 0.0 {
+            with_upper / with_lower
         } else {
             1.0
         }
     }
 }
 
-/// When a rung is due, and how long it isn't after that.
+/// When a candidate is compared next, and the interval after that.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct Schedule {
     at: Now,
-    pause: Duration,
+    interval: Duration,
 }
 
-/// Finds the limit at which a backend server gets the most work done in a second.
+/// Finds the concurrency limit with the highest throughput of a backend server.
 ///
-/// Some work slower when nearly all of their slots are taken, and then get less done than with a few slots left
-/// free. Whether this one does is seen in its own times only: while its slots are asked for, the limit is stepped
-/// down and up again within a fraction of a second, and the times of requests that began on either side are compared,
-/// kind by kind. The lower side lies between two halves of the upper one, so that a backend server that gets slower or
-/// faster meanwhile isn't taken for one that is too full; and samples are chosen when they begin, since those that end
-/// first are the short ones. Only kinds that call nothing tell anything: others take the time of other services too.
+/// Some backend servers slow down when nearly all slots are in use, so that a few free slots increase throughput.
+/// While demand fills the slots, the tuner lowers and raises the limit within a fraction of a second and compares the
+/// durations of requests that started on either side, per kind. The lower side is sampled between two halves of the
+/// upper side, which cancels a drift in speed. Samples are chosen at their start, since selection at the end favors
+/// short requests. Only kinds that make no calls count: others include the time of other services.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyTuner {
     slots: u32,
-    rung: usize,
+    candidate: usize,
     number: u32,
     comparison: Option<Comparison>,
-    /// When the limit is compared with each rung again.
-    due: [Due; RUNGS.len()],
+    /// When each candidate is compared with the limit again.
+    schedule: [Schedule; LIMIT_FRACTIONS.len()],
     next_at: Now,
 }
 
 impl ConcurrencyTuner {
-    /// Starts with all slots.
+    /// Creates a tuner that starts with all slots.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
-            rung: 0,
+            candidate: 0,
             number: 0,
             comparison: None,
-            due: first_due(Duration::ZERO, 0),
+            schedule: initial_schedule(Duration::ZERO, 0),
             next_at: Duration::ZERO,
         }
     }
 
-    /// Another run of the backend server, or other slots: nothing of what was found holds.
+    /// Discards all results, for a new incarnation of the backend server or a new number of slots.
     pub fn reset(&mut self, slots: u32) {
         *self = Self {
             number: self.number + 1,
@@ -153,58 +148,59 @@
         };
     }
 
-    /// How many requests it works best with, as far as is known.
+    /// The limit with the highest throughput found so far.
     pub fn best_limit(&self) -> u32 {
-        self.slots_of(self.rung)
+        self.slots_of(self.candidate)
     }
 
-    /// How many requests it may be given now; while two limits are compared, one of them.
+    /// The limit to apply now. During a comparison, this is one of the two compared limits.
     pub fn limit(&self) -> u32 {
         let compared = self.comparison.as_ref();
-        match compared.and_then(|compared| Some((compared, compared.turn()?))) {
+        match compared.and_then(|compared| Some((compared, compared.next_side()?))) {
             Some((compared, Side::Upper)) => self.slots_of(compared.upper),
             Some((compared, Side::Lower)) => self.slots_of(compared.lower),
             None => self.best_limit(),
         }
     }
 
-    /// A request begins beside so many others, itself among them.
-    pub fn begin(&mut self, now: Now, at_once: u32) -> TuningSample {
+    /// Records the start of a request; `in_flight` is the number of requests in flight, including this one.
+    pub fn begin(&mut self, now: Now, in_flight: u32) -> TuningSample {
         self.drop_overdue(now);
-        if self.comparison.is_none() && at_once >= self.best_limit() && now >= self.next_at {
-            self.compare(now);
+        if self.comparison.is_none() && in_flight >= self.best_limit() && now >= self.next_at {
+            self.start_comparison(now);
         }
         let (slots, number) = (self.slots, self.number);
         let Some(comparison) = &mut self.comparison else {
             return TuningSample::default();
         };
-        let side = comparison.turn().filter(|side| {
-            let rung = match side {
+        let side = comparison.next_side().filter(|side| {
+            let candidate = match side {
                 Side::Upper => comparison.upper,
                 Side::Lower => comparison.lower,
             };
-            at_once > least_of(slots, rung) && at_once <= slots_of(slots, rung)
+            in_flight > min_in_flight(slots, candidate) && in_flight <= slots_of(slots, candidate)
         });
         match side {
-            Some(Side::Upper) => comparison.begun_upper += 1,
-            Some(Side::Lower) => comparison.begun_lower += 1,
+            Some(Side::Upper) => comparison.started_upper += 1,
+            Some(Side::Lower) => comparison.started_lower += 1,
             None => return TuningSample::default(),
         }
-        comparison.at_work += 1;
+        comparison.in_progress += 1;
         TuningSample {
             sample: side.map(|side| (number, side)),
         }
     }
 
-    /// A request is over. `kind` is that of one that was answered and calls nothing; of others nothing is learnt.
-    pub fn end(&mut self, now: Now, began: TuningSample, kind: Option<u64>, took: Duration) {
-        let Some((number, side)) = began.sample else {
+    /// Records the end of a request. `kind` is set only for answered requests of a kind that makes no calls; all others
+    /// are ignored.
+    pub fn end(&mut self, now: Now, sample: TuningSample, kind: Option<u64>, took: Duration) {
+        let Some((number, side)) = sample.sample else {
             return;
         };
         let Some(comparison) = self.comparison.as_mut().filter(|_| number == self.number) else {
             return;
         };
-        comparison.at_work = comparison.at_work.saturating_sub(1);
+        comparison.in_progress = comparison.in_progress.saturating_sub(1);
         if let Some(kind) = kind {
             let (upper, lower) = comparison.by_kind.entry(kind).or_default();
             match side {
@@ -212,41 +208,42 @@
                 Side::Lower => lower.add(took),
             }
         }
-        if comparison.at_work == 0 && comparison.turn().is_none() {
+        if comparison.in_progress == 0 && comparison.next_side().is_none() {
             self.conclude(now);
         }
     }
 
     fn drop_overdue(&mut self, now: Now) {
-        let overdue = |comparison: &Comparison| now >= comparison.begun + LONGEST_COMPARISON;
+        let overdue = |comparison: &Comparison| now >= comparison.started_at + COMPARISON_TIMEOUT;
         if self.comparison.as_ref().is_some_and(overdue) {
             self.comparison = None;
-            self.next_at = now + PAUSE;
+            self.next_at = now + INITIAL_INTERVAL;
         }
     }
 
-    /// Begins to compare the limit with the nearest rung that is due.
-    fn compare(&mut self, now: Now) {
-        let others = (0..RUNGS.len()).filter(|other| self.slots_of(*other) != self.best_limit());
-        let due = others.filter(|other| self.due[*other].at <= now);
-        let Some(other) = due.min_by_key(|other| other.abs_diff(self.rung)) else {
+    /// Starts a comparison of the limit with the nearest candidate that is due.
+    fn start_comparison(&mut self, now: Now) {
+        let others =
+            (0..LIMIT_FRACTIONS.len()).filter(|other| self.slots_of(*other) != self.best_limit());
+        let due = others.filter(|other| self.schedule[*other].at <= now);
+        let Some(other) = due.min_by_key(|other| other.abs_diff(self.candidate)) else {
             return;
         };
-        let next = &mut self.due[other];
-        next.at = now + next.pause;
-        next.pause = (next.pause * 2).min(LONGEST_PAUSE.max(next.pause));
-        let (upper, lower) = (self.rung.min(other), self.rung.max(other));
-        let apart = self.more_slots(upper, lower) * LEAST_GAIN - 1.0;
-        let samples = SAMPLES * (NEIGHBOURS_APART / apart).powi(2);
+        let next = &mut self.schedule[other];
+        next.at = now + next.interval;
+        next.interval = (next.interval * 2).min(MAX_INTERVAL.max(next.interval));
+        let (upper, lower) = (self.candidate.min(other), self.candidate.max(other));
+        let min_slowdown = self.slots_ratio(upper, lower) * MIN_GAIN_FACTOR - 1.0;
+        let samples = MAX_SAMPLES * (NEIGHBOR_SLOWDOWN / min_slowdown).powi(2);
         self.number += 1;
         self.comparison = Some(Comparison {
             upper,
             lower,
-            begun: now,
-            samples: samples.clamp(LEAST_SAMPLES, SAMPLES) as u32,
-            begun_upper: 0,
-            begun_lower: 0,
-            at_work: 0,
+            started_at: now,
+            samples: samples.clamp(MIN_SAMPLES, MAX_SAMPLES) as u32,
+            started_upper: 0,
+            started_lower: 0,
+            in_progress: 0,
             by_kind: HashMap::new(),
         });
     }
@@ -256,46 +253,47 @@
             return;
         };
         let (upper, lower) = (comparison.upper, comparison.lower);
-        let fewer_are_better = comparison.slower() > self.more_slots(upper, lower) * LEAST_GAIN;
-        let better = if fewer_are_better { lower } else { upper };
-        self.next_at = now + PAUSE_AFTER;
-        if better != self.rung {
-            self.rung = better;
-            self.due = first_due(now, better);
+        let lower_is_better =
+            comparison.slowdown() > self.slots_ratio(upper, lower) * MIN_GAIN_FACTOR;
+        let better = if lower_is_better { lower } else { upper };
+        self.next_at = now + COMPARISON_DELAY;
+        if better != self.candidate {
+            self.candidate = better;
+            self.schedule = initial_schedule(now, better);
         }
     }
 
-    /// How many times as many slots the upper of two rungs has.
-    fn more_slots(&self, upper: usize, lower: usize) -> f64 {
+    /// The ratio of the upper candidate limit to the lower one.
+    fn slots_ratio(&self, upper: usize, lower: usize) -> f64 {
         f64::from(self.slots_of(upper)) / f64::from(self.slots_of(lower))
     }
 
-    fn slots_of(&self, rung: usize) -> u32 {
-        slots_of(self.slots, rung)
+    fn slots_of(&self, candidate: usize) -> u32 {
+        slots_of(self.slots, candidate)
     }
 }
 
-/// Neighbours of the limit are due at once; those further away later and less often, since a limit so far off costs
-/// more while it is tried.
-fn first_due(now: Now, rung: usize) -> [Due; RUNGS.len()] {
+/// Neighbors of the limit are due at once; distant candidates are due later and less often because trying them costs
+/// more throughput.
+fn initial_schedule(now: Now, candidate: usize) -> [Schedule; LIMIT_FRACTIONS.len()] {
     std::array::from_fn(|other| {
-        let away = other.abs_diff(rung).saturating_sub(1) as u32;
-        Due {
-            at: now + PAUSE * (away * away * 2),
-            pause: PAUSE * (1 + away * away * 2),
+        let distance = other.abs_diff(candidate).saturating_sub(1) as u32;
+        Schedule {
+            at: now + INITIAL_INTERVAL * (distance * distance * 2),
+            interval: INITIAL_INTERVAL * (1 + distance * distance * 2),
         }
     })
 }
 
-fn slots_of(slots: u32, rung: usize) -> u32 {
-    ((f64::from(slots) * RUNGS[rung]) as u32).max(1)
+fn slots_of(slots: u32, candidate: usize) -> u32 {
+    ((f64::from(slots) * LIMIT_FRACTIONS[candidate]) as u32).max(1)
 }
 
-/// Requests that begin beside more than so many belong to a rung.
-fn least_of(slots: u32, rung: usize) -> u32 {
-    let own = slots_of(slots, rung);
-    match RUNGS.get(rung + 1) {
-        Some(_) => slots_of(slots, rung + 1).min(own - 1),
+/// The exclusive lower bound of the requests in flight at which a request counts as a sample of a candidate.
+fn min_in_flight(slots: u32, candidate: usize) -> u32 {
+    let own = slots_of(slots, candidate);
+    match LIMIT_FRACTIONS.get(candidate + 1) {
+        Some(_) => slots_of(slots, candidate + 1).min(own - 1),
         None => own - own.div_ceil(8),
     }
 }
--- a/crates/sorrelturn-policy/src/learned.rs
+++ b/crates/sorrelturn-policy/src/learned.rs
@@ -1,4 +1,4 @@
-//! The threshold of a kind of request as an entry daemon learns it from answers.
+//! The shedding threshold of a request kind, as an entry daemon learns it from responses.
 
 use crate::Now;
 use sorrelturn_protocol::Priority;
@@ -7,36 +7,32 @@
     time::Duration,
 };
 
-/// So long a threshold stands without news; an entry sees few requests of a kind in a second.
-const HOLD_TIME: Duration = Duration::from_millis(300);
-/// The same of a level. In a large fleet an entry that refuses most of a kind has an answer of it about once a second:
-/// a level that falls between two answers lets in what fails deep. With 95 daemons, half as many of the critical
-/// requests do (8.8 to 4.3 in 100, `experiments/large-fleet.jsonc`). The end of an overload is told by answers all the same,
-/// since no level refuses all of a kind.
+/// How long a threshold stays unchanged without an update.
+const THRESHOLD_HOLD_TIME: Duration = Duration::from_millis(300);
+/// How long a shedding level stays unchanged without an update; an entry that refuses most requests receives few updates.
 const LEVEL_HOLD_TIME: Duration = Duration::from_millis(1_000);
-/// Then it falls by one step in this time, so that recovery is found by probes.
-const DECAY_TIME: Duration = Duration::from_millis(50);
-/// What one call without an answer adds before it is taken halfway: eight in a row refuse about half
-/// of a rank.
-const NO_ANSWER_STEP: u16 = 32;
-/// The first step; each further one without news is twice as large.
+/// After the hold time, the threshold falls by one step per interval, so that a few requests probe for recovery.
+const DECAY_INTERVAL: Duration = Duration::from_millis(50);
+/// Added to the threshold for a call without a response, before averaging.
+const NO_RESPONSE_STEP: u16 = 32;
+/// The first step of the decay. Steps of a threshold double, steps of a shedding level are equal.
 const DECAY_STEP: u64 = 16;
 
-/// Learns from answers, forgets by itself, and is read on the path of every request.
+/// A threshold that is updated by responses, decays without updates, and is read for every request.
 ///
-/// The value and its time share one atomic word. A lost update between two racing answers is
-/// harmless: the next answer brings the same news.
+/// The value and its timestamp share one atomic word. A lost update between concurrent responses is
+/// harmless because the next response repeats it.
 #[derive(Debug, Default)]
 pub struct LearnedThreshold {
-    /// The time in milliseconds above, the threshold in the lowest 16 bits.
+    /// The timestamp in milliseconds above the threshold in the lowest 16 bits.
     word: AtomicU64,
-    /// Whether it falls evenly and is taken over whole after a silence.
+    /// Whether this is a shedding level, which decays linearly and adopts the first update after a silence as it is.
     is_level: bool,
 }
 
 impl LearnedThreshold {
-    /// Learns a level of load. Where most requests are refused, answers are few and far between, and a
-    /// level that fell as fast as a threshold would let a burst in after each of them.
+    /// Creates a learned shedding level. It decays more slowly than a threshold because responses are rare while most
+    /// requests are refused, and a fast decay would admit a burst between them.
     pub fn for_shedding_level() -> Self {
         Self {
             word: AtomicU64::new(0),
@@ -44,11 +40,11 @@
         }
     }
 
-    /// Takes the threshold of an answer, halfway: the instances of a service differ, and their
-    /// mean is what the next request will meet.
+    /// Averages the current threshold with that of a response, since the instances of a service differ.
     pub fn observe(&self, now: Now, announced: Priority) {
         let sum = u32::from(self.current(now).0) + u32::from(announced.0);
-        let next = if self.is_level && self.silent_ms(now) >= HOLD_TIME.as_millis() as u64 {
+        let next = if self.is_level && self.silent_ms(now) >= THRESHOLD_HOLD_TIME.as_millis() as u64
+        {
             u32::from(announced.0)
         } else if announced == Priority::LOWEST {
             sum / 2
@@ -59,36 +55,38 @@
         self.word.store(word, Ordering::Relaxed);
     }
 
-    /// A call had no answer in time: whoever should have told the threshold is too busy for it.
-    pub fn observe_no_answer(&self, now: Now) {
-        let raised = self.current(now).0.saturating_add(NO_ANSWER_STEP);
+    /// Raises the threshold after a call without a timely response, which suggests overload.
+    pub fn observe_no_response(&self, now: Now) {
+        let raised = self.current(now).0.saturating_add(NO_RESPONSE_STEP);
         self.observe(now, Priority(raised.min(Priority::HIGHEST.0)));
     }
 
-    /// The threshold now.
+    /// The current threshold.
     pub fn current(&self, now: Now) -> Priority {
-        let learnt = self.word.load(Ordering::Relaxed) & 0xFFFF;
-        if learnt == 0 {
+        let threshold = self.word.load(Ordering::Relaxed) & 0xFFFF;
+        if threshold == 0 {
             return Priority::LOWEST;
         }
-        let held = if self.is_level {
+        let hold_time = if self.is_level {
             LEVEL_HOLD_TIME
         } else {
-            HOLD_TIME
+            THRESHOLD_HOLD_TIME
         };
-        let falling_ms = self.silent_ms(now).saturating_sub(held.as_millis() as u64);
-        let steps = falling_ms / DECAY_TIME.as_millis() as u64;
-        let fallen = if self.is_level {
+        let decaying_ms = self
+            .silent_ms(now)
+            .saturating_sub(hold_time.as_millis() as u64);
+        let steps = decaying_ms / DECAY_INTERVAL.as_millis() as u64;
+        let decay = if self.is_level {
             DECAY_STEP * steps
         } else {
             DECAY_STEP * ((1 << steps.min(16)) - 1)
         };
-        Priority(learnt.saturating_sub(fallen) as u16)
+        Priority(threshold.saturating_sub(decay) as u16)
     }
 
-    /// How long nothing was learnt.
+    /// The time since the last update.
     fn silent_ms(&self, now: Now) -> u64 {
-        let learnt_at_ms = self.word.load(Ordering::Relaxed) >> 16;
-        (now.as_millis() as u64).saturating_sub(learnt_at_ms)
+        let updated_at_ms = self.word.load(Ordering::Relaxed) >> 16;
+        (now.as_millis() as u64).saturating_sub(updated_at_ms)
     }
 }
--- a/crates/sorrelturn-policy/tests/admission.rs
+++ b/crates/sorrelturn-policy/tests/admission.rs
@@ -1,4 +1,5 @@
-//! The gate sheds the least important first, in every schedule.
+//! Guards against gates that shed important requests before less important ones, and against limits that
+//! don't adapt.
 
 use proptest::prelude::*;
 use sorrelturn_policy::*;
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn the_limit_falls_when_the_backend_server_sheds_and_comes_back() {
+fn the_limit_falls_when_the_backend_server_sheds_and_recovers() {
     let mut limit = AdaptiveLimit::new(100, Duration::ZERO, ms(0));
     for at in 0..200 {
         limit.observe(ms(at * 10), Outcome::Overloaded, ms(5), 100);
@@ -122,32 +123,32 @@
     assert_eq!(limit.get(ms(2_000)), 20);
 }
 
-/// Arrivals at three times the capacity, importance mixed; returns who was refused and admitted.
+/// Sends three times the capacity at random importance; returns the admitted and refused counts.
 fn overload(gate: &mut Gate, rng: &mut fastrand::Rng) -> HashMap<Importance, (u64, u64)> {
-    let mut running: Vec<(u64, u64)> = Vec::new();
+    let mut in_progress: Vec<(u64, u64)> = Vec::new();
     let mut importance_of = HashMap::new();
     let mut counts: HashMap<Importance, (u64, u64)> = HashMap::new();
     for now in 0..5_000 {
-        let done = running.iter().filter(|(_, end)| *end == now).count();
-        running.retain(|(_, end)| *end != now);
+        let done = in_progress.iter().filter(|(_, end)| *end == now).count();
+        in_progress.retain(|(_, end)| *end != now);
         for _ in 0..done {
             let released = gate.finish(ms(now), Outcome::Answered, ms(20));
             for id in released.admitted {
-                running.push((id, now + 20));
+                in_progress.push((id, now + 20));
                 counts.entry(importance_of[&id]).or_default().0 += 1;
             }
             for (id, _) in released.refused {
                 counts.entry(importance_of[&id]).or_default().1 += 1;
             }
         }
-        for part in 0..3 {
-            let id = now * 3 + part;
+        for offset in 0..3 {
+            let id = now * 3 + offset;
             let importance = Importance::ALL[rng.usize(..4)];
             importance_of.insert(id, importance);
             let (decision, pushed_out) = gate.arrive(ms(now), &arrival(id, importance, rng.u8(..)));
             match decision {
                 Decision::Admit => {
-                    running.push((id, now + 20));
+                    in_progress.push((id, now + 20));
                     counts.entry(importance).or_default().0 += 1;
                 }
                 Decision::Refuse(_) => counts.entry(importance).or_default().1 += 1,
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn a_learned_threshold_is_forgotten_without_news() {
+fn a_learned_threshold_is_forgotten_without_updates() {
     let learned = LearnedThreshold::default();
     for at in 0..10 {
         learned.observe(ms(at), Priority(600));
@@ -205,8 +206,8 @@
         let mut gate = gate(3, 4);
         let mut now = 0;
         let mut waiting: HashMap<u64, Arrival> = HashMap::new();
-        for (id, (importance, bucket, finishes, pass)) in steps.into_iter().enumerate() {
-            now += pass;
+        for (id, (importance, bucket, finishes, elapsed)) in steps.into_iter().enumerate() {
+            now += elapsed;
             if finishes && gate.in_flight() > 0 {
                 for id in gate.finish(ms(now), Outcome::Answered, ms(1)).admitted {
                     waiting.remove(&id);
--- a/crates/sorrelturn-policy/tests/allocations.rs
+++ b/crates/sorrelturn-policy/tests/allocations.rs
@@ -1,7 +1,5 @@
-//! Regression bounds that are the same in every run: heap blocks for each decision.
-//!
-//! The counter sees the whole process, so this file has a `main` of its own instead of the default
-//! harness, whose waiting thread allocates at a moment that the scheduler picks.
+//! Guards against new heap allocations on the decision path. Uses its own `main` because the default harness
+//! allocates on another thread while the process-wide counter runs.
 
 use sorrelturn_policy::*;
 use sorrelturn_protocol::{Importance, Incarnation, Priority};
@@ -12,9 +10,9 @@
 
 const ROUNDS: u64 = 1_000;
 
-/// The heap blocks that `f` allocates for each round.
+/// Returns the heap blocks that `f` allocates per round.
 fn blocks_per_round(mut f: impl FnMut(u64)) -> f64 {
-    // Once before, so that what grows once has grown.
+    // Excludes one-time allocations.
     f(0);
     let before = dhat::HeapStats::get().total_blocks;
     for round in 1..=ROUNDS {
@@ -51,7 +49,7 @@
         assert_eq!(gate.arrive(now, &arrival), (Decision::Admit, None));
         gate.finish(now, Outcome::Answered, Duration::from_millis(1));
     });
-    assert!(idle <= 0.0, "an admission with room: {idle} blocks");
+    assert!(idle <= 0.0, "an admission with a free slot: {idle} blocks");
 
     let instances: Vec<Instance> = (0..36)
         .map(|id| Instance::new(Incarnation(id), true, Duration::ZERO, Duration::ZERO))
--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -127,7 +127,7 @@
 fn candidate(kind: &str, same_end: bool, count: u32) -> Candidate {
     Candidate {
         kind: kind.to_owned(),
-        same_end,
+        has_same_deadline: same_end,
         count,
     }
 }
@@ -187,7 +187,7 @@
     let mut graph = CallGraph::default();
     let made_by = |kind: &str| Candidate {
         kind: kind.to_owned(),
-        same_end: true,
+        has_same_deadline: true,
         count: 1,
     };
     graph.record_call("call", &[made_by("caller")]);
@@ -268,7 +268,7 @@
     let learned = LearnedThreshold::default();
     let now = Duration::from_secs(1);
     for _ in 0..8 {
-        learned.observe_no_answer(now);
+        learned.observe_no_response(now);
     }
     let raised = learned.current(now);
     assert!(raised.0 > LEVEL_STEPS / 4, "{raised:?}");
