--- a/crates/sorrelturn-policy/src/call_graph.rs
+++ b/crates/sorrelturn-policy/src/call_graph.rs
@@ -1,8 +1,8 @@
 //! Learns which request kinds call which, at the daemon of the backend server that makes the calls.
 //! See `docs/design/entry-admission.md`.
 //!
-//! A call doesn't name its parent. Known are the requests in progress at the backend server when it makes the
-//! call, and that a call ends no later than its parent. Each call is credited to the requests that could have
+//! A call doesn't name its parent, but the daemon knows the requests in progress at the backend server when the
+//! call is made, and a call ends no later than its parent. Each call is credited to the requests that could have
 //! made it, in proportion to the estimated call rate of their kinds per time in progress. Over many calls, the
 //! credit converges to the actual callers. Kinds with long requests receive less credit per call because they are
 //! often in progress by chance.
--- a/crates/sorrelturn-policy/src/concurrency_tuner.rs
+++ b/crates/sorrelturn-policy/src/concurrency_tuner.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The ratio of request durations on the upper side to those on the lower side. Durations are relative to the mean of
-    /// their kind, and a kind weighs as much as its smaller sample count, so that a few long requests don't dominate.
+    /// The ratio of request durations on the upper side to those on the lower side. Durations are relative to the mean
+    /// of their kind, and a kind weighs as much as its smaller sample count, so that a few long requests don't dominate.
     fn slowdown(&self) -> f64 {
         let (mut with_upper, mut with_lower) = (0.0, 0.0);
         for (upper, lower) in self.by_kind.values() {
@@ -119,6 +119,7 @@
 #[derive(Clone, Debug)]
 pub struct ConcurrencyTuner {
     slots: u32,
+    /// The index of the best limit in [`LIMIT_FRACTIONS`].
     candidate: usize,
     number: u32,
     comparison: Option<Comparison>,
--- a/crates/sorrelturn-policy/src/learned.rs
+++ b/crates/sorrelturn-policy/src/learned.rs
@@ -7,9 +7,10 @@
     time::Duration,
 };
 
-/// How long a threshold stays unchanged without an update.
+/// How long a threshold stays unchanged without an update, and the silence after which a shedding level adopts an
+/// update as it is.
 const THRESHOLD_HOLD_TIME: Duration = Duration::from_millis(300);
-/// How long a shedding level stays unchanged without an update; an entry that refuses most requests receives few updates.
+/// How long a shedding level stays unchanged without an update; an entry that refuses most requests receives few.
 const LEVEL_HOLD_TIME: Duration = Duration::from_millis(1_000);
 /// After the hold time, the threshold falls by one step per interval, so that a few requests probe for recovery.
 const DECAY_INTERVAL: Duration = Duration::from_millis(50);
