--- a/crates/sorrelturn-policy/src/first_tries.rs
+++ b/crates/sorrelturn-policy/src/first_tries.rs
@@ -1,64 +1,60 @@
-//! Whether a request is a caller's first try. See `docs/design/entry-admission.md`.
+//! Detects retries by the time that is left to a request. See `docs/design/entry-admission.md`.
 //!
-//! A caller tells how long it will wait. Where the callers of a kind mostly begin with the same
-//! time, one that has less has spent some of it: it was refused or has failed before.
+//! A request carries the time left until its deadline. Where callers of a kind mostly start with the same timeout,
+//! a request with less time left is a retry after a refusal or failure.
 
-/// Times that differ by less are the same one: it took that long to send the request.
-const SAME_TIME_MS: u32 = 10;
-/// So many of the last requests are remembered.
-const KEPT: u32 = 32;
-/// Nothing is concluded unless so many of them had the longest time.
-const LEAST_FULL: u32 = KEPT / 3;
+/// Tolerance between equal timeouts, for the time that it takes to send a request.
+const TIMEOUT_TOLERANCE_MS: u32 = 10;
+/// The number of recent requests that are remembered.
+const RECENT_REQUESTS: u32 = 32;
+/// The minimum number of recent requests with the full timeout for a retry to be detected.
+const MIN_FULL_TIMEOUTS: u32 = RECENT_REQUESTS / 3;
 
-/// Requests of the lowest rank that were tried before are shed as if they were so many times further down in it.
-/// With 4, 1 in 100 more of them are served with one of three instances left, and 1 in 100 fewer at the first try.
-const TRIED_BEFORE_DIVISOR: u8 = 8;
-/// The same of higher ranks, whose callers lose most by a second refusal. With one of three instances left, 12.0 in
-/// 100 critical requests aren't served in the end (8: 13.1) and 82.2 are served in good time at the first try (8:
-/// 83.2); with 2 they are 9.5 and 77.8. Both by `sorrelturn-bench returns`.
-const TRIED_BEFORE_DIVISOR_OF_HIGHER_RANKS: u8 = 4;
+/// Divides the bucket of retries in the lowest rank.
+const RETRY_BUCKET_DIVISOR: u8 = 8;
+/// Divides the bucket of retries in higher ranks, whose callers lose more by a second refusal.
+const HIGHER_RANK_RETRY_BUCKET_DIVISOR: u8 = 4;
 
-/// The place in its rank (0 to 255, lowest first) by which a request is shed that was tried before; ranks count from
-/// 0, the lowest. Whoever is refused anyway is refused at the second try rather than one more at the first, since as
-/// many are served and more of them at once.
-pub fn bucket_of_return(bucket: u8, rank: usize) -> u8 {
+/// Returns the priority bucket of a retry within its rank, where bucket 0 is shed first and rank 0 is the lowest.
+///
+/// Retries are shed before first attempts, so that more requests succeed at their first attempt.
+pub fn bucket_for_retry(bucket: u8, rank: usize) -> u8 {
     match rank {
-        0 => bucket / TRIED_BEFORE_DIVISOR,
-        _ => bucket / TRIED_BEFORE_DIVISOR_OF_HIGHER_RANKS,
+        0 => bucket / RETRY_BUCKET_DIVISOR,
+        _ => bucket / HIGHER_RANK_RETRY_BUCKET_DIVISOR,
     }
 }
 
-/// The place in its rank by which a request is shed that must not run twice, where others of its rank may. Its caller
-/// loses more by a refusal: half of the rank is refused before the first of them. With one service that binds and answers
-/// bookings itself, 80 instead of 61 in 100 bookings are served in time, and 44.0 instead of 44.6 in 100 of the reads of
-/// their rank, which make nine in ten of it (`experiments/large-fleet.jsonc`).
-pub fn bucket_of_once(bucket: u8) -> u8 {
+/// Returns the priority bucket of an at-most-once request within a rank that also has repeatable requests.
+///
+/// It lies in the upper half of the rank, because a refusal costs the callers of at-most-once requests more.
+pub fn bucket_for_at_most_once(bucket: u8) -> u8 {
     u8::MAX - (u8::MAX - bucket) / 2
 }
 
-/// The times that callers of one kind begin with.
+/// Learns the timeout of the callers of one kind and detects retries.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstTries {
-    full_ms: u32,
-    /// One bit for each of the last requests: whether it had the full time.
-    last: u32,
+pub struct RetryDetector {
+    full_timeout_ms: u32,
+    /// One bit for each recent request, set if it had the full timeout.
+    recent: u32,
 }
 
-impl FirstTries {
-    /// A request came with this much time left; returns whether it was tried before.
-    pub fn saw(&mut self, left_ms: u32) -> bool {
-        if left_ms > self.full_ms {
-            if left_ms > self.full_ms + SAME_TIME_MS {
-                self.last = 0;
+impl RetryDetector {
+    /// Records a request with `left_ms` until its deadline; returns whether it is a retry.
+    pub fn observe(&mut self, left_ms: u32) -> bool {
+        if left_ms > self.full_timeout_ms {
+            if left_ms > self.full_timeout_ms + TIMEOUT_TOLERANCE_MS {
+                self.recent = 0;
             }
-            self.full_ms = left_ms;
+            self.full_timeout_ms = left_ms;
         }
-        let has_full = left_ms + SAME_TIME_MS > self.full_ms;
-        self.last = self.last << 1 | u32::from(has_full);
-        if self.last == 0 {
-            // Nobody has so much time any more.
-            self.full_ms = left_ms;
+        let has_full_timeout = left_ms + TIMEOUT_TOLERANCE_MS > self.full_timeout_ms;
+        self.recent = self.recent << 1 | u32::from(has_full_timeout);
+        if self.recent == 0 {
+            // No recent request had the full timeout, so a shorter one replaces it.
+            self.full_timeout_ms = left_ms;
         }
-        !has_full && self.last.count_ones() >= LEAST_FULL
+        !has_full_timeout && self.recent.count_ones() >= MIN_FULL_TIMEOUTS
     }
 }
--- a/crates/sorrelturn-policy/src/lib.rs
+++ b/crates/sorrelturn-policy/src/lib.rs
@@ -1,9 +1,9 @@
 #![doc = include_str!("../README.md")]
 
 mod attempts;
-mod best_slots;
 mod bucket;
 mod call_graph;
+mod concurrency_tuner;
 mod first_tries;
 mod freshness;
 mod gate;
@@ -21,11 +21,11 @@
 mod routing;
 mod worked_on;
 
-pub use attempts::{AttemptPool, first_share};
-pub use best_slots::{Began, BestSlots};
+pub use attempts::{AttemptPool, first_attempt_share};
 pub use bucket::{RateBucket, RetryBucket};
 pub use call_graph::{CallGraph, Candidate};
-pub use first_tries::{FirstTries, bucket_of_once, bucket_of_return};
+pub use concurrency_tuner::{ConcurrencyTuner, TuningSample};
+pub use first_tries::{RetryDetector, bucket_for_at_most_once, bucket_for_retry};
 pub use freshness::Freshness;
 pub use gate::{Arrival, Decision, Gate, GateConfig, Released};
 pub use learned::LearnedThreshold;
@@ -42,5 +42,5 @@
 pub use routing::{Instance, InstanceReport, choose};
 pub use worked_on::WorkedOn;
 
-/// A point in time: what has passed since the process started, the time included that its VM was suspended.
+/// A point in time: the time since the process started, including time that its VM was suspended.
 pub type Now = std::time::Duration;
--- a/crates/sorrelturn-policy/tests/allocations.rs
+++ b/crates/sorrelturn-policy/tests/allocations.rs
@@ -1,7 +1,5 @@
-//! Regression bounds that are the same in every run: heap blocks for each decision.
-//!
-//! The counter sees the whole process, so this file has a `main` of its own instead of the default
-//! harness, whose waiting thread allocates at a moment that the scheduler picks.
+//! Guards against new heap allocations on the decision path. Uses its own `main` because the default harness
+//! allocates on another thread while the process-wide counter runs.
 
 use sorrelturn_policy::*;
 use sorrelturn_protocol::{Importance, Incarnation, Priority};
@@ -12,9 +10,9 @@
 
 const ROUNDS: u64 = 1_000;
 
-/// The heap blocks that `f` allocates for each round.
+/// Returns the heap blocks that `f` allocates per round.
 fn blocks_per_round(mut f: impl FnMut(u64)) -> f64 {
-    // Once before, so that what grows once has grown.
+    // Excludes one-time allocations.
     f(0);
     let before = dhat::HeapStats::get().total_blocks;
     for round in 1..=ROUNDS {
@@ -34,9 +32,9 @@
     let cfg = GateConfig {
         slots: 20,
         queue_len: 20,
-        queue_wait: Duration::from_millis(100),
+        queue_timeout: Duration::from_millis(100),
         cold_start: Duration::ZERO,
-        call_wait: None,
+        call_queue_timeout: None,
     };
     let mut gate = Gate::new(cfg, Duration::ZERO);
     let idle = blocks_per_round(|round| {
@@ -44,14 +42,14 @@
         let arrival = Arrival {
             id: round,
             priority: Priority::new(Importance::Normal, round as u8),
-            holds_work: false,
+            is_nested_call: false,
             deadline: now + Duration::from_secs(1),
             level: 0,
         };
         assert_eq!(gate.arrive(now, &arrival), (Decision::Admit, None));
         gate.finish(now, Outcome::Answered, Duration::from_millis(1));
     });
-    assert!(idle <= 0.0, "an admission with room: {idle} blocks");
+    assert!(idle <= 0.0, "an admission with a free slot: {idle} blocks");
 
     let instances: Vec<Instance> = (0..36)
         .map(|id| Instance::new(Incarnation(id), true, Duration::ZERO, Duration::ZERO))
