--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -152,8 +152,8 @@
             repeatable: true,
             reroutes: (round % 3) as u32,
             attempts_left: (round % 5) as u32,
-            need: 2,
-            time_left: true,
+            attempts_needed: 2,
+            has_time_left: true,
         };
         black_box(next_step(black_box(&attempt)));
     }
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -3,8 +3,9 @@
 use super::file::{Experiment, Mechanism};
 use fastrand::Rng;
 use sorrelturn_policy::{
-    CallGraph, Candidate, FirstTries, Gate, GateConfig, Instance, InstanceReport, LearnedThreshold,
-    Now, Origins, Refusing, RetryAfter, RetryWindow, WorkedOn, bucket_of_return, choose, refuses,
+    CallGraph, Candidate, FirstTries, Gate, GateConfig, InProgressRequests, Instance,
+    InstanceReport, LearnedThreshold, Now, Origins, RefusalStreak, RetryAfter, RetryWindow,
+    bucket_of_return, choose, refuses,
 };
 use sorrelturn_protocol::{Importance, Incarnation, Priority};
 use std::{
@@ -25,7 +26,7 @@
 struct KindState {
     threshold: LearnedThreshold,
     first_tries: FirstTries,
-    refusing: Refusing,
+    refusing: RefusalStreak,
     /// What answers told of it: whether its requests are calls.
     is_call: bool,
     was_answered: bool,
@@ -56,7 +57,7 @@
     /// When its processor is free.
     free_at: Now,
     /// What the backend server works on.
-    pub(super) worked_on: WorkedOn,
+    pub(super) worked_on: InProgressRequests,
     /// The same one by one, by the ids of the runs.
     at_work: BTreeMap<u64, AtWork>,
     graph: CallGraph,
@@ -117,7 +118,7 @@
                 .collect(),
             gate: Gate::new(cfg, now),
             free_at: now,
-            worked_on: WorkedOn::default(),
+            worked_on: InProgressRequests::default(),
             at_work: BTreeMap::new(),
             graph: CallGraph::default(),
             origins: Origins::default(),
@@ -180,7 +181,7 @@
 
     /// A request of a kind came from the VM of a service.
     pub(super) fn comes_from(&mut self, name: &str, service: &str) {
-        self.origins.saw(name, service);
+        self.origins.record(name, service);
     }
 
     /// Whether requests of a kind are calls, as seen where they are answered.
@@ -259,7 +260,7 @@
         rng: &mut Rng,
     ) -> Duration {
         if experiment.is_on(Mechanism::ReturnTime) {
-            return self.kinds[kind].refusing.refused(now, rng);
+            return self.kinds[kind].refusing.record_refusal(now, rng);
         }
         RetryAfter::compute(None, rng)
     }
@@ -304,7 +305,7 @@
 
     /// A call is sent to a service for the first time; the part of those that may make it is run once more.
     pub(super) fn sends(&mut self, now: Now, service: usize, repeated: f64) {
-        self.retries[service].sent_for_repeat(now, repeated);
+        self.retries[service].record_call_of_repeat(now, repeated);
     }
 
     /// Takes the price of another sending to a service, if it is there.
@@ -318,7 +319,7 @@
         Self {
             threshold: LearnedThreshold::of_level(),
             first_tries: FirstTries::default(),
-            refusing: Refusing::default(),
+            refusing: RefusalStreak::default(),
             is_call: false,
             was_answered: false,
         }
--- a/crates/sorrelturn-bench/src/experiment/file.rs
+++ b/crates/sorrelturn-bench/src/experiment/file.rs
@@ -3,7 +3,7 @@
 use displaydoc::Display;
 use json_comments::StripComments;
 use serde::Deserialize;
-use sorrelturn_policy::CRASHES_TO_HOLD;
+use sorrelturn_policy::CRASHES_TO_QUARANTINE;
 use sorrelturn_protocol::Importance;
 use std::{collections::BTreeMap, io::Read, path::Path};
 
@@ -476,7 +476,7 @@
 }
 
 fn default_crashes_to_hold() -> usize {
-    CRASHES_TO_HOLD
+    CRASHES_TO_QUARANTINE
 }
 
 fn default_calls() -> u32 {
--- a/crates/sorrelturn-bench/src/experiment/play/crashes.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/crashes.rs
@@ -43,7 +43,7 @@
 
     /// Whether a request is held by all who have heard of the crashes.
     pub(super) fn is_held(&self, request: RequestFingerprint) -> bool {
-        self.experiment.is_on(Mechanism::Quarantine) && self.quarantine.holds(request)
+        self.experiment.is_on(Mechanism::Quarantine) && self.quarantine.is_quarantined(request)
     }
 
     pub(super) fn is_away(&self, daemon: usize) -> bool {
@@ -81,6 +81,6 @@
     }
 
     pub(super) fn heard(&mut self, news: &CrashNews) {
-        self.quarantine.hear(self.now, news);
+        self.quarantine.receive(self.now, news);
     }
 }
--- a/crates/sorrelturn-bench/src/experiment/play/forwarder.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/forwarder.rs
@@ -3,7 +3,7 @@
 use super::{Call, Ended, Event, FAILS_IN, Play, ms};
 use crate::experiment::daemon::{Told, incarnation};
 use crate::experiment::file::Mechanism;
-use sorrelturn_policy::{Attempt, InstanceReport, Step, after_turned_away, next_step};
+use sorrelturn_policy::{Attempt, InstanceReport, Step, next_step, step_after_backend_refusal};
 use sorrelturn_protocol::{Refusal, Verdict};
 
 impl Play<'_> {
@@ -76,7 +76,7 @@
         let daemon = &mut self.daemons[call.from];
         let load = told.map_or(0, |told| told.load);
         let report = match ended {
-            Ended::NotRun(Refusal::BackendRefused) => InstanceReport::Erred,
+            Ended::NotRun(Refusal::BackendRefused) => InstanceReport::BackendError,
             Ended::NotRun(Refusal::BackendUnreachable) => InstanceReport::Unreachable,
             Ended::TooLate | Ended::Crashed => InstanceReport::Failed,
             _ => InstanceReport::Answered { load },
@@ -123,11 +123,11 @@
             repeatable: self.kinds[call.kind].repeatable,
             reroutes: call.tries.reroutes,
             attempts_left: call.tries.attempts_left,
-            need: 1,
-            time_left,
+            attempts_needed: 1,
+            has_time_left: time_left,
         });
         let step = if reached {
-            after_turned_away(call.tries.turned_away, time_left)
+            step_after_backend_refusal(call.tries.turned_away, time_left)
         } else {
             decided
         };
--- a/crates/sorrelturn-bench/src/experiment/play/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/mod.rs
@@ -302,7 +302,7 @@
             next_id: 0,
             taken_from: Duration::ZERO,
             away_until: Vec::new(),
-            quarantine: Quarantine::holding_after(experiment.crashes_to_hold),
+            quarantine: Quarantine::with_crash_threshold(experiment.crashes_to_hold),
             outcome,
         };
         play.away_until = vec![Duration::ZERO; play.site.daemons];
--- a/crates/sorrelturn-bench/src/experiment/play/owner.rs
+++ b/crates/sorrelturn-bench/src/experiment/play/owner.rs
@@ -175,7 +175,7 @@
             bucket: self.rng.u8(..),
             level: self.daemons[run.daemon].worked_on.mean_level(),
             repeated: run.repeated,
-            for_repeat: self.daemons[run.daemon].worked_on.repeated_part(),
+            for_repeat: self.daemons[run.daemon].worked_on.repeated_fraction(),
             deadline: call.deadline.min(self.now + self.kinds[next].deadline),
             tries: Tries::default(),
         };
--- a/crates/sorrelturn-bench/src/returns.rs
+++ b/crates/sorrelturn-bench/src/returns.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use sorrelturn_policy::{
-    Arrival, Decision, FirstTries, Gate, GateConfig, LearnedThreshold, Now, Outcome, Refusing,
+    Arrival, Decision, FirstTries, Gate, GateConfig, LearnedThreshold, Now, Outcome, RefusalStreak,
     bucket_of_return, refuses,
 };
 use sorrelturn_protocol::{Importance, Priority};
@@ -157,8 +157,8 @@
 pub const PRODUCT: ReturnWay = ReturnWay {
     name: "the product's",
     rule: || {
-        let mut refusing = Refusing::default();
-        Box::new(move |refused, rng| refusing.refused(refused.now, rng))
+        let mut refusing = RefusalStreak::default();
+        Box::new(move |refused, rng| refusing.record_refusal(refused.now, rng))
     },
     order: bucket_of_return,
 };
--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -16,7 +16,7 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use smol::Timer;
 use sorrelturn_platform::http::exchange;
-use sorrelturn_policy::Heard;
+use sorrelturn_policy::AnnouncementEffect;
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{sync::Arc, time::Duration};
 
@@ -94,11 +94,15 @@
 async fn take(node: &Arc<Node>, routed: &Routed, news: Announcement, slots: u32) -> Response<Body> {
     let leaves = news.state != BackendState::Ready;
     match heard(node, routed, news) {
-        Heard::Foreign => return status(StatusCode::BAD_REQUEST),
+        AnnouncementEffect::Foreign => return status(StatusCode::BAD_REQUEST),
         // An acknowledgement would bind a run that nothing follows for.
-        Heard::Doubtful if leaves => return status(StatusCode::SERVICE_UNAVAILABLE),
-        Heard::Late | Heard::Doubtful => return accepted(),
-        Heard::Known | Heard::NowReady | Heard::NowLeaving => {}
+        AnnouncementEffect::Unconfirmed if leaves => {
+            return status(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        AnnouncementEffect::Outdated | AnnouncementEffect::Unconfirmed => return accepted(),
+        AnnouncementEffect::NoChange
+        | AnnouncementEffect::NowReady
+        | AnnouncementEffect::NowLeaving => {}
     }
     heard_slots(node, routed, slots);
     if leaves {
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -10,7 +10,9 @@
 };
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use sorrelturn_bundle::Bundle;
-use sorrelturn_policy::{CallGraph, GateConfig, Heard, LeavingCause, Origins, Presence};
+use sorrelturn_policy::{
+    AnnouncementEffect, CallGraph, GateConfig, LeavingCause, Origins, Presence,
+};
 use sorrelturn_protocol::{Announcement, BackendState};
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -154,7 +156,7 @@
 }
 
 /// Takes an announcement; returns what followed from it.
-pub(crate) fn heard(node: &Arc<Node>, routed: &Routed, news: Announcement) -> Heard {
+pub(crate) fn heard(node: &Arc<Node>, routed: &Routed, news: Announcement) -> AnnouncementEffect {
     let fields = vec![
         Field::new("backend", &news.id),
         Field::new("born", news.born.unwrap_or_default()),
@@ -162,19 +164,23 @@
         Field::new("sequence", news.sequence),
     ];
     let before = routed.current();
-    let heard = lock(&routed.presence).hear(node.now(), news);
+    let heard = lock(&routed.presence).receive(node.now(), news);
     match heard {
-        Heard::NowReady => {
+        AnnouncementEffect::NowReady => {
             node.note(&events::BACKEND_READY, fields);
             note_replaced(node, routed, before.as_ref());
             takes_work(node, routed);
         }
-        Heard::NowLeaving => {
+        AnnouncementEffect::NowLeaving => {
             node.note(&events::BACKEND_LEAVING, fields);
             takes_no_work(node, routed);
         }
-        Heard::Known | Heard::Late | Heard::Doubtful => {}
-        Heard::Foreign => note_foreign(node, routed, "it doesn't tell when its run started"),
+        AnnouncementEffect::NoChange
+        | AnnouncementEffect::Outdated
+        | AnnouncementEffect::Unconfirmed => {}
+        AnnouncementEffect::Foreign => {
+            note_foreign(node, routed, "it doesn't tell when its run started")
+        }
     }
     heard
 }
@@ -186,7 +192,7 @@
         return;
     };
     let before = routed.current();
-    if lock(&routed.presence).answered_as(node.now(), id) {
+    if lock(&routed.presence).record_answer_from(node.now(), id) {
         note_replaced(node, routed, before.as_ref());
         let fields = vec![Field::new("backend", id), Field::new("state", "answered")];
         node.note(&events::BACKEND_READY, fields);
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -5,7 +5,7 @@
     Bundle, CallerEntry, KindEntry, SectionBytes, SignedManifest, WorkspaceEntry,
 };
 use sorrelturn_policy::{
-    FirstTries, LearnedThreshold, Now, RateBucket, Refusing, RetryBucket, RetryWindow,
+    FirstTries, LearnedThreshold, Now, RateBucket, RefusalStreak, RetryBucket, RetryWindow,
 };
 use sorrelturn_protocol::{CallerId, Importance, Priority};
 use std::{
@@ -105,7 +105,7 @@
     /// How much time callers begin with.
     pub(crate) first_tries: Mutex<FirstTries>,
     /// How long this daemon has been refusing them as the entry.
-    pub(crate) refusing: Mutex<Refusing>,
+    pub(crate) refusing: Mutex<RefusalStreak>,
 }
 
 impl InForce {
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -5,7 +5,7 @@
     node::{Node, lock},
     store::quarantine,
 };
-use sorrelturn_policy::{Learnt, Now, Quarantine};
+use sorrelturn_policy::{Now, Quarantine, QuarantineUpdate};
 use sorrelturn_protocol::{
     Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint, RequestNames,
 };
@@ -56,21 +56,21 @@
         let quarantine = lock(&self.quarantine);
         let held = request
             .each()
-            .filter_map(|name| quarantine.held_for(now, name));
+            .filter_map(|name| quarantine.remaining_quarantine(now, name));
         held.max()
     }
 
     /// A sum over all that is known by now; daemons with equal sums know the same.
     pub(crate) fn sum(&self, now: Now) -> u64 {
         let mut quarantine = lock(&self.quarantine);
-        quarantine.forget_old(now);
+        quarantine.remove_expired(now);
         self.any.store(!quarantine.is_empty(), Ordering::Relaxed);
-        quarantine.sum()
+        quarantine.checksum()
     }
 
     /// All that is known.
     pub(crate) fn news(&self, now: Now) -> CrashNews {
-        lock(&self.quarantine).news(now)
+        lock(&self.quarantine).snapshot(now)
     }
 
     fn place(&self, request: RequestFingerprint) -> &AtomicU64 {
@@ -97,28 +97,28 @@
     let now = node.now();
     let suspects = &node.suspects;
     let mut quarantine = lock(&suspects.quarantine);
-    let Learnt {
-        mut unknown,
-        mut held,
-    } = quarantine.hear(now, news);
+    let QuarantineUpdate {
+        mut new_reports,
+        mut quarantined,
+    } = quarantine.receive(now, news);
     suspects
         .any
         .store(!quarantine.is_empty(), Ordering::Relaxed);
     // Who has seen it run knows better than those who have seen it at work in crashes.
-    let innocent: Vec<RequestFingerprint> = held
+    let innocent: Vec<RequestFingerprint> = quarantined
         .extract_if(.., |request| suspects.has_run(*request))
         .filter(|request| quarantine.clear(now, *request))
         .collect();
-    let proof = quarantine.proof(now, &held);
+    let proof = quarantine.evidence_for(now, &quarantined);
     drop(quarantine);
-    note(node, &events::REQUESTS_HELD, &held);
+    note(node, &events::REQUESTS_HELD, &quarantined);
     note(node, &events::REQUESTS_CLEARED, &innocent);
     save_if_own(node, proof);
-    unknown
+    new_reports
         .cleared
         .extend(innocent.into_iter().map(just_cleared));
-    if !unknown.is_empty() {
-        gossip::tell_of_crashes(node, unknown);
+    if !new_reports.is_empty() {
+        gossip::tell_of_crashes(node, new_reports);
     }
 }
 
@@ -144,7 +144,7 @@
     let mut quarantine = lock(&suspects.quarantine);
     let cleared: Vec<RequestFingerprint> = request
         .each()
-        .filter(|name| quarantine.holds(*name) && quarantine.clear(node.now(), *name))
+        .filter(|name| quarantine.is_quarantined(*name) && quarantine.clear(node.now(), *name))
         .collect();
     drop(quarantine);
     if cleared.is_empty() {
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -140,7 +140,7 @@
             InstanceReport::Leaving
         }
         Ok(reply) if is_instance_failure(reply) => InstanceReport::Failed,
-        Ok(reply) if has_erred(reply) => InstanceReport::Erred,
+        Ok(reply) if has_erred(reply) => InstanceReport::BackendError,
         Ok(reply) => InstanceReport::Answered {
             load: reply.context.load,
         },
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -20,8 +20,8 @@
 use sorrelturn_bundle::KindEntry;
 use sorrelturn_fleet::Source;
 use sorrelturn_policy::{
-    Attempt, CRASHES_TO_HOLD, InstanceReport, Now, Step, after_turned_away, choose, first_share,
-    next_step,
+    Attempt, CRASHES_TO_QUARANTINE, InstanceReport, Now, Step, choose, first_share, next_step,
+    step_after_backend_refusal,
 };
 use sorrelturn_protocol::{
     AnswerContext, CallContext, Incarnation, Refusal, RequestId, SpanId, Verdict,
@@ -94,7 +94,7 @@
         token_asks: 0,
         crashes: 0,
     };
-    lock(&kind_state.retries).sent_for_repeat(node.now(), call.for_repeat);
+    lock(&kind_state.retries).record_call_of_repeat(node.now(), call.for_repeat);
     let mut reply = loop {
         let Some(reply) = one_try(node, call, &mut progress, &kind_state).await else {
             break without_instance(node, call).await;
@@ -359,17 +359,17 @@
         repeatable: !call.kind.at_most_once(),
         reroutes: progress.reroutes,
         attempts_left: progress.attempts_left,
-        need: call.kind.need,
-        time_left,
+        attempts_needed: call.kind.need,
+        has_time_left: time_left,
     };
     progress.crashes += usize::from(reply.context.refusal == Some(Refusal::BackendCrashed));
     // Two of its tries may crash backend servers before the fleet has heard of the first.
-    let crashes_them = progress.crashes >= CRASHES_TO_HOLD || held_for(node, call).is_some();
+    let crashes_them = progress.crashes >= CRASHES_TO_QUARANTINE || held_for(node, call).is_some();
     let reached = !crashes_them && reached_and_turned_away(node, reply);
     let step = if crashes_them {
         Step::Answer
     } else if reached {
-        after_turned_away(progress.turned_away, time_left)
+        step_after_backend_refusal(progress.turned_away, time_left)
     } else {
         next_step(&attempt)
     };
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -80,7 +80,7 @@
         let names = &routed.dialect.headers;
         asked = req.headers().get(&names.request_id).cloned();
         let from = headers::text(req.headers(), names.caller_service.as_str());
-        lock(&routed.origins).saw(&context.kind, from.unwrap_or_default());
+        lock(&routed.origins).record(&context.kind, from.unwrap_or_default());
         context.depth = u8::from(is_call(node, routed, &context.kind));
     }
     let deadline = node.now() + Duration::from_millis(context.deadline_ms.into());
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -3,7 +3,7 @@
 use crate::node::lock;
 use smol::channel::{self, Receiver, Sender};
 use sorrelturn_once::NestedTokens;
-use sorrelturn_policy::{AttemptPool, Candidate, Now, WorkedOn};
+use sorrelturn_policy::{AttemptPool, Candidate, InProgressRequests, Now};
 use sorrelturn_protocol::{CallContext, SpanId};
 use std::{
     collections::HashMap,
@@ -56,7 +56,7 @@
 struct Inner {
     by_span: HashMap<SpanId, Arc<Parent>>,
     by_kind: Vec<OfKind>,
-    sums: WorkedOn,
+    sums: InProgressRequests,
 }
 
 /// When the requests of one kind end. Each call of the backend server looks at all that it works on, a hundred and
@@ -183,7 +183,7 @@
     }
 
     /// What is known of all together.
-    pub(crate) fn sums(&self) -> WorkedOn {
+    pub(crate) fn sums(&self) -> InProgressRequests {
         lock(&self.inner).sums
     }
 
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -212,7 +212,7 @@
             Field::new("was_tried", was_tried),
         ],
     );
-    let come_back = lock(&state.refusing).refused(node.now(), &mut fastrand::Rng::new());
+    let come_back = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
     Err(Reply::not_run(Refusal::Overload).come_back(come_back))
 }
 
@@ -233,7 +233,7 @@
     let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
     let worked_on = node.parents.sums();
     let (level, for_repeat) = match asked.is_call {
-        true => (worked_on.mean_level(), worked_on.repeated_part()),
+        true => (worked_on.mean_level(), worked_on.repeated_fraction()),
         false => (asked.level, 0.0),
     };
     let context = CallContext {
--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -1,7 +1,7 @@
 //! Admission to one backend server: a limit and a short queue in the order of shedding.
 //! See `docs/design/admission.md`.
 
-use crate::{AdaptiveLimit, Began, BestSlots, LoadLevel, Now, Outcome, Pressure};
+use crate::{AdaptiveLimit, Began, BestSlots, Now, Outcome, Pressure, SheddingLevel};
 use sorrelturn_protocol::{Importance, Priority, Refusal};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -102,7 +102,7 @@
     best: BestSlots,
     began: Began,
     pressure: Pressure,
-    level: LoadLevel,
+    level: SheddingLevel,
     in_flight: u32,
     queue: BTreeMap<QueueKey, Now>,
 }
@@ -116,7 +116,7 @@
             best: BestSlots::new(cfg.slots),
             began: Began::default(),
             pressure: Pressure::new(now),
-            level: LoadLevel::new(now),
+            level: SheddingLevel::new(now),
             in_flight: 0,
             queue: BTreeMap::new(),
         }
@@ -224,7 +224,7 @@
 
     /// The daemon runs so late.
     pub fn lags(&mut self, lag: Duration) {
-        self.level.lags(lag);
+        self.level.set_lag(lag);
     }
 
     /// The backend server was away and is back.
@@ -280,14 +280,14 @@
 
     fn pass(&mut self, now: Now) {
         let limit = self.steady_limit(now);
-        self.level.passed(now, self.queue.len(), limit);
+        self.level.update(now, self.queue.len(), limit);
     }
 
     /// How long the pressure has lasted; `None` while there is none.
     pub fn pressure_lasting(&self, now: Now) -> Option<Duration> {
         match self.cfg.call_wait {
-            None => self.pressure.lasting(now),
-            Some(_) => self.level.lasting(now),
+            None => self.pressure.pressure_duration(now),
+            Some(_) => self.level.pressure_duration(now),
         }
     }
 
@@ -312,7 +312,7 @@
         self.began = self.best.begins(now, self.in_flight);
         self.pressure.admitted(wait);
         if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_SHARE {
-            self.pressure.busy();
+            self.pressure.mark_busy();
         }
     }
 
--- a/crates/sorrelturn-policy/src/origins.rs
+++ b/crates/sorrelturn-policy/src/origins.rs
@@ -7,15 +7,15 @@
 use std::collections::HashMap;
 
 /// Before so many requests of a kind, nothing is concluded.
-const LEAST_REQUESTS: u32 = 40;
+const MIN_REQUESTS: u32 = 40;
 /// A service from whose VMs fewer come, in percent, doesn't count: a few requests go astray.
-const LEAST_PERCENT: u32 = 3;
+const MIN_SHARE_PERCENT: u32 = 3;
 /// Fewer are enough where callers on all VMs would hardly send them all from these few: once in so many times by chance.
 /// A service of half of the VMs is known by ten requests instead of forty, which an instance among many has within a
 /// second of a start.
-const ONCE_BY_CHANCE: f64 = 1_000.0;
+const CHANCE_FACTOR: f64 = 1_000.0;
 /// When so many have come, older ones begin to count less.
-const MEMORY_REQUESTS: u32 = 2_000;
+const MAX_COUNTED_REQUESTS: u32 = 2_000;
 
 /// Where the requests of each kind come from.
 #[derive(Clone, Debug, Default)]
@@ -25,18 +25,18 @@
 
 impl Origins {
     /// A request of a kind came from a VM of a service.
-    pub fn saw(&mut self, kind: &str, from_service: &str) {
+    pub fn record(&mut self, kind: &str, caller_service: &str) {
         let origins = match self.by_kind.get_mut(kind) {
             Some(origins) => origins,
             None => self.by_kind.entry(kind.to_owned()).or_default(),
         };
-        match origins.get_mut(from_service) {
+        match origins.get_mut(caller_service) {
             Some(count) => *count += 1,
             None => {
-                origins.insert(from_service.to_owned(), 1);
+                origins.insert(caller_service.to_owned(), 1);
             }
         }
-        if origins.values().sum::<u32>() > MEMORY_REQUESTS {
+        if origins.values().sum::<u32>() > MAX_COUNTED_REQUESTS {
             origins.values_mut().for_each(|count| *count /= 2);
         }
     }
@@ -52,15 +52,15 @@
         let Some(origins) = self.by_kind.get(kind) else {
             return false;
         };
-        let all: u32 = origins.values().sum();
-        if all < LEAST_REQUESTS {
+        let total: u32 = origins.values().sum();
+        if total < MIN_REQUESTS {
             let share: f64 = origins.keys().map(|service| share_of(service)).sum();
-            let by_chance = share.min(1.0).powi(all as i32);
-            return origins.len() * 2 <= services && by_chance * ONCE_BY_CHANCE < 1.0;
+            let chance = share.min(1.0).powi(total as i32);
+            return origins.len() * 2 <= services && chance * CHANCE_FACTOR < 1.0;
         }
         let count = origins
             .values()
-            .filter(|count| **count * 100 >= all * LEAST_PERCENT)
+            .filter(|count| **count * 100 >= total * MIN_SHARE_PERCENT)
             .count();
         count * 2 <= services
     }
--- a/crates/sorrelturn-policy/src/presence.rs
+++ b/crates/sorrelturn-policy/src/presence.rs
@@ -5,24 +5,24 @@
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{collections::VecDeque, time::Duration};
 
-/// So many earlier runs are remembered, so that late news of them is recognised. One replacement takes
-/// seconds and news is late by seconds, so a handful is enough.
-const EARLIER_KEPT: usize = 8;
+/// So many earlier runs are remembered, so that late announcement of them is recognised. One replacement takes
+/// seconds and announcement is late by seconds, so a handful is enough.
+const MAX_EARLIER_INCARNATIONS: usize = 8;
 
 /// A run that has said nothing for so long may be followed by one that seems to have started before it.
 /// Backend servers announce themselves every 1.5 s, so a living one misses two announcements by then.
-const SILENCE: Duration = Duration::from_secs(4);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What follows from an announcement.
+/// What supersedes_current from an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum AnnouncementEffect {
     /// Nothing new.
-    Known,
+    NoChange,
     /// It was sent before something that is known already.
-    Late,
+    Outdated,
     /// It is of a run that was never heard of and seems to have started before the known one: held up, or
-    /// sent after a step back of the clock. Nothing follows from it yet.
-    Doubtful,
+    /// sent after a step back of the clock. Nothing supersedes_current from it yet.
+    Unconfirmed,
     /// It doesn't say which run it is of, and the runs here do: somebody else wrote it.
     Foreign,
     /// A backend server that takes work is there, or takes work anew.
@@ -33,21 +33,21 @@
 
 /// One run of a backend server: a restart may keep the id, but not the time of the start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Run {
+struct BackendIncarnation {
     id: String,
     born: Option<u64>,
 }
 
-impl Run {
-    fn of(news: &Announcement) -> Self {
+impl BackendIncarnation {
+    fn of(announcement: &Announcement) -> Self {
         Self {
-            id: news.id.clone(),
-            born: news.born,
+            id: announcement.id.clone(),
+            born: announcement.born,
         }
     }
 
-    fn is_of(&self, news: &Announcement) -> bool {
-        self.id == news.id && self.born == news.born
+    fn matches(&self, announcement: &Announcement) -> bool {
+        self.id == announcement.id && self.born == announcement.born
     }
 }
 
@@ -61,11 +61,11 @@
 pub struct Presence {
     current: Option<Announcement>,
     /// Whether the current run has announced itself, and wasn't told by an answer alone.
-    announced: bool,
-    heard_at: Now,
-    earlier: VecDeque<Run>,
+    has_announced: bool,
+    last_update: Now,
+    earlier: VecDeque<BackendIncarnation>,
     /// Runs here tell when they started.
-    tells_start: bool,
+    sends_start_time: bool,
 }
 
 impl Presence {
@@ -81,130 +81,148 @@
     }
 
     /// Takes an announcement. A run that leaves never comes back; a new run has another id or another start.
-    pub fn hear(&mut self, now: Now, news: Announcement) -> Heard {
-        if news.born.is_none() && self.tells_start {
-            return Heard::Foreign;
+    pub fn receive(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
+        if announcement.born.is_none() && self.sends_start_time {
+            return AnnouncementEffect::Foreign;
         }
-        self.tells_start |= news.born.is_some();
+        self.sends_start_time |= announcement.born.is_some();
         let Some(current) = &self.current else {
-            return self.replace(now, news);
+            return self.replace(now, announcement);
         };
-        if self.is_first_word(&news) {
-            return self.takes_name(now, news);
+        if self.is_first_announcement(&announcement) {
+            return self.adopt_first_announcement(now, announcement);
         }
-        if Run::of(current).is_of(&news) {
-            return self.of_current(now, news);
+        if BackendIncarnation::of(current).matches(&announcement) {
+            return self.update_current(now, announcement);
         }
-        if self.follows(now, &news) {
-            return self.replace(now, news);
+        if self.supersedes_current(now, &announcement) {
+            return self.replace(now, announcement);
         }
-        if self.earlier.iter().any(|earlier| earlier.is_of(&news)) {
-            Heard::Late
+        if self
+            .earlier
+            .iter()
+            .any(|earlier| earlier.matches(&announcement))
+        {
+            AnnouncementEffect::Outdated
         } else {
-            Heard::Doubtful
+            AnnouncementEffect::Unconfirmed
         }
     }
 
     /// Another backend server answered at the address: the known one has ended. Returns whether
-    /// this is news.
-    pub fn answered_as(&mut self, now: Now, id: &str) -> bool {
-        let known = self.current.as_ref().is_some_and(|known| known.id == id);
-        if known || self.earlier.iter().any(|earlier| earlier.id == id) {
+    /// this is announcement.
+    pub fn record_answer_from(&mut self, now: Now, id: &str) -> bool {
+        let is_current = self
+            .current
+            .as_ref()
+            .is_some_and(|current| current.id == id);
+        if is_current || self.earlier.iter().any(|earlier| earlier.id == id) {
             return false;
         }
-        let news = Announcement {
+        let announcement = Announcement {
             id: id.to_owned(),
             born: None,
             state: BackendState::Ready,
             sequence: 0,
         };
-        self.replace(now, news);
-        self.announced = false;
+        self.replace(now, announcement);
+        self.has_announced = false;
         true
     }
 
     /// Whether the current run is known by an answer alone, which doesn't tell its start, and this is its first
     /// announcement.
-    fn is_first_word(&self, news: &Announcement) -> bool {
+    fn is_first_announcement(&self, announcement: &Announcement) -> bool {
         let current = self.current.as_ref();
-        let same_id = current.is_some_and(|current| current.id == news.id);
-        let unheard = self.earlier.iter().all(|earlier| !earlier.is_of(news));
-        same_id && unheard && !self.announced && news.born.is_some()
+        let has_same_id = current.is_some_and(|current| current.id == announcement.id);
+        let is_unseen = self
+            .earlier
+            .iter()
+            .all(|earlier| !earlier.matches(announcement));
+        has_same_id && is_unseen && !self.has_announced && announcement.born.is_some()
     }
 
-    fn takes_name(&mut self, now: Now, news: Announcement) -> Heard {
-        let leaves = news.state != BackendState::Ready;
-        self.current = Some(news);
-        self.announced = true;
-        self.heard_at = now;
-        if leaves {
-            Heard::NowLeaving
+    fn adopt_first_announcement(
+        &mut self,
+        now: Now,
+        announcement: Announcement,
+    ) -> AnnouncementEffect {
+        let is_leaving = announcement.state != BackendState::Ready;
+        self.current = Some(announcement);
+        self.has_announced = true;
+        self.last_update = now;
+        if is_leaving {
+            AnnouncementEffect::NowLeaving
         } else {
-            Heard::NowReady
+            AnnouncementEffect::NowReady
         }
     }
 
-    fn of_current(&mut self, now: Now, news: Announcement) -> Heard {
+    fn update_current(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
         let Some(current) = &mut self.current else {
-            return Heard::Late;
+            return AnnouncementEffect::Outdated;
         };
-        if news.state > current.state {
-            current.sequence = current.sequence.max(news.sequence);
+        if announcement.state > current.state {
+            current.sequence = current.sequence.max(announcement.sequence);
             let was_ready = current.state == BackendState::Ready;
-            current.state = news.state;
-            self.heard_at = now;
+            current.state = announcement.state;
+            self.last_update = now;
             return if was_ready {
-                Heard::NowLeaving
+                AnnouncementEffect::NowLeaving
             } else {
-                Heard::Known
+                AnnouncementEffect::NoChange
             };
         }
-        if news.state < current.state || news.sequence < current.sequence {
-            return Heard::Late;
+        if announcement.state < current.state || announcement.sequence < current.sequence {
+            return AnnouncementEffect::Outdated;
         }
-        current.sequence = news.sequence;
-        self.announced = true;
-        self.heard_at = now;
-        Heard::Known
+        current.sequence = announcement.sequence;
+        self.has_announced = true;
+        self.last_update = now;
+        AnnouncementEffect::NoChange
     }
 
-    /// Whether news of another run than the current one tells of a later one.
-    fn follows(&self, now: Now, news: &Announcement) -> bool {
+    /// Whether announcement of another run than the current one tells of a later one.
+    fn supersedes_current(&self, now: Now, announcement: &Announcement) -> bool {
         let Some(current) = &self.current else {
             return true;
         };
-        let was_known = self.earlier.iter().any(|earlier| earlier.is_of(news));
-        let later_start = current.id != news.id || news.born > current.born;
-        if !was_known && later_start {
+        let was_known = self
+            .earlier
+            .iter()
+            .any(|earlier| earlier.matches(announcement));
+        let has_later_start = current.id != announcement.id || announcement.born > current.born;
+        if !was_known && has_later_start {
             return true;
         }
-        let silent = now >= self.heard_at + SILENCE;
-        let takes_work = news.state == BackendState::Ready;
-        // A run that was replaced and still announces itself was replaced by news that came late. But what has left
+        let is_silent = now >= self.last_update + SILENCE_TIMEOUT;
+        let accepts_work = announcement.state == BackendState::Ready;
+        // A run that was replaced and still announces itself was replaced by announcement that came late. But what has left
         // was acknowledged, and is no proof that an earlier run is alive.
-        let may_return = match (was_known, current.state) {
-            (true, state) => state == BackendState::Ready && news.born.is_some(),
+        let may_take_over = match (was_known, current.state) {
+            (true, state) => state == BackendState::Ready && announcement.born.is_some(),
             (false, state) => state != BackendState::Draining,
         };
-        silent && takes_work && may_return
+        is_silent && accepts_work && may_take_over
     }
 
-    fn replace(&mut self, now: Now, news: Announcement) -> Heard {
+    fn replace(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
         let was_ready = self.serving().is_some();
-        let is_ready = news.state == BackendState::Ready;
-        self.heard_at = now;
-        self.announced = true;
-        self.earlier.retain(|earlier| !earlier.is_of(&news));
-        if let Some(before) = self.current.replace(news) {
-            if self.earlier.len() == EARLIER_KEPT {
+        let is_ready = announcement.state == BackendState::Ready;
+        self.last_update = now;
+        self.has_announced = true;
+        self.earlier
+            .retain(|earlier| !earlier.matches(&announcement));
+        if let Some(previous) = self.current.replace(announcement) {
+            if self.earlier.len() == MAX_EARLIER_INCARNATIONS {
                 self.earlier.pop_front();
             }
-            self.earlier.push_back(Run::of(&before));
+            self.earlier.push_back(BackendIncarnation::of(&previous));
         }
         match (was_ready, is_ready) {
-            (_, true) => Heard::NowReady,
-            (true, false) => Heard::NowLeaving,
-            (false, false) => Heard::Known,
+            (_, true) => AnnouncementEffect::NowReady,
+            (true, false) => AnnouncementEffect::NowLeaving,
+            (false, false) => AnnouncementEffect::NoChange,
         }
     }
 }
--- a/crates/sorrelturn-policy/src/quarantine.rs
+++ b/crates/sorrelturn-policy/src/quarantine.rs
@@ -9,36 +9,36 @@
 
 /// A request that was at work in so many crashes is held. One proves nothing, since all that ran beside the cause is as
 /// suspect; each further one takes a VM with all its work for seconds.
-pub const CRASHES_TO_HOLD: usize = 2;
+pub const CRASHES_TO_QUARANTINE: usize = 2;
 /// What was learnt of a crash counts for so long: many times what a caller goes on trying, and short enough
 /// that a request that was held by mistake, or whose cause was mended, isn't lost for the day.
-const KEPT_FOR: Duration = Duration::from_secs(600);
-/// The most crashes that are remembered: those of a failure domain of the largest fleet within [`KEPT_FOR`].
-const MOST_CRASHES: usize = 128;
+const RETENTION_TIME: Duration = Duration::from_secs(600);
+/// The most crashes that are remembered: those of a failure domain of the largest fleet within [`RETENTION_TIME`].
+const MAX_CRASHES: usize = 128;
 /// The most names of one crash: two for each of what the largest backend server known has at work (396 slots).
-const MOST_RUNNING: usize = 1_024;
+const MAX_REQUESTS_PER_CRASH: usize = 1_024;
 /// The most requests that are remembered as cleared.
-const MOST_CLEARED: usize = 4_096;
+const MAX_CLEARED: usize = 4_096;
 
 /// What is known of requests that were at work when backend servers crashed.
 ///
 /// It only grows until it is forgotten with age, so daemons that have heard the same in any order know the same.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
-    crashes_to_hold: usize,
+    crash_threshold: usize,
     crashes: VecDeque<Crash>,
     /// In how many of the crashes each request was at work.
-    suspects: HashMap<RequestFingerprint, usize>,
+    crash_counts: HashMap<RequestFingerprint, usize>,
     cleared: HashMap<RequestFingerprint, Now>,
 }
 
 /// What followed from what was heard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Learnt {
+pub struct QuarantineUpdate {
     /// What of it was unknown here, which others have to hear.
-    pub unknown: CrashNews,
+    pub new_reports: CrashNews,
     /// The requests that are held from now on.
-    pub held: Vec<RequestFingerprint>,
+    pub quarantined: Vec<RequestFingerprint>,
 }
 
 #[derive(Clone, Debug)]
@@ -50,54 +50,57 @@
 
 impl Default for Quarantine {
     fn default() -> Self {
-        Self::holding_after(CRASHES_TO_HOLD)
+        Self::with_crash_threshold(CRASHES_TO_QUARANTINE)
     }
 }
 
 impl Quarantine {
     /// One that holds a request after so many crashes.
-    pub fn holding_after(crashes_to_hold: usize) -> Self {
+    pub fn with_crash_threshold(crash_threshold: usize) -> Self {
         Self {
-            crashes_to_hold,
+            crash_threshold,
             crashes: VecDeque::new(),
-            suspects: HashMap::new(),
+            crash_counts: HashMap::new(),
             cleared: HashMap::new(),
         }
     }
 
     /// Takes what somebody learnt.
-    pub fn hear(&mut self, now: Now, news: &CrashNews) -> Learnt {
-        self.forget_old(now);
-        let mut unknown = CrashNews::default();
-        let mut held = Vec::new();
-        for cleared in &news.cleared {
+    pub fn receive(&mut self, now: Now, update: &CrashNews) -> QuarantineUpdate {
+        self.remove_expired(now);
+        let mut new_reports = CrashNews::default();
+        let mut quarantined = Vec::new();
+        for cleared in &update.cleared {
             let age = Duration::from_millis(cleared.age_ms);
-            if age < KEPT_FOR && self.clear(now.saturating_sub(age), cleared.request) {
-                unknown.cleared.push(*cleared);
+            if age < RETENTION_TIME && self.clear(now.saturating_sub(age), cleared.request) {
+                new_reports.cleared.push(*cleared);
             }
         }
-        for report in &news.crashes {
-            let running = self.crashed(now, report);
-            let now_held = running
+        for report in &update.crashes {
+            let running = self.record_crash(now, report);
+            let newly_quarantined = running
                 .iter()
-                .filter(|request| self.is_held_by_last(**request));
-            held.extend(now_held);
+                .filter(|request| self.has_just_reached_threshold(**request));
+            quarantined.extend(newly_quarantined);
             if !running.is_empty() {
-                unknown.crashes.push(CrashReport {
+                new_reports.crashes.push(CrashReport {
                     running,
                     ..report.clone()
                 });
             }
         }
-        Learnt { unknown, held }
+        QuarantineUpdate {
+            new_reports,
+            quarantined,
+        }
     }
 
     /// The crashes in which any of these requests was at work, and of what was at work only these.
-    pub fn proof(&self, now: Now, requests: &[RequestFingerprint]) -> Vec<CrashReport> {
+    pub fn evidence_for(&self, now: Now, requests: &[RequestFingerprint]) -> Vec<CrashReport> {
         if requests.is_empty() {
             return Vec::new();
         }
-        let mut crashes = self.news(now).crashes;
+        let mut crashes = self.snapshot(now).crashes;
         for crash in &mut crashes {
             crash.running.retain(|request| requests.contains(request));
         }
@@ -106,48 +109,51 @@
     }
 
     /// Whether the crash that was heard of last is the one by which a request is held.
-    fn is_held_by_last(&self, request: RequestFingerprint) -> bool {
-        self.suspects.get(&request) == Some(&self.crashes_to_hold) && self.holds(request)
+    fn has_just_reached_threshold(&self, request: RequestFingerprint) -> bool {
+        self.crash_counts.get(&request) == Some(&self.crash_threshold)
+            && self.is_quarantined(request)
     }
 
     /// A request ran to its end, and so isn't the cause of a crash. Returns whether that is news.
     pub fn clear(&mut self, at: Now, request: RequestFingerprint) -> bool {
-        let is_news = !self.cleared.contains_key(&request) && self.cleared.len() < MOST_CLEARED;
-        if is_news {
+        let is_new = !self.cleared.contains_key(&request) && self.cleared.len() < MAX_CLEARED;
+        if is_new {
             self.cleared.insert(request, at);
         }
-        is_news
+        is_new
     }
 
     /// Whether a request is kept from backend servers, as of the last time that what is old was forgotten.
-    pub fn holds(&self, request: RequestFingerprint) -> bool {
-        let crashes = self.suspects.get(&request).copied().unwrap_or_default();
-        crashes >= self.crashes_to_hold && !self.cleared.contains_key(&request)
+    pub fn is_quarantined(&self, request: RequestFingerprint) -> bool {
+        let crashes = self.crash_counts.get(&request).copied().unwrap_or_default();
+        crashes >= self.crash_threshold && !self.cleared.contains_key(&request)
     }
 
     /// How long a request is held if nothing more is heard of it.
-    pub fn held_for(&self, now: Now, request: RequestFingerprint) -> Option<Duration> {
-        if !self.holds(request) {
+    pub fn remaining_quarantine(&self, now: Now, request: RequestFingerprint) -> Option<Duration> {
+        if !self.is_quarantined(request) {
             return None;
         }
         let crashes = self.crashes.iter();
-        let mut ends: Vec<Now> = crashes
+        let mut expiry_times: Vec<Now> = crashes
             .filter(|crash| crash.running.contains(&request))
-            .map(|crash| crash.at + KEPT_FOR)
+            .map(|crash| crash.at + RETENTION_TIME)
             .collect();
-        ends.sort_unstable();
+        expiry_times.sort_unstable();
         // It is free when fewer than enough are left.
-        let last = ends.len().checked_sub(self.crashes_to_hold)?;
-        ends[last].checked_sub(now).filter(|left| !left.is_zero())
+        let last = expiry_times.len().checked_sub(self.crash_threshold)?;
+        expiry_times[last]
+            .checked_sub(now)
+            .filter(|remaining| !remaining.is_zero())
     }
 
     /// Whether nothing is suspected.
     pub fn is_empty(&self) -> bool {
-        self.suspects.is_empty()
+        self.crash_counts.is_empty()
     }
 
     /// All that is known, for a daemon that knows something else.
-    pub fn news(&self, now: Now) -> CrashNews {
+    pub fn snapshot(&self, now: Now) -> CrashNews {
         let crashes = self.crashes.iter().map(|crash| CrashReport {
             id: crash.id,
             age_ms: now.saturating_sub(crash.at).as_millis() as u64,
@@ -164,63 +170,64 @@
     }
 
     /// A sum over all that is known; daemons with equal sums know the same.
-    pub fn sum(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         let crashes = self.crashes.iter().flat_map(|crash| {
             let running = crash.running.iter();
             running.map(|request| mix(request.0 ^ mix(crash.id.0)))
         });
         let cleared = self.cleared.keys().map(|request| mix(!request.0));
-        crashes.chain(cleared).fold(0, |sum, one| sum ^ one)
+        crashes.chain(cleared).fold(0, |sum, value| sum ^ value)
     }
 
     /// Returns the requests that weren't known to have been at work in this crash.
-    fn crashed(&mut self, now: Now, report: &CrashReport) -> Vec<RequestFingerprint> {
+    fn record_crash(&mut self, now: Now, report: &CrashReport) -> Vec<RequestFingerprint> {
         let age = Duration::from_millis(report.age_ms);
-        if age >= KEPT_FOR {
+        if age >= RETENTION_TIME {
             return Vec::new();
         }
-        let known = self.crashes.iter().position(|crash| crash.id == report.id);
-        let place = known.unwrap_or_else(|| self.add(now.saturating_sub(age), report.id));
-        let Some(crash) = self.crashes.get_mut(place) else {
+        let position = self.crashes.iter().position(|crash| crash.id == report.id);
+        let index =
+            position.unwrap_or_else(|| self.insert_crash(now.saturating_sub(age), report.id));
+        let Some(crash) = self.crashes.get_mut(index) else {
             return Vec::new();
         };
         let mut unknown = Vec::new();
         for request in &report.running {
-            if crash.running.len() < MOST_RUNNING && !crash.running.contains(request) {
+            if crash.running.len() < MAX_REQUESTS_PER_CRASH && !crash.running.contains(request) {
                 crash.running.push(*request);
-                *self.suspects.entry(*request).or_default() += 1;
+                *self.crash_counts.entry(*request).or_default() += 1;
                 unknown.push(*request);
             }
         }
         unknown
     }
 
-    /// Adds a crash in the order of time; returns its place.
-    fn add(&mut self, at: Now, id: CrashId) -> usize {
-        if self.crashes.len() >= MOST_CRASHES {
-            self.forget_oldest();
+    /// Adds a crash in the order of time; returns its index.
+    fn insert_crash(&mut self, at: Now, id: CrashId) -> usize {
+        if self.crashes.len() >= MAX_CRASHES {
+            self.remove_oldest_crash();
         }
-        let place = self.crashes.partition_point(|crash| crash.at <= at);
+        let index = self.crashes.partition_point(|crash| crash.at <= at);
         let running = Vec::new();
-        self.crashes.insert(place, Crash { id, at, running });
-        place
+        self.crashes.insert(index, Crash { id, at, running });
+        index
     }
 
     /// Forgets what was learnt too long ago.
-    pub fn forget_old(&mut self, now: Now) {
-        let is_old = |crash: &Crash| crash.at + KEPT_FOR <= now;
-        while self.crashes.front().is_some_and(is_old) {
-            self.forget_oldest();
+    pub fn remove_expired(&mut self, now: Now) {
+        let is_expired = |crash: &Crash| crash.at + RETENTION_TIME <= now;
+        while self.crashes.front().is_some_and(is_expired) {
+            self.remove_oldest_crash();
         }
-        self.cleared.retain(|_, at| *at + KEPT_FOR > now);
+        self.cleared.retain(|_, at| *at + RETENTION_TIME > now);
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest_crash(&mut self) {
         let Some(crash) = self.crashes.pop_front() else {
             return;
         };
         for request in crash.running {
-            if let Entry::Occupied(mut crashes) = self.suspects.entry(request) {
+            if let Entry::Occupied(mut crashes) = self.crash_counts.entry(request) {
                 *crashes.get_mut() -= 1;
                 if *crashes.get() == 0 {
                     crashes.remove();
--- a/crates/sorrelturn-policy/src/retry.rs
+++ b/crates/sorrelturn-policy/src/retry.rs
@@ -10,7 +10,7 @@
 /// How often a call is sent again that backend servers turn away although their daemons had slots for it. Where
 /// they turn 55 in 100 away, 1 in 120 calls is still turned away the eighth time: a tree of eight calls comes
 /// through 93 times in 100, and 20 times with two. What it costs is bounded by the retries that are allowed.
-pub const MOST_TURNED_AWAY: u32 = 7;
+pub const MAX_BACKEND_REFUSALS: u32 = 7;
 
 /// One attempt that didn't bring a good answer, and what is left for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,9 +28,9 @@
     /// The attempts left for this call.
     pub attempts_left: u32,
     /// The attempts that another try needs.
-    pub need: u32,
+    pub attempts_needed: u32,
     /// Whether the deadline leaves time for another try.
-    pub time_left: bool,
+    pub has_time_left: bool,
 }
 
 /// What to do next.
@@ -46,8 +46,8 @@
 
 /// Decides what follows after a backend server turned a call away so many times. It is not full, since its daemon
 /// had a slot, so another try may well be taken, also by the same one.
-pub fn after_turned_away(times: u32, time_left: bool) -> Step {
-    if times <= MOST_TURNED_AWAY && time_left {
+pub fn step_after_backend_refusal(refusals: u32, has_time_left: bool) -> Step {
+    if refusals <= MAX_BACKEND_REFUSALS && has_time_left {
         Step::Reroute
     } else {
         Step::Answer
@@ -56,7 +56,7 @@
 
 /// Decides what follows an attempt.
 pub fn next_step(attempt: &Attempt) -> Step {
-    if !attempt.time_left {
+    if !attempt.has_time_left {
         return Step::Answer;
     }
     match attempt.verdict {
@@ -71,13 +71,15 @@
     let Some(refusal) = attempt.refusal else {
         return false;
     };
-    let most = match refusal {
+    let max_reroutes = match refusal {
         Refusal::Overload => MAX_OVERLOAD_REROUTES,
         _ => MAX_REROUTES,
     };
-    refusal.elsewhere_may_differ() && attempt.reroutes < most
+    refusal.elsewhere_may_differ() && attempt.reroutes < max_reroutes
 }
 
 fn may_retry(attempt: &Attempt) -> bool {
-    attempt.repeatable && !attempt.already_retried && attempt.attempts_left >= attempt.need
+    attempt.repeatable
+        && !attempt.already_retried
+        && attempt.attempts_left >= attempt.attempts_needed
 }
--- a/crates/sorrelturn-policy/src/retry_after.rs
+++ b/crates/sorrelturn-policy/src/retry_after.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 /// The earliest return.
-const LEAST: Duration = Duration::from_secs(1);
+const MIN_DELAY: Duration = Duration::from_secs(1);
 /// The latest return: an overload that ends sooner than foreseen must not keep callers away long.
-const MOST: Duration = Duration::from_secs(30);
+const MAX_DELAY: Duration = Duration::from_secs(30);
 
 /// Without a refusal for so long, the pressure that led to the earlier ones is over. A kind that a
 /// small entry seldom serves has a second and more between two refusals of one pressure.
-const QUIET: Duration = Duration::from_secs(2);
+const QUIET_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long an entry has been refusing requests of one kind.
 ///
@@ -20,18 +20,18 @@
 /// in five seconds of twice the load are served, and 32 instead of 18 of the critical ones where one of three
 /// instances is left (`sorrelturn-bench returns`).
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Refusing {
+pub struct RefusalStreak {
     first: Now,
     last: Option<Now>,
 }
 
-impl Refusing {
+impl RefusalStreak {
     /// A request is refused; returns when its caller should come back.
-    pub fn refused(&mut self, now: Now, rng: &mut fastrand::Rng) -> Duration {
-        let goes_on = self
+    pub fn record_refusal(&mut self, now: Now, rng: &mut fastrand::Rng) -> Duration {
+        let continues = self
             .last
-            .is_some_and(|last| now.saturating_sub(last) < QUIET);
-        if !goes_on {
+            .is_some_and(|last| now.saturating_sub(last) < QUIET_TIMEOUT);
+        if !continues {
             self.first = now;
         }
         self.last = Some(now);
@@ -46,9 +46,11 @@
 impl RetryAfter {
     /// An overload is expected to last as long again as it has lasted; a spread of half to one
     /// and a half keeps callers from returning as one wave.
-    pub fn compute(lasting: Option<Duration>, rng: &mut fastrand::Rng) -> Duration {
-        let expected = lasting.unwrap_or(LEAST).clamp(LEAST, MOST);
-        expected.mul_f64(0.5 + rng.f64()).max(LEAST / 2)
+    pub fn compute(overload_duration: Option<Duration>, rng: &mut fastrand::Rng) -> Duration {
+        let expected = overload_duration
+            .unwrap_or(MIN_DELAY)
+            .clamp(MIN_DELAY, MAX_DELAY);
+        expected.mul_f64(0.5 + rng.f64()).max(MIN_DELAY / 2)
     }
 
     /// The value of the HTTP header: whole seconds, rounded up so that nobody comes early.
--- a/crates/sorrelturn-policy/src/retry_window.rs
+++ b/crates/sorrelturn-policy/src/retry_window.rs
@@ -4,24 +4,24 @@
 use crate::Now;
 use std::{collections::VecDeque, time::Duration};
 
-/// A window is counted in so many parts.
-const PARTS: usize = 20;
+/// A window is counted in so many slices.
+const SLICES: usize = 20;
 /// Retries are allowed by the least that was sent in any window that ended within this part of a window ago:
 /// whoever counts may take a window that ends then.
-const LOOKED_BACK: usize = PARTS / 2;
+const LOOKBACK_SLICES: usize = SLICES / 2;
 /// The part of the ratio that is used of it. The rest covers what one daemon can't know: that load moves from one
 /// to another in between.
-const USED: f64 = 0.75;
+const RATIO_FRACTION: f64 = 0.75;
 /// The part of the ratio that is used of what was sent in the window that ends now. After a start it is all
 /// there is; windows that end a quarter later or earlier hold half of it at least.
-const USED_OF_LAST: f64 = 0.4;
+const LAST_WINDOW_RATIO_FRACTION: f64 = 0.4;
 
 /// What was sent in one part of a window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Slice {
     number: u64,
-    first: f64,
-    again: f64,
+    first_attempts: f64,
+    retries: f64,
 }
 
 /// Counts first sendings and those that follow in a sliding window.
@@ -31,94 +31,100 @@
 /// up just when retries are needed.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
-    part: Duration,
+    slice_length: Duration,
     ratio: f64,
     slack: f64,
-    /// The oldest first; parts in which nothing was sent are left out.
-    parts: VecDeque<Part>,
+    /// The oldest first; slices in which nothing was sent are left out.
+    slices: VecDeque<Slice>,
     /// What may be sent again in the window that ends with the newest part, as worked out when that began.
     allowed: f64,
     /// What was sent again in it.
-    again: f64,
+    retries: f64,
 }
 
 impl RetryWindow {
     /// Allows `ratio` retries for each first sending, and `slack` besides, in each window of this length.
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
-            part: (window / PARTS as u32).max(Duration::from_millis(1)),
+            slice_length: (window / SLICES as u32).max(Duration::from_millis(1)),
             ratio,
             slack,
-            parts: VecDeque::new(),
+            slices: VecDeque::new(),
             allowed: slack,
-            again: 0.0,
+            retries: 0.0,
         }
     }
 
     /// Something is sent for the first time.
-    pub fn sent(&mut self, now: Now) {
-        self.last(now).first += 1.0;
+    pub fn record_first_attempt(&mut self, now: Now) {
+        self.current_slice(now).first_attempts += 1.0;
     }
 
     /// Something is sent that counts as a retry for this part, whoever caused it: a call that a repeated
     /// request makes.
-    pub fn sent_for_repeat(&mut self, now: Now, part: f64) {
-        let last = self.last(now);
-        last.first += 1.0 - part;
-        last.again += part;
-        self.again += part;
+    pub fn record_call_of_repeat(&mut self, now: Now, retry_fraction: f64) {
+        let current = self.current_slice(now);
+        current.first_attempts += 1.0 - retry_fraction;
+        current.retries += retry_fraction;
+        self.retries += retry_fraction;
     }
 
     /// Takes the price of one retry if it is allowed.
     pub fn take(&mut self, now: Now) -> bool {
-        self.last(now);
-        let taken = self.again + 1.0 <= self.allowed;
-        if taken {
-            self.last(now).again += 1.0;
-            self.again += 1.0;
+        self.current_slice(now);
+        let is_allowed = self.retries + 1.0 <= self.allowed;
+        if is_allowed {
+            self.current_slice(now).retries += 1.0;
+            self.retries += 1.0;
         }
-        taken
+        is_allowed
     }
 
-    /// A part has begun: what its window allows follows from the parts before it, and stands until it ends.
-    fn begin(&mut self, number: u64) {
-        let window = PARTS as u64;
-        let ended = |ago: u64| {
-            let end = number - 1 - ago;
-            self.between(end + 1 - window, end, |part| part.first)
+    /// A part has begun: what its window allows follows from the slices before it, and stands until it ends.
+    fn start_slice(&mut self, number: u64) {
+        let window = SLICES as u64;
+        let first_attempts_in_window = |slices_ago: u64| {
+            let end = number - 1 - slices_ago;
+            self.sum_between(end + 1 - window, end, |slice| slice.first_attempts)
         };
-        let last = ended(0);
-        let least = (1..=LOOKED_BACK as u64).map(ended).fold(last, f64::min);
-        let counted = (least * USED).max(last * USED_OF_LAST);
+        let last = first_attempts_in_window(0);
+        let minimum = (1..=LOOKBACK_SLICES as u64)
+            .map(first_attempts_in_window)
+            .fold(last, f64::min);
+        let counted = (minimum * RATIO_FRACTION).max(last * LAST_WINDOW_RATIO_FRACTION);
         self.allowed = self.slack + self.ratio * counted;
         // The part before the window may lie in it with its end.
-        self.again = self.between(number - window, number, |part| part.again);
+        self.retries = self.sum_between(number - window, number, |slice| slice.retries);
     }
 
-    /// The sum over the parts from one number to another, both included.
-    fn between(&self, from: u64, to: u64, count: impl Fn(&Part) -> f64) -> f64 {
-        let within = self
-            .parts
+    /// The sum over the slices from one number to another, both included.
+    fn sum_between(&self, from: u64, to: u64, count: impl Fn(&Slice) -> f64) -> f64 {
+        let in_range = self
+            .slices
             .iter()
-            .filter(|part| (from..=to).contains(&part.number));
-        within.map(count).sum()
+            .filter(|slice| (from..=to).contains(&slice.number));
+        in_range.map(count).sum()
     }
 
-    fn last(&mut self, now: Now) -> &mut Part {
+    fn current_slice(&mut self, now: Now) -> &mut Slice {
         // Numbers begin high enough for those of earlier windows.
-        let number = (now.as_nanos() / self.part.as_nanos()) as u64 + 2 * PARTS as u64;
-        let kept = number - (PARTS + LOOKED_BACK + 1) as u64;
-        while self.parts.front().is_some_and(|part| part.number < kept) {
-            self.parts.pop_front();
+        let number = (now.as_nanos() / self.slice_length.as_nanos()) as u64 + 2 * SLICES as u64;
+        let oldest_retained = number - (SLICES + LOOKBACK_SLICES + 1) as u64;
+        while self
+            .slices
+            .front()
+            .is_some_and(|slice| slice.number < oldest_retained)
+        {
+            self.slices.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number < number) {
-            self.begin(number);
-            self.parts.push_back(Part {
+        if self.slices.back().is_none_or(|slice| slice.number < number) {
+            self.start_slice(number);
+            self.slices.push_back(Slice {
                 number,
-                ..Part::default()
+                ..Slice::default()
             });
         }
-        let at = self.parts.len() - 1;
-        &mut self.parts[at]
+        let newest = self.slices.len() - 1;
+        &mut self.slices[newest]
     }
 }
--- a/crates/sorrelturn-policy/src/routing.rs
+++ b/crates/sorrelturn-policy/src/routing.rs
@@ -15,29 +15,29 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 /// If fewer than this share of the instances would be left, ejections are ignored: so many
 /// don't fail by themselves, and emptying a service would end it.
-const LEAST_LEFT_PERCENT: usize = 50;
+const MIN_AVAILABLE_PERCENT: usize = 50;
 /// A reported load loses half of its weight in this time. It must outlast the pauses between the calls
 /// that an entry makes to one instance: one that isn't asked would else look idle.
 const LOAD_HALF_LIFE_MS: u64 = 600;
 /// What a call adds to an instance's load that is in flight from here and not yet in its report, in
 /// percent.
-const OWN_CALL_WEIGHT: u64 = 4;
+const UNREPORTED_CALL_PERCENT: u64 = 4;
 /// From this load on, in percent, waits begin and requests are refused.
-const LOADED: u64 = 80;
+const HIGH_LOAD_PERCENT: u64 = 80;
 /// Each percent above it counts so many times.
-const LOADED_WEIGHT: u64 = 4;
+const HIGH_LOAD_FACTOR: u64 = 4;
 /// What an instance that fails every call would have added, in percent: at a failure in three it is
 /// avoided like one that is loaded to the full.
-const ERROR_WEIGHT: u64 = 300;
+const ERROR_PENALTY_PERCENT: u64 = 300;
 /// Each call's outcome counts for one part in so many.
-const ERRORS_SMOOTHED_OVER: u32 = 16;
+const ERROR_SMOOTHING_CALLS: u32 = 16;
 /// The scale of the share of errors.
 const ERROR_SCALE: u32 = 1_000;
 /// Without calls, the share of errors loses half of its weight in this time, so that an instance that
 /// was avoided is tried again.
 const ERROR_HALF_LIFE_MS: u64 = 1_000;
 /// What another failure domain adds, in percent: near instances are used until they are loaded.
-const OTHER_DOMAIN_WEIGHT: u64 = 40;
+const OTHER_DOMAIN_PENALTY_PERCENT: u64 = 40;
 
 /// What is known here of one instance of a service; written by answers, read by every choice.
 #[derive(Debug)]
@@ -47,10 +47,10 @@
     /// Whether it is in this daemon's failure domain.
     pub near: bool,
     warm_at_ms: u64,
-    warm_time_ms: u64,
+    cold_start_ms: u64,
     in_flight: AtomicU32,
     /// How many were in flight from here when it reported its load last.
-    in_flight_then: AtomicU32,
+    in_flight_at_report: AtomicU32,
     load: AtomicU32,
     load_at_ms: AtomicU64,
     failures: AtomicU32,
@@ -69,7 +69,7 @@
         load: u16,
     },
     /// Its backend server turned the call away though it had a slot, or failed by itself.
-    Erred,
+    BackendError,
     /// Nothing could be sent to it.
     Unreachable,
     /// It said that it is leaving.
@@ -83,14 +83,14 @@
 impl Instance {
     /// An instance that is brought to full load over `cold_start`, counted from `now`.
     pub fn new(incarnation: Incarnation, near: bool, cold_start: Duration, now: Now) -> Self {
-        let cold_ms = cold_start.as_millis() as u64;
+        let warm_up_ms = cold_start.as_millis() as u64;
         Self {
             incarnation,
             near,
-            warm_at_ms: now.as_millis() as u64 + cold_ms,
-            warm_time_ms: cold_ms,
+            warm_at_ms: now.as_millis() as u64 + warm_up_ms,
+            cold_start_ms: warm_up_ms,
             in_flight: AtomicU32::new(0),
-            in_flight_then: AtomicU32::new(0),
+            in_flight_at_report: AtomicU32::new(0),
             load: AtomicU32::new(0),
             load_at_ms: AtomicU64::new(0),
             failures: AtomicU32::new(0),
@@ -112,10 +112,10 @@
         match report {
             InstanceReport::Answered { load } => {
                 if self.errors.load(Relaxed) != 0 {
-                    self.count_error(now, 0);
+                    self.record_error_sample(now, 0);
                 }
                 self.load.store(u32::from(load), Relaxed);
-                self.in_flight_then.store(in_flight, Relaxed);
+                self.in_flight_at_report.store(in_flight, Relaxed);
                 self.load_at_ms.store(now.as_millis() as u64, Relaxed);
                 self.failures.store(0, Relaxed);
                 self.ejected_until_ms.store(0, Relaxed);
@@ -125,19 +125,19 @@
                 self.leaving.store(1, Relaxed);
                 false
             }
-            InstanceReport::Erred => {
+            InstanceReport::BackendError => {
                 // What broke off is a matter of ejection instead.
-                self.count_error(now, ERROR_SCALE);
+                self.record_error_sample(now, ERROR_SCALE);
                 self.failures.store(0, Relaxed);
                 false
             }
             InstanceReport::Unreachable => {
                 // Nothing was sent, so nothing is lost by waiting; a silent VM holds each try up.
-                let missing = FAILURES_TO_EJECT.saturating_sub(1);
-                self.failures.fetch_max(missing, Relaxed);
-                self.failed(now)
+                let failures_before_ejection = FAILURES_TO_EJECT.saturating_sub(1);
+                self.failures.fetch_max(failures_before_ejection, Relaxed);
+                self.record_failure(now)
             }
-            InstanceReport::Failed => self.failed(now),
+            InstanceReport::Failed => self.record_failure(now),
             InstanceReport::Cancelled => false,
         }
     }
@@ -162,11 +162,11 @@
     }
 
     /// Takes one call's outcome: 0 for an answer, [`ERROR_SCALE`] for an error.
-    fn count_error(&self, now: Now, wanted: u32) {
+    fn record_error_sample(&self, now: Now, sample: u32) {
         let now_ms = now.as_millis() as u64;
-        let before = self.errors_at(now_ms);
-        let step = wanted.abs_diff(before) / ERRORS_SMOOTHED_OVER;
-        let after = if wanted > before {
+        let before = self.error_share_at(now_ms);
+        let step = sample.abs_diff(before) / ERROR_SMOOTHING_CALLS;
+        let after = if sample > before {
             before + step
         } else {
             before - step
@@ -176,7 +176,7 @@
     }
 
     /// The share of calls that failed, by [`ERROR_SCALE`].
-    fn errors_at(&self, now_ms: u64) -> u32 {
+    fn error_share_at(&self, now_ms: u64) -> u32 {
         let errors = self.errors.load(Relaxed);
         if errors == 0 {
             return 0;
@@ -186,7 +186,7 @@
         errors >> halvings
     }
 
-    fn failed(&self, now: Now) -> bool {
+    fn record_failure(&self, now: Now) -> bool {
         let failures = self.failures.fetch_add(1, Relaxed) + 1;
         if failures < FAILURES_TO_EJECT || self.is_ejected(now) {
             return false;
@@ -204,21 +204,26 @@
         let halvings = (age / LOAD_HALF_LIFE_MS).min(16) as u32;
         let reported = u64::from(self.load.load(Relaxed)) >> halvings;
         let in_flight = self.in_flight.load(Relaxed);
-        let unreported = in_flight.saturating_sub(self.in_flight_then.load(Relaxed));
-        let load = reported + u64::from(unreported) * OWN_CALL_WEIGHT;
-        let loaded = load.saturating_sub(LOADED) * (LOADED_WEIGHT - 1);
-        let far = if self.near { 0 } else { OTHER_DOMAIN_WEIGHT };
-        let errors = u64::from(self.errors_at(now_ms)) * ERROR_WEIGHT / u64::from(ERROR_SCALE);
+        let unreported = in_flight.saturating_sub(self.in_flight_at_report.load(Relaxed));
+        let load = reported + u64::from(unreported) * UNREPORTED_CALL_PERCENT;
+        let loaded = load.saturating_sub(HIGH_LOAD_PERCENT) * (HIGH_LOAD_FACTOR - 1);
+        let far = if self.near {
+            0
+        } else {
+            OTHER_DOMAIN_PENALTY_PERCENT
+        };
+        let errors =
+            u64::from(self.error_share_at(now_ms)) * ERROR_PENALTY_PERCENT / u64::from(ERROR_SCALE);
         load + loaded + far + errors
     }
 
     /// The share of its calls that a cold instance is given, in percent.
     fn warmth(&self, now_ms: u64) -> u64 {
         let left = self.warm_at_ms.saturating_sub(now_ms);
-        if left == 0 || self.warm_time_ms == 0 {
+        if left == 0 || self.cold_start_ms == 0 {
             return 100;
         }
-        100 - (left * 90 / self.warm_time_ms).min(90)
+        100 - (left * 90 / self.cold_start_ms).min(90)
     }
 }
 
@@ -235,34 +240,35 @@
 ) -> Option<usize> {
     let all = instances.len();
     let now_ms = now.as_millis() as u64;
-    let is_open = |instance: &Instance| {
+    let is_selectable = |instance: &Instance| {
         !instance.is_leaving() && (tried.is_empty() || !tried.contains(&instance.incarnation))
     };
-    let is_fit_at =
-        |instance: &Instance, at_ms: u64| is_open(instance) && !instance.is_ejected_at(at_ms);
-    let fit = instances.clone();
-    let mut places = Places::of(fit.filter(|instance| is_fit_at(instance, now_ms)));
+    let is_candidate_at =
+        |instance: &Instance, at_ms: u64| is_selectable(instance) && !instance.is_ejected_at(at_ms);
+    let available = instances.clone();
+    let mut counts =
+        CandidateCounts::of(available.filter(|instance| is_candidate_at(instance, now_ms)));
     let mut at_ms = now_ms;
-    if places.all() * 100 < all * LEAST_LEFT_PERCENT {
+    if counts.all() * 100 < all * MIN_AVAILABLE_PERCENT {
         // Every ejection is over by then.
         at_ms = u64::MAX;
-        places = Places::of(instances.clone().filter(|instance| is_open(instance)));
+        counts = CandidateCounts::of(instances.clone().filter(|instance| is_selectable(instance)));
     }
     let candidates = instances
         .enumerate()
-        .filter(|(_, instance)| is_fit_at(instance, at_ms));
-    best(places.draw(rng), candidates, now_ms, rng)
+        .filter(|(_, instance)| is_candidate_at(instance, at_ms));
+    choose_from_sample(counts.sample(rng), candidates, now_ms, rng)
 }
 
 /// How many candidates there are in the own failure domain and in the others.
 #[derive(Clone, Copy, Default)]
-struct Places {
+struct CandidateCounts {
     near: usize,
     far: usize,
 }
 
-/// Which candidates were drawn, by their places among the near and among the far ones.
-struct Drawn {
+/// Which candidates were drawn, by their counts among the near and among the far ones.
+struct Sample {
     near: [usize; 2],
     far: [usize; 2],
     /// How many they are.
@@ -271,11 +277,11 @@
 
 /// How many choices of 256 are between two near candidates. The rest are between a near and a far one,
 /// so that load that the near ones can't take leaves the failure domain.
-const NEAR_PAIR_OF_256: u8 = 32;
+const NEAR_PAIRS_PER_256: u8 = 32;
 /// The place of no candidate.
-const NOT_DRAWN: usize = usize::MAX;
+const NOT_SAMPLED: usize = usize::MAX;
 
-impl Places {
+impl CandidateCounts {
     fn of<'a>(candidates: impl Iterator<Item = &'a Instance>) -> Self {
         let (mut near, mut all) = (0, 0);
         for instance in candidates {
@@ -295,26 +301,26 @@
     /// Draws two: a near one, where there is any, with a far one mostly, or another near one. A far one
     /// takes over when the near one is loaded; without a near one among the drawn, calls would cross
     /// failure domains by chance.
-    fn draw(self, rng: &mut fastrand::Rng) -> Drawn {
+    fn sample(self, rng: &mut fastrand::Rng) -> Sample {
         let from_near = match self.near {
             0 => 0,
-            near if self.far == 0 || (near > 1 && rng.u8(..) < NEAR_PAIR_OF_256) => 2,
+            near if self.far == 0 || (near > 1 && rng.u8(..) < NEAR_PAIRS_PER_256) => 2,
             _ => 1,
         };
         let from_far = 2 - from_near;
-        Drawn {
-            near: draw(self.near, from_near, rng),
-            far: draw(self.far, from_far, rng),
+        Sample {
+            near: sample_positions(self.near, from_near, rng),
+            far: sample_positions(self.far, from_far, rng),
             count: self.near.min(from_near) + self.far.min(from_far),
         }
     }
 }
 
-/// Draws up to two places out of `count`.
-fn draw(count: usize, wanted: usize, rng: &mut fastrand::Rng) -> [usize; 2] {
+/// Draws up to two counts out of `count`.
+fn sample_positions(count: usize, wanted: usize, rng: &mut fastrand::Rng) -> [usize; 2] {
     match count.min(wanted) {
-        0 => [NOT_DRAWN; 2],
-        1 => [rng.usize(..count), NOT_DRAWN],
+        0 => [NOT_SAMPLED; 2],
+        1 => [rng.usize(..count), NOT_SAMPLED],
         _ => {
             let first = rng.usize(..count);
             let second = rng.usize(..count - 1);
@@ -324,50 +330,52 @@
 }
 
 /// The best of the candidates that were drawn; a cold one gets its small share only.
-fn best<'a>(
-    drawn: Drawn,
+fn choose_from_sample<'a>(
+    sample: Sample,
     candidates: impl Iterator<Item = (usize, &'a Instance)>,
     now_ms: u64,
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
     let (mut near, mut far) = (0, 0);
-    let mut left = drawn.count;
-    let mut better: Option<(usize, &Instance, u64)> = None;
+    let mut remaining = sample.count;
+    let mut best: Option<(usize, &Instance, u64)> = None;
     let mut other: Option<(usize, &Instance)> = None;
     for (position, instance) in candidates {
         let (place, wanted) = if instance.near {
-            (&mut near, &drawn.near)
+            (&mut near, &sample.near)
         } else {
-            (&mut far, &drawn.far)
+            (&mut far, &sample.far)
         };
-        let is_drawn = wanted.contains(place);
-        let is_first_drawn = wanted[0] == *place;
+        let is_sampled = wanted.contains(place);
+        let is_first_sampled = wanted[0] == *place;
         *place += 1;
-        if !is_drawn {
+        if !is_sampled {
             continue;
         }
-        left -= 1;
+        remaining -= 1;
         let score = instance.score(now_ms);
-        match better {
+        match best {
             // Of two alike, the one that was drawn first: its place in the list must not count.
-            Some((at, known, least)) if least < score || (least == score && !is_first_drawn) => {
-                better = Some((at, known, least));
+            Some((at, known, best_score))
+                if best_score < score || (best_score == score && !is_first_sampled) =>
+            {
+                best = Some((at, known, best_score));
                 other = other.or(Some((position, instance)));
             }
             before => {
                 other = before.map(|(at, known, _)| (at, known)).or(other);
-                better = Some((position, instance, score));
+                best = Some((position, instance, score));
             }
         }
-        if left == 0 {
+        if remaining == 0 {
             break;
         }
     }
-    let (position, instance, _) = better?;
+    let (position, instance, _) = best?;
     let warmth = instance.warmth(now_ms);
-    let given_cold = warmth == 100 || rng.u64(..100) < warmth;
+    let accepts_despite_warm_up = warmth == 100 || rng.u64(..100) < warmth;
     match other {
-        Some((at, other)) if !given_cold && other.warmth(now_ms) > warmth => Some(at),
+        Some((at, other)) if !accepts_despite_warm_up && other.warmth(now_ms) > warmth => Some(at),
         _ => Some(position),
     }
 }
--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -1,7 +1,7 @@
 //! What the entry's admission learns: the level of load, who calls whom, and what are calls.
 
 use sorrelturn_policy::{
-    CallGraph, Candidate, FirstTries, LEVEL_STEPS, LearnedThreshold, LoadLevel, Origins,
+    CallGraph, Candidate, FirstTries, LEVEL_STEPS, LearnedThreshold, Origins, SheddingLevel,
     bucket_of_return, refuses,
 };
 use sorrelturn_protocol::Priority;
@@ -25,7 +25,7 @@
 
 /// Returns the share of slots that is asked for at each step, and the last level.
 fn play_whole(load: f64, delay: usize, steps: u32) -> (Vec<f64>, u16) {
-    let mut level = LoadLevel::new(Duration::ZERO);
+    let mut level = SheddingLevel::new(Duration::ZERO);
     let mut told = vec![0; delay];
     let mut asked = Vec::new();
     let mut owed = 0.0;
@@ -43,7 +43,7 @@
             level.arrived(heard);
             level.finished(WORK);
         }
-        level.passed(STEP * step, 0, SLOTS);
+        level.update(STEP * step, 0, SLOTS);
         told.push(level.level());
         asked.push(used);
     }
@@ -90,8 +90,8 @@
 
 #[test]
 fn instances_that_hear_of_one_another_do_not_drift_apart() {
-    let mut busy = LoadLevel::new(Duration::ZERO);
-    let mut idle = LoadLevel::new(Duration::ZERO);
+    let mut busy = SheddingLevel::new(Duration::ZERO);
+    let mut idle = SheddingLevel::new(Duration::ZERO);
     for step in 1..=1_000 {
         let mean = (busy.level() + idle.level()) / 2;
         for (level, count) in [(&mut busy, 12), (&mut idle, 8)] {
@@ -99,7 +99,7 @@
                 level.arrived(mean);
                 level.finished(WORK);
             }
-            level.passed(STEP * step, 0, SLOTS);
+            level.update(STEP * step, 0, SLOTS);
         }
     }
     let apart = busy.level().abs_diff(idle.level());
@@ -170,14 +170,14 @@
     };
     let mut origins = Origins::default();
     for _ in 0..9 {
-        origins.saw("look-up", "archive");
+        origins.record("look-up", "archive");
     }
     assert!(!origins.are_calls("look-up", 4, share_of));
-    origins.saw("look-up", "archive");
+    origins.record("look-up", "archive");
     assert!(origins.are_calls("look-up", 4, share_of));
     // Callers on all VMs: the first twenty come from the two largest services once in thirty times.
     for at in 0..20 {
-        origins.saw("read", if at % 2 == 0 { "archive" } else { "seals" });
+        origins.record("read", if at % 2 == 0 { "archive" } else { "seals" });
     }
     assert!(!origins.are_calls("read", 4, share_of));
 }
@@ -207,10 +207,10 @@
 fn requests_from_few_services_are_calls() {
     let mut origins = Origins::default();
     for number in 0..100 {
-        origins.saw("call", "a");
-        origins.saw("root", ["a", "b", "c", "d"][number % 4]);
+        origins.record("call", "a");
+        origins.record("root", ["a", "b", "c", "d"][number % 4]);
     }
-    origins.saw("rare", "a");
+    origins.record("rare", "a");
     assert!(origins.are_calls("call", 4, |_| 1.0));
     assert!(!origins.are_calls("root", 4, |_| 1.0));
     assert!(!origins.are_calls("rare", 4, |_| 1.0));
@@ -251,12 +251,12 @@
 
 #[test]
 fn a_daemon_that_runs_late_asks_for_less_though_slots_are_free() {
-    let mut level = LoadLevel::new(Duration::ZERO);
+    let mut level = SheddingLevel::new(Duration::ZERO);
     for step in 1..=100 {
         level.arrived(0);
         level.finished(WORK);
-        level.lags(Duration::from_millis(90));
-        level.passed(STEP * step, 0, SLOTS);
+        level.set_lag(Duration::from_millis(90));
+        level.update(STEP * step, 0, SLOTS);
     }
     assert!(level.level() > LEVEL_STEPS / 4, "{}", level.level());
 }
@@ -332,7 +332,7 @@
     for _ in 0..100 {
         graph.called("child", &[candidate("old", true, 1)]);
         graph.ended("old", Duration::from_millis(10));
-        origins.saw("old", "a");
+        origins.record("old", "a");
     }
     assert_eq!(graph.calls("old"), ["child"]);
     assert!(origins.are_calls("old", 4, |_| 1.0));
--- a/crates/sorrelturn-policy/tests/presence.rs
+++ b/crates/sorrelturn-policy/tests/presence.rs
@@ -1,7 +1,7 @@
 //! Which backend server stands beside the daemon: late news, replacements and leaving.
 
 use proptest::prelude::*;
-use sorrelturn_policy::{Heard, Now, Presence};
+use sorrelturn_policy::{AnnouncementEffect, Now, Presence};
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::time::Duration;
 
@@ -21,39 +21,39 @@
 fn a_backend_server_that_leaves_never_comes_back_by_late_news() {
     let mut presence = Presence::default();
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Ready, 1)),
-        Heard::NowReady
+        presence.receive(NOW, news("a", BackendState::Ready, 1)),
+        AnnouncementEffect::NowReady
     );
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Draining, 4)),
-        Heard::NowLeaving
+        presence.receive(NOW, news("a", BackendState::Draining, 4)),
+        AnnouncementEffect::NowLeaving
     );
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Ready, 3)),
-        Heard::Late
+        presence.receive(NOW, news("a", BackendState::Ready, 3)),
+        AnnouncementEffect::Outdated
     );
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Ready, 9)),
-        Heard::Late
+        presence.receive(NOW, news("a", BackendState::Ready, 9)),
+        AnnouncementEffect::Outdated
     );
     assert_eq!(presence.serving(), None);
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Gone, 5)),
-        Heard::Known
+        presence.receive(NOW, news("a", BackendState::Gone, 5)),
+        AnnouncementEffect::NoChange
     );
 }
 
 #[test]
 fn a_new_run_takes_the_place_of_the_old_one_for_good() {
     let mut presence = Presence::default();
-    presence.hear(NOW, news("a", BackendState::Ready, 7));
+    presence.receive(NOW, news("a", BackendState::Ready, 7));
     assert_eq!(
-        presence.hear(NOW, news("b", BackendState::Ready, 1)),
-        Heard::NowReady
+        presence.receive(NOW, news("b", BackendState::Ready, 1)),
+        AnnouncementEffect::NowReady
     );
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Ready, 8)),
-        Heard::Late
+        presence.receive(NOW, news("a", BackendState::Ready, 8)),
+        AnnouncementEffect::Outdated
     );
     assert_eq!(presence.serving(), Some("b"));
 }
@@ -61,20 +61,20 @@
 #[test]
 fn leaving_counts_even_if_its_news_overtakes_or_is_overtaken() {
     let mut presence = Presence::default();
-    presence.hear(NOW, news("a", BackendState::Ready, 9));
+    presence.receive(NOW, news("a", BackendState::Ready, 9));
     assert_eq!(
-        presence.hear(NOW, news("a", BackendState::Draining, 8)),
-        Heard::NowLeaving
+        presence.receive(NOW, news("a", BackendState::Draining, 8)),
+        AnnouncementEffect::NowLeaving
     );
 }
 
 #[test]
 fn an_answer_under_another_id_tells_of_a_new_run_once() {
     let mut presence = Presence::default();
-    presence.hear(NOW, news("a", BackendState::Ready, 3));
-    assert!(presence.answered_as(NOW, "b"));
-    assert!(!presence.answered_as(NOW, "b"));
-    assert!(!presence.answered_as(NOW, "a"));
+    presence.receive(NOW, news("a", BackendState::Ready, 3));
+    assert!(presence.record_answer_from(NOW, "b"));
+    assert!(!presence.record_answer_from(NOW, "b"));
+    assert!(!presence.record_answer_from(NOW, "a"));
     assert_eq!(presence.serving(), Some("b"));
 }
 
@@ -93,92 +93,92 @@
 #[test]
 fn a_restart_under_the_same_id_after_a_crash_takes_work_and_counts_anew() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(100, BackendState::Ready, 9));
-    let heard = presence.hear(at(2), of_run(200, BackendState::Ready, 1));
-    assert_eq!(heard, Heard::NowReady);
-    let heard = presence.hear(at(4), of_run(200, BackendState::Draining, 2));
-    assert_eq!(heard, Heard::NowLeaving);
+    presence.receive(at(0), of_run(100, BackendState::Ready, 9));
+    let heard = presence.receive(at(2), of_run(200, BackendState::Ready, 1));
+    assert_eq!(heard, AnnouncementEffect::NowReady);
+    let heard = presence.receive(at(4), of_run(200, BackendState::Draining, 2));
+    assert_eq!(heard, AnnouncementEffect::NowLeaving);
 }
 
 #[test]
 fn a_restart_under_the_same_id_after_a_planned_end_takes_work() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(100, BackendState::Ready, 3));
-    presence.hear(at(1), of_run(100, BackendState::Gone, u64::MAX));
+    presence.receive(at(0), of_run(100, BackendState::Ready, 3));
+    presence.receive(at(1), of_run(100, BackendState::Gone, u64::MAX));
     assert_eq!(presence.serving(), None);
-    let heard = presence.hear(at(2), of_run(200, BackendState::Ready, 1));
-    assert_eq!(heard, Heard::NowReady);
+    let heard = presence.receive(at(2), of_run(200, BackendState::Ready, 1));
+    assert_eq!(heard, AnnouncementEffect::NowReady);
     assert_eq!(presence.serving(), Some("a"));
 }
 
 #[test]
 fn news_of_an_earlier_run_never_touches_the_later_one() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(100, BackendState::Ready, 3));
-    presence.hear(at(1), of_run(200, BackendState::Ready, 1));
+    presence.receive(at(0), of_run(100, BackendState::Ready, 3));
+    presence.receive(at(1), of_run(200, BackendState::Ready, 1));
     for state in [
         BackendState::Draining,
         BackendState::Gone,
         BackendState::Ready,
     ] {
-        let heard = presence.hear(at(2), of_run(100, state, 50));
-        assert_eq!(heard, Heard::Late);
+        let heard = presence.receive(at(2), of_run(100, state, 50));
+        assert_eq!(heard, AnnouncementEffect::Outdated);
     }
     assert_eq!(
         presence.current(),
         Some(&of_run(200, BackendState::Ready, 1))
     );
     // The same where the earlier run was never heard of.
-    let heard = presence.hear(at(2), of_run(150, BackendState::Draining, 50));
-    assert_eq!(heard, Heard::Doubtful);
+    let heard = presence.receive(at(2), of_run(150, BackendState::Draining, 50));
+    assert_eq!(heard, AnnouncementEffect::Unconfirmed);
     assert_eq!(presence.serving(), Some("a"));
 }
 
 #[test]
 fn a_run_after_a_step_back_of_the_clock_is_taken_once_the_known_one_is_silent() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(200, BackendState::Ready, 9));
-    let early = presence.hear(at(2), of_run(100, BackendState::Ready, 1));
-    assert_eq!(early, Heard::Doubtful);
-    let later = presence.hear(at(5), of_run(100, BackendState::Ready, 3));
-    assert_eq!(later, Heard::NowReady);
-    let own = presence.hear(at(6), of_run(100, BackendState::Draining, 4));
-    assert_eq!(own, Heard::NowLeaving);
+    presence.receive(at(0), of_run(200, BackendState::Ready, 9));
+    let early = presence.receive(at(2), of_run(100, BackendState::Ready, 1));
+    assert_eq!(early, AnnouncementEffect::Unconfirmed);
+    let later = presence.receive(at(5), of_run(100, BackendState::Ready, 3));
+    assert_eq!(later, AnnouncementEffect::NowReady);
+    let own = presence.receive(at(6), of_run(100, BackendState::Draining, 4));
+    assert_eq!(own, AnnouncementEffect::NowLeaving);
 }
 
 #[test]
 fn a_living_run_that_late_news_had_replaced_is_back_within_seconds() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(200, BackendState::Ready, 1));
+    presence.receive(at(0), of_run(200, BackendState::Ready, 1));
     // It is frozen, and what was held up of an earlier run comes in.
-    presence.hear(at(10), of_run(100, BackendState::Ready, 7));
+    presence.receive(at(10), of_run(100, BackendState::Ready, 7));
     for second in 11..14 {
-        let heard = presence.hear(at(second), of_run(200, BackendState::Ready, second));
-        assert_eq!(heard, Heard::Late);
+        let heard = presence.receive(at(second), of_run(200, BackendState::Ready, second));
+        assert_eq!(heard, AnnouncementEffect::Outdated);
     }
-    let heard = presence.hear(at(15), of_run(200, BackendState::Ready, 15));
-    assert_eq!(heard, Heard::NowReady);
+    let heard = presence.receive(at(15), of_run(200, BackendState::Ready, 15));
+    assert_eq!(heard, AnnouncementEffect::NowReady);
 }
 
 #[test]
 fn what_has_left_is_not_brought_back_by_an_earlier_run() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(100, BackendState::Ready, 1));
-    presence.hear(at(1), of_run(200, BackendState::Ready, 1));
-    presence.hear(at(2), of_run(200, BackendState::Draining, 2));
-    let heard = presence.hear(at(60), of_run(100, BackendState::Ready, 9));
-    assert_eq!(heard, Heard::Late);
+    presence.receive(at(0), of_run(100, BackendState::Ready, 1));
+    presence.receive(at(1), of_run(200, BackendState::Ready, 1));
+    presence.receive(at(2), of_run(200, BackendState::Draining, 2));
+    let heard = presence.receive(at(60), of_run(100, BackendState::Ready, 9));
+    assert_eq!(heard, AnnouncementEffect::Outdated);
     assert_eq!(presence.serving(), None);
 }
 
 #[test]
 fn where_runs_tell_their_start_news_without_one_names_none() {
     let mut presence = Presence::default();
-    presence.hear(at(0), of_run(100, BackendState::Ready, 1));
-    let heard = presence.hear(at(1), news("a", BackendState::Gone, 7));
-    assert_eq!(heard, Heard::Foreign);
-    let heard = presence.hear(at(1), news("b", BackendState::Ready, 7));
-    assert_eq!(heard, Heard::Foreign);
+    presence.receive(at(0), of_run(100, BackendState::Ready, 1));
+    let heard = presence.receive(at(1), news("a", BackendState::Gone, 7));
+    assert_eq!(heard, AnnouncementEffect::Foreign);
+    let heard = presence.receive(at(1), news("b", BackendState::Ready, 7));
+    assert_eq!(heard, AnnouncementEffect::Foreign);
     assert_eq!(
         presence.current(),
         Some(&of_run(100, BackendState::Ready, 1))
@@ -188,11 +188,11 @@
 #[test]
 fn a_run_that_was_known_by_an_answer_gets_its_start_from_its_first_announcement() {
     let mut presence = Presence::default();
-    assert!(presence.answered_as(at(0), "a"));
-    let heard = presence.hear(at(1), of_run(100, BackendState::Ready, 1));
-    assert_eq!(heard, Heard::NowReady);
-    let heard = presence.hear(at(2), of_run(100, BackendState::Draining, 2));
-    assert_eq!(heard, Heard::NowLeaving);
+    assert!(presence.record_answer_from(at(0), "a"));
+    let heard = presence.receive(at(1), of_run(100, BackendState::Ready, 1));
+    assert_eq!(heard, AnnouncementEffect::NowReady);
+    let heard = presence.receive(at(2), of_run(100, BackendState::Draining, 2));
+    assert_eq!(heard, AnnouncementEffect::NowLeaving);
 }
 
 proptest! {
@@ -213,7 +213,7 @@
                 (true, 5) if leaves => BackendState::Draining,
                 _ => BackendState::Ready,
             };
-            presence.hear(NOW, of_run(100 + run, state, sequence));
+            presence.receive(NOW, of_run(100 + run, state, sequence));
         }
         prop_assert_eq!(presence.serving(), (!leaves).then_some("a"));
         let current = presence.current().expect("a run is known");
--- a/crates/sorrelturn-policy/tests/retries.rs
+++ b/crates/sorrelturn-policy/tests/retries.rs
@@ -49,8 +49,8 @@
                 repeatable: true,
                 reroutes: 0,
                 attempts_left: share,
-                need,
-                time_left: true,
+                attempts_needed: need,
+                has_time_left: true,
             });
             if step != Step::Retry {
                 return (false, share);
@@ -168,8 +168,8 @@
         repeatable: true,
         reroutes: 0,
         attempts_left: 5,
-        need: 1,
-        time_left: true,
+        attempts_needed: 1,
+        has_time_left: true,
     }
 }
 
@@ -225,16 +225,16 @@
 #[test]
 fn refused_callers_are_told_by_how_long_the_entry_has_refused() {
     let mut rng = fastrand::Rng::with_seed(5);
-    let mut refusing = Refusing::default();
+    let mut refusing = RefusalStreak::default();
     let at = Duration::from_millis;
     let told: Vec<Duration> = (0..100)
-        .map(|number| refusing.refused(at(1_000 + number * 100), &mut rng))
+        .map(|number| refusing.record_refusal(at(1_000 + number * 100), &mut rng))
         .collect();
     let mean = |told: &[Duration]| told.iter().sum::<Duration>() / told.len() as u32;
     assert!(mean(&told[..10]) < at(1_500), "{told:?}");
     assert!(mean(&told[90..]) > at(7_000), "{told:?}");
     assert!(told.iter().all(|told| *told <= at(45_000)));
     // After a quiet time another pressure begins.
-    let told = refusing.refused(at(14_000), &mut rng);
+    let told = refusing.record_refusal(at(14_000), &mut rng);
     assert!(told <= at(1_500), "{told:?}");
 }
--- a/crates/sorrelturn-policy/tests/retry_window.rs
+++ b/crates/sorrelturn-policy/tests/retry_window.rs
@@ -70,7 +70,7 @@
             for (window, part) in windows.iter_mut().zip(&stretch.parts) {
                 let sends = stretch.load * part / whole;
                 for _ in 0..sends {
-                    window.sent(now);
+                    window.record_first_attempt(now);
                 }
                 first += f64::from(sends);
                 for _ in 0..sends * stretch.wants_percent / 100 {
@@ -138,7 +138,7 @@
     let taken = (0..20).filter(|_| window.take(now)).count();
     assert_eq!(taken, 1);
     for _ in 0..100 {
-        window.sent(now);
+        window.record_first_attempt(now);
     }
     let later = now + STEP * 2;
     let taken = (0..100).filter(|_| window.take(later)).count();
@@ -153,7 +153,7 @@
         for step in 0..80 {
             let at = now + STEP * step;
             for _ in 0..10 {
-                window.sent_for_repeat(at, repeated);
+                window.record_call_of_repeat(at, repeated);
             }
         }
         let last = now + STEP * 79;
--- a/crates/sorrelturn-policy/tests/routing.rs
+++ b/crates/sorrelturn-policy/tests/routing.rs
@@ -122,7 +122,7 @@
 fn an_instance_whose_backend_server_turns_calls_away_is_avoided_and_tried_again() {
     let instances = service(3);
     for _ in 0..40 {
-        report(&instances[0], ms(0), InstanceReport::Erred);
+        report(&instances[0], ms(0), InstanceReport::BackendError);
         for healthy in &instances[1..] {
             report(healthy, ms(0), InstanceReport::Answered { load: 60 });
         }
