--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -16,7 +16,7 @@
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use smol::Timer;
 use sorrelturn_platform::http::exchange;
-use sorrelturn_policy::AnnouncementEffect;
+use sorrelturn_policy::PresenceChange;
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{sync::Arc, time::Duration};
 
@@ -94,15 +94,11 @@
 async fn take(node: &Arc<Node>, routed: &Routed, news: Announcement, slots: u32) -> Response<Body> {
     let leaves = news.state != BackendState::Ready;
     match heard(node, routed, news) {
-        AnnouncementEffect::Foreign => return status(StatusCode::BAD_REQUEST),
+        PresenceChange::Foreign => return status(StatusCode::BAD_REQUEST),
         // An acknowledgement would bind a run that nothing follows for.
-        AnnouncementEffect::Unconfirmed if leaves => {
-            return status(StatusCode::SERVICE_UNAVAILABLE);
-        }
-        AnnouncementEffect::Outdated | AnnouncementEffect::Unconfirmed => return accepted(),
-        AnnouncementEffect::NoChange
-        | AnnouncementEffect::NowReady
-        | AnnouncementEffect::NowLeaving => {}
+        PresenceChange::Unconfirmed if leaves => return status(StatusCode::SERVICE_UNAVAILABLE),
+        PresenceChange::Outdated | PresenceChange::Unconfirmed => return accepted(),
+        PresenceChange::NoChange | PresenceChange::NowReady | PresenceChange::NowLeaving => {}
     }
     heard_slots(node, routed, slots);
     if leaves {
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -10,9 +10,7 @@
 };
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use sorrelturn_bundle::Bundle;
-use sorrelturn_policy::{
-    AnnouncementEffect, CallGraph, GateConfig, LeavingCause, Origins, Presence,
-};
+use sorrelturn_policy::{CallGraph, GateConfig, LeavingCause, Origins, Presence, PresenceChange};
 use sorrelturn_protocol::{Announcement, BackendState};
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -156,7 +154,7 @@
 }
 
 /// Takes an announcement; returns what followed from it.
-pub(crate) fn heard(node: &Arc<Node>, routed: &Routed, news: Announcement) -> AnnouncementEffect {
+pub(crate) fn heard(node: &Arc<Node>, routed: &Routed, news: Announcement) -> PresenceChange {
     let fields = vec![
         Field::new("backend", &news.id),
         Field::new("born", news.born.unwrap_or_default()),
@@ -166,19 +164,17 @@
     let before = routed.current();
     let heard = lock(&routed.presence).receive(node.now(), news);
     match heard {
-        AnnouncementEffect::NowReady => {
+        PresenceChange::NowReady => {
             node.note(&events::BACKEND_READY, fields);
             note_replaced(node, routed, before.as_ref());
             takes_work(node, routed);
         }
-        AnnouncementEffect::NowLeaving => {
+        PresenceChange::NowLeaving => {
             node.note(&events::BACKEND_LEAVING, fields);
             takes_no_work(node, routed);
         }
-        AnnouncementEffect::NoChange
-        | AnnouncementEffect::Outdated
-        | AnnouncementEffect::Unconfirmed => {}
-        AnnouncementEffect::Foreign => {
+        PresenceChange::NoChange | PresenceChange::Outdated | PresenceChange::Unconfirmed => {}
+        PresenceChange::Foreign => {
             note_foreign(node, routed, "it doesn't tell when its run started")
         }
     }
--- a/crates/sorrelturn-policy/src/shedding_level.rs
+++ b/crates/sorrelturn-policy/src/load_level.rs
@@ -1,70 +1,64 @@
-//! How much of the work for one service has to be refused where it begins.
+//! The shedding level of a service: the share of its root requests that entry daemons refuse.
 //! See `docs/design/entry-admission.md`.
 
 use crate::Now;
 use std::time::Duration;
 
-/// How often the level is set anew. Shorter windows hold too few requests of a small backend
-/// server, longer ones add to the delay of the loop.
+/// Interval at which the level is recomputed.
 const WINDOW: Duration = Duration::from_millis(50);
-/// The part of its slots that a backend server may be asked for: above it, waits begin to grow and
-/// some backend servers slow down (their knee is at 0.95).
+/// Share of its slots that a backend server should have in use. Above it, queueing delay grows.
 const TARGET_LOAD: f64 = 0.92;
-/// The load is smoothed over about so many windows. It doesn't depend on what the level refuses, so smoothing it
-/// adds nothing to the delay of the loop; in half a second, a backend server of 36 slots sees some 400 requests.
+/// Number of windows over which the load is averaged.
 const LOAD_SMOOTHING_WINDOWS: f64 = 12.0;
-/// Requests that wait are to be worked off in about this time: twice the way of a request through its chain of
-/// calls, or what was refused for them would come on top of what has been worked off meanwhile.
+/// Time in which the backlog of queued requests should drain.
 const DRAIN_TIME: Duration = Duration::from_millis(1_000);
-/// The least part of the target that is admitted while requests wait.
+/// Minimum fraction of the target load that is admitted while a backlog drains.
 const MIN_TARGET_FRACTION: f64 = 0.5;
-/// What a window in which the daemon runs late adds to the level, for each part of the scale below; and what a
-/// window takes back in which it doesn't, for each part of the slots that isn't asked for.
+/// Gain of the feedback loop that adapts the level to the lag of the daemon.
 const LAG_GAIN: f64 = 0.15;
-/// The mean time of a request is smoothed over about so many.
+/// Number of requests over which the mean service time is averaged.
 const TIME_SMOOTHING_REQUESTS: f64 = 50.0;
-/// A daemon that runs less late than this has processor time left; where it is given out in pieces of
-/// a tenth of a second, some wait is usual.
+/// Scheduling lag below which the daemon counts as having spare processor time. CPU quotas are
+/// enforced in periods of 100 ms, so some lag is normal.
 const TOLERATED_LAG: Duration = Duration::from_millis(30);
-/// So much more counts like twice the work that the slots can do.
+/// Excess lag that counts like an overload of 100 % of the slots.
 const LAG_SCALE: Duration = Duration::from_millis(100);
-/// The most that running late counts for.
+/// Maximum excess lag, in units of [`LAG_SCALE`], that one window accounts for.
 const MAX_LAG_STEP: f64 = 0.5;
-/// The level's unit on the wire: so many steps refuse all that may be refused of one rank.
+/// Number of steps on the wire that stand for a level of 1.0, which sheds one rank as far as
+/// allowed.
 pub const LEVEL_STEPS: u16 = 256;
-/// The largest share of a rank that is refused for the sake of others: no kind may be starved. The level holds it
-/// exactly, so with three times the load of its slots 0.80 leaves critical requests 84 in 100 in good time at the first
-/// try (0.75: 75) and the lowest rank 32 (0.75: 36), by `sorrelturn-bench returns` with one of three instances left.
+/// Maximum share of a rank that is refused in favor of others, so that no kind of request starves.
 const MAX_REFUSED_FRACTION: f64 = 0.80;
-/// What may be refused besides once all ranks have given that up.
+/// Share of all requests that may be refused in addition once every rank is at its maximum.
 const MAX_EXTRA_REFUSED_FRACTION: f64 = 0.16;
-/// The highest level: the two ranks that the users' route tables have, and one for all alike. Higher,
-/// it would only take longer to come down.
+/// Highest level: one for each of the two ranks of root requests, and one for all ranks together.
 const MAX_LEVEL: f64 = 3.0;
 
-/// Works out the level from the load as it would be if nothing were refused.
+/// Computes the level from the load that would arrive if nothing were refused.
 ///
-/// Each request tells at which level its root was admitted, and so for how many it stands that were not. What they
-/// stand for is the load, whatever the level is and was: the level that load_level it follows at once, and doesn't swing
-/// with the time that requests take from their entry to here. Up to 1 it refuses so much of the lowest rank of root
-/// requests, from 1 to 2 all that may be refused of it and so much of the next, and so on; see [`refuses`].
+/// Each request carries the level at which its root was admitted, which tells how many refused
+/// requests it represents. Their sum is the offered load, independent of the current level, so the
+/// matching level follows directly and doesn't oscillate with the delay between entry and backend
+/// server. Levels from 0 to 1 refuse a growing share of the lowest rank of root requests, levels
+/// from 1 to 2 also of the next rank, and so on; see [`refuses`].
 #[derive(Clone, Debug)]
 pub struct SheddingLevel {
     window_start: Now,
-    /// The requests that those stand for that arrived in this window.
+    /// Arrivals in this window, each weighted by the requests that it represents.
     demand: f64,
     mean_service_time_s: f64,
     lag: Duration,
-    /// What would be asked for if nothing were refused, as a multiple of what the slots can do; smoothed.
+    /// Smoothed offered load as a multiple of the capacity of the slots.
     load: f64,
-    /// What running late adds.
+    /// Level added because the daemon lags.
     lag_level: f64,
     level: f64,
     since: Option<Now>,
 }
 
 impl SheddingLevel {
-    /// Starts without pressure.
+    /// Creates a level of zero.
     pub fn new(now: Now) -> Self {
         Self {
             window_start: now,
@@ -78,12 +72,12 @@
         }
     }
 
-    /// A request arrived whose root was admitted at this level, as far as its sender knows.
+    /// Records a request whose root was admitted at `level`, as far as its sender knows.
     pub fn arrived(&mut self, level: u16) {
         self.demand += 1.0 / admitted_fraction(f64::from(level) / f64::from(LEVEL_STEPS));
     }
 
-    /// The backend server service_time so long for a request.
+    /// Records how long the backend server took for a request.
     pub fn finished(&mut self, service_time: Duration) {
         let service_time = service_time.as_secs_f64();
         if self.mean_service_time_s == 0.0 {
@@ -93,12 +87,13 @@
             (service_time - self.mean_service_time_s) / TIME_SMOOTHING_REQUESTS;
     }
 
-    /// The daemon itself runs so late: its processor is asked for too much.
+    /// Sets the scheduling lag of the daemon, a sign that its processor is overloaded.
     pub fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Time has passed; so many requests wait for one of the slots.
+    /// Recomputes the level if a window has ended, given the number of queued requests and of
+    /// slots.
     pub fn update(&mut self, now: Now, queued: usize, slots: u32) {
         let elapsed = now.saturating_sub(self.window_start);
         if elapsed < WINDOW {
@@ -123,7 +118,8 @@
         self.window_start = now;
     }
 
-    /// Slots tell nothing of a processor that is asked for too much, so what it takes is felt out.
+    /// Adapts the lag level step by step, since the number of slots says nothing about processor
+    /// load.
     fn update_lag_level(&mut self, target: f64, load_level: f64, windows: f64) {
         let excess_lag =
             self.lag.saturating_sub(TOLERATED_LAG).as_secs_f64() / LAG_SCALE.as_secs_f64();
@@ -137,26 +133,27 @@
         self.lag_level = (self.lag_level + step).clamp(0.0, MAX_LEVEL);
     }
 
-    /// The level in steps.
+    /// Returns the level in steps of 1/[`LEVEL_STEPS`].
     pub fn level(&self) -> u16 {
         (self.level * f64::from(LEVEL_STEPS)) as u16
     }
 
-    /// How long the pressure has lasted; `None` while there is none.
+    /// Returns how long the level has been above zero, or `None` if it is zero.
     pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
         self.since.map(|since| now.saturating_sub(since))
     }
 }
 
-/// The part of the load that a level admits, if two ranks have half of it each. Where they haven't, the load is
-/// estimated wrong by as much as the level that it leads to, and the two cancel out.
+/// Returns the fraction of the load that a level admits, assuming that two ranks have half of the
+/// load each. If they don't, the estimated load is off by the same factor as the level derived from
+/// it, and the errors cancel out.
 fn admitted_fraction(level: f64) -> f64 {
     let refused = (refused_fraction_of_rank(level, 0) + refused_fraction_of_rank(level, 1)) / 2.0;
     let extra = (level - 2.0).clamp(0.0, 1.0) * MAX_EXTRA_REFUSED_FRACTION;
     1.0 - refused - extra
 }
 
-/// The lowest level that admits no more than this part of the load.
+/// Returns the lowest level that admits at most this fraction of the load.
 fn level_that_admits(fraction: f64) -> f64 {
     let refused = (1.0 - fraction).max(0.0);
     let rank_levels = refused.min(MAX_REFUSED_FRACTION) / (MAX_REFUSED_FRACTION / 2.0);
@@ -164,14 +161,15 @@
     (rank_levels + extra_level).min(MAX_LEVEL)
 }
 
-/// The share of a rank that a level refuses for the sake of others.
+/// Returns the fraction of a rank that a level refuses in favor of other ranks.
 fn refused_fraction_of_rank(level: f64, rank: usize) -> f64 {
     (level - rank as f64).clamp(0.0, 1.0) * MAX_REFUSED_FRACTION
 }
 
-/// Whether a level refuses a root request that is in the given bucket (0 to 255, lowest first) of
-/// a rank: 0 for the lowest of the `ranks` that root requests have. Beyond the highest rank more is
-/// refused of all alike, so that a service that has lost nearly all of its instances isn't buried.
+/// Returns whether a level refuses a root request in the given bucket (0 to 255, lowest refused
+/// first) of a rank, where 0 is the lowest of the `ranks` of root requests. Levels above `ranks`
+/// refuse more of all ranks alike, which protects a service that has lost nearly all of its
+/// instances.
 pub fn refuses(level: u16, rank: usize, ranks: usize, bucket: u8) -> bool {
     let level = f64::from(level) / f64::from(LEVEL_STEPS);
     let of_rank = refused_fraction_of_rank(level, rank);
--- a/crates/sorrelturn-policy/src/origins.rs
+++ b/crates/sorrelturn-policy/src/origins.rs
@@ -1,30 +1,31 @@
-//! Whether requests of a kind begin with callers or are calls of backend servers, learnt at the
-//! service that answers them. See `docs/design/entry-admission.md`.
+//! Detects whether requests of a kind come from callers or are calls of backend servers, as seen by
+//! the service that serves them. See `docs/design/entry-admission.md`.
 //!
-//! Callers send requests on every VM; a backend server makes its calls on its own. So requests
-//! that come from the VMs of few services only are calls.
+//! Callers send requests from every VM, while a backend server makes calls only from its own VM. So
+//! requests that come from the VMs of only a few services are calls.
 
 use std::collections::HashMap;
 
-/// Before so many requests of a kind, nothing is concluded.
+/// Minimum number of requests of a kind for a decision by the number of services.
 const MIN_REQUESTS: u32 = 40;
-/// A service from whose VMs fewer come, in percent, doesn't count: a few requests go astray.
+/// Services that send a smaller percentage of the requests are ignored, as a few requests are
+/// misattributed.
 const MIN_SHARE_PERCENT: u32 = 3;
-/// Fewer are enough where callers on all VMs would hardly send them all from these few: once in so many times by chance.
-/// A service of half of the VMs is known by ten requests instead of forty, which an instance among many has within a
-/// second of a start.
+/// With fewer requests, a kind counts as calls if callers on all VMs would send all of them from
+/// these services less than once in this many cases.
 const CHANCE_FACTOR: f64 = 1_000.0;
-/// When so many have come, older ones begin to count less.
+/// Number of requests of a kind above which the counts are halved, so that older requests weigh
+/// less.
 const MAX_COUNTED_REQUESTS: u32 = 2_000;
 
-/// Where the requests of each kind come from.
+/// Counts the requests of each kind by the service whose VMs they come from.
 #[derive(Clone, Debug, Default)]
 pub struct Origins {
     by_kind: HashMap<String, HashMap<String, u32>>,
 }
 
 impl Origins {
-    /// A request of a kind came from a VM of a service.
+    /// Records a request of a kind that came from a VM of `caller_service`.
     pub fn record(&mut self, kind: &str, caller_service: &str) {
         let origins = match self.by_kind.get_mut(kind) {
             Some(origins) => origins,
@@ -41,13 +42,13 @@
         }
     }
 
-    /// Forgets kinds that no longer exist.
+    /// Removes kinds that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.by_kind.retain(|kind, _| exists(kind));
     }
 
-    /// Whether requests of a kind are calls of backend servers, in a fleet of so many services; `share_of` tells the
-    /// part of all VMs that a service has.
+    /// Returns whether requests of a kind are calls of backend servers, in a fleet with this number
+    /// of services. `share_of` returns a service's share of all VMs.
     pub fn are_calls(&self, kind: &str, services: usize, share_of: impl Fn(&str) -> f64) -> bool {
         let Some(origins) = self.by_kind.get(kind) else {
             return false;
--- a/crates/sorrelturn-policy/src/presence.rs
+++ b/crates/sorrelturn-policy/src/presence.rs
@@ -1,37 +1,39 @@
-//! Which backend server stands beside the daemon, and whether it takes work.
+//! Tracks the backend server beside the daemon and whether it accepts work.
 //! See `docs/design/running-on-the-platform.md`.
 
 use crate::Now;
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{collections::VecDeque, time::Duration};
 
-/// So many earlier runs are remembered, so that late announcement of them is recognised. One replacement takes
-/// seconds and announcement is late by seconds, so a handful is enough.
+/// Maximum number of earlier incarnations that are remembered, so that delayed announcements of
+/// them are recognized.
 const MAX_EARLIER_INCARNATIONS: usize = 8;
 
-/// A run that has said nothing for so long may be followed by one that seems to have started before it.
-/// Backend servers announce themselves every 1.5 s, so a living one misses two announcements by then.
+/// Silence of the current incarnation after which one with an earlier start time may replace it.
+/// Backend servers announce themselves every 1.5 s, so a live one misses two announcements by then.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What supersedes_current from an announcement.
+/// The result of processing an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnnouncementEffect {
-    /// Nothing new.
+pub enum PresenceChange {
+    /// The announcement changes nothing.
     NoChange,
-    /// It was sent before something that is known already.
+    /// The announcement is older than what is already known.
     Outdated,
-    /// It is of a run that was never heard of and seems to have started before the known one: held up, or
-    /// sent after a step back of the clock. Nothing supersedes_current from it yet.
+    /// The announcement comes from an unknown incarnation that seems to have started before the
+    /// current one, either because it was delayed or because the clock stepped back. It has no
+    /// effect yet.
     Unconfirmed,
-    /// It doesn't say which run it is of, and the runs here do: somebody else wrote it.
+    /// The announcement lacks a start time although the backend servers here send one, so it comes
+    /// from another sender.
     Foreign,
-    /// A backend server that takes work is there, or takes work anew.
+    /// A backend server accepts work, or accepts it again.
     NowReady,
-    /// The backend server leaves: nothing more may be handed to it.
+    /// The backend server is leaving and must not get any more requests.
     NowLeaving,
 }
 
-/// One run of a backend server: a restart may keep the id, but not the time of the start.
+/// One incarnation of a backend server. A restart may keep the id, but not the start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct BackendIncarnation {
     id: String,
@@ -51,39 +53,42 @@
     }
 }
 
-/// The backend server beside a daemon, as far as it is known.
+/// What is known of the backend server beside a daemon.
 ///
-/// A run is told by its id and its start. Between two runs of one id, the later start decides; but clocks step, and
-/// a run that started after a step back seems to be the earlier one. It is taken once the known run has been silent
-/// for longer than a living one is. Until then the daemon goes on under the same id, which is no harm: requests
-/// carry the id alone, and what leaves isn't acknowledged for a run that isn't the known one.
+/// An incarnation is identified by its id and its start time. Of two incarnations with one id, the
+/// one with the later start time is current. As clocks may step back, an incarnation with an
+/// earlier start time also becomes current once the known one has been silent for longer than a
+/// live one would be. Until then the daemon keeps using the same id. This is safe: requests carry
+/// only the id, and a leaving announcement is acknowledged only for the current incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     current: Option<Announcement>,
-    /// Whether the current run has announced itself, and wasn't told by an answer alone.
+    /// Whether the current incarnation has announced itself, rather than being known from an answer
+    /// alone.
     has_announced: bool,
     last_update: Now,
     earlier: VecDeque<BackendIncarnation>,
-    /// Runs here tell when they started.
+    /// Whether backend servers here send their start time.
     sends_start_time: bool,
 }
 
 impl Presence {
-    /// The id of the backend server that takes work now.
+    /// Returns the id of the backend server that accepts work.
     pub fn serving(&self) -> Option<&str> {
         let current = self.current.as_ref()?;
         (current.state == BackendState::Ready).then_some(current.id.as_str())
     }
 
-    /// What is known of the backend server, in whatever state it is.
+    /// Returns the last known announcement of the backend server, whatever its state.
     pub fn current(&self) -> Option<&Announcement> {
         self.current.as_ref()
     }
 
-    /// Takes an announcement. A run that leaves never comes back; a new run has another id or another start.
-    pub fn receive(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
+    /// Processes an announcement. An incarnation that is leaving never becomes ready again; a new
+    /// incarnation has another id or start time.
+    pub fn receive(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         if announcement.born.is_none() && self.sends_start_time {
-            return AnnouncementEffect::Foreign;
+            return PresenceChange::Foreign;
         }
         self.sends_start_time |= announcement.born.is_some();
         let Some(current) = &self.current else {
@@ -103,14 +108,14 @@
             .iter()
             .any(|earlier| earlier.matches(&announcement))
         {
-            AnnouncementEffect::Outdated
+            PresenceChange::Outdated
         } else {
-            AnnouncementEffect::Unconfirmed
+            PresenceChange::Unconfirmed
         }
     }
 
-    /// Another backend server answered at the address: the known one has ended. Returns whether
-    /// this is announcement.
+    /// Records that the backend server with this id answered at the address; if it isn't the known
+    /// one, that one has ended. Returns whether this is new.
     pub fn record_answer_from(&mut self, now: Now, id: &str) -> bool {
         let is_current = self
             .current
@@ -130,8 +135,8 @@
         true
     }
 
-    /// Whether the current run is known by an answer alone, which doesn't tell its start, and this is its first
-    /// announcement.
+    /// Returns whether the current incarnation is known only from an answer, which carries no start
+    /// time, and this is its first announcement.
     fn is_first_announcement(&self, announcement: &Announcement) -> bool {
         let current = self.current.as_ref();
         let has_same_id = current.is_some_and(|current| current.id == announcement.id);
@@ -142,25 +147,21 @@
         has_same_id && is_unseen && !self.has_announced && announcement.born.is_some()
     }
 
-    fn adopt_first_announcement(
-        &mut self,
-        now: Now,
-        announcement: Announcement,
-    ) -> AnnouncementEffect {
+    fn adopt_first_announcement(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         let is_leaving = announcement.state != BackendState::Ready;
         self.current = Some(announcement);
         self.has_announced = true;
         self.last_update = now;
         if is_leaving {
-            AnnouncementEffect::NowLeaving
+            PresenceChange::NowLeaving
         } else {
-            AnnouncementEffect::NowReady
+            PresenceChange::NowReady
         }
     }
 
-    fn update_current(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
+    fn update_current(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         let Some(current) = &mut self.current else {
-            return AnnouncementEffect::Outdated;
+            return PresenceChange::Outdated;
         };
         if announcement.state > current.state {
             current.sequence = current.sequence.max(announcement.sequence);
@@ -168,21 +169,21 @@
             current.state = announcement.state;
             self.last_update = now;
             return if was_ready {
-                AnnouncementEffect::NowLeaving
+                PresenceChange::NowLeaving
             } else {
-                AnnouncementEffect::NoChange
+                PresenceChange::NoChange
             };
         }
         if announcement.state < current.state || announcement.sequence < current.sequence {
-            return AnnouncementEffect::Outdated;
+            return PresenceChange::Outdated;
         }
         current.sequence = announcement.sequence;
         self.has_announced = true;
         self.last_update = now;
-        AnnouncementEffect::NoChange
+        PresenceChange::NoChange
     }
 
-    /// Whether announcement of another run than the current one tells of a later one.
+    /// Returns whether an announcement of another incarnation makes that one current.
     fn supersedes_current(&self, now: Now, announcement: &Announcement) -> bool {
         let Some(current) = &self.current else {
             return true;
@@ -197,8 +198,9 @@
         }
         let is_silent = now >= self.last_update + SILENCE_TIMEOUT;
         let accepts_work = announcement.state == BackendState::Ready;
-        // A run that was replaced and still announces itself was replaced by announcement that came late. But what has left
-        // was acknowledged, and is no proof that an earlier run is alive.
+        // If a replaced incarnation still announces itself, it was replaced because of a delayed
+        // announcement. But if the current one is leaving, that was acknowledged, and an earlier
+        // one doesn't come back.
         let may_take_over = match (was_known, current.state) {
             (true, state) => state == BackendState::Ready && announcement.born.is_some(),
             (false, state) => state != BackendState::Draining,
@@ -206,7 +208,7 @@
         is_silent && accepts_work && may_take_over
     }
 
-    fn replace(&mut self, now: Now, announcement: Announcement) -> AnnouncementEffect {
+    fn replace(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         let was_ready = self.serving().is_some();
         let is_ready = announcement.state == BackendState::Ready;
         self.last_update = now;
@@ -220,9 +222,9 @@
             self.earlier.push_back(BackendIncarnation::of(&previous));
         }
         match (was_ready, is_ready) {
-            (_, true) => AnnouncementEffect::NowReady,
-            (true, false) => AnnouncementEffect::NowLeaving,
-            (false, false) => AnnouncementEffect::NoChange,
+            (_, true) => PresenceChange::NowReady,
+            (true, false) => PresenceChange::NowLeaving,
+            (false, false) => PresenceChange::NoChange,
         }
     }
 }
--- a/crates/sorrelturn-policy/src/pressure.rs
+++ b/crates/sorrelturn-policy/src/pressure.rs
@@ -1,32 +1,32 @@
-//! The threshold that an owner daemon announces: below it, requests are being shed.
+//! The priority threshold that an owner daemon announces: it sheds requests below it.
 //! See `docs/design/admission.md`.
 
 use crate::Now;
 use sorrelturn_protocol::Priority;
 use std::time::Duration;
 
-/// How long requests are counted before the threshold is set anew.
+/// Interval at which the threshold is recomputed.
 const WINDOW: Duration = Duration::from_millis(50);
-/// A mean wait above this is a sign of overload even while nothing is shed.
+/// A higher mean queueing delay indicates overload even while nothing is shed.
 const MAX_MEAN_QUEUEING_DELAY: Duration = Duration::from_millis(10);
-/// Priorities that share a counter.
+/// Number of priorities that share a counter.
 const BUCKET_WIDTH: usize = 8;
 const BUCKETS: usize = (Priority::HIGHEST.0 as usize + 1) / BUCKET_WIDTH;
-/// The share of the admitted requests that an overloaded window aims at for the next one.
+/// Fraction of the requests admitted so far that a raised threshold aims to admit.
 const ADMITTED_FRACTION: f64 = 0.97;
-/// What is left of the counts of earlier windows. A small instance sees a handful of requests in
-/// a window; without memory the threshold follows their noise.
+/// Factor by which the counts of earlier windows decay. Small instances get only a few requests per
+/// window, and without these counts the threshold would follow noise.
 const DECAY_FACTOR: f64 = 0.7;
-/// Quiet windows in which the threshold falls by one step each before the steps double.
+/// Number of quiet windows that lower the threshold by one step each before the steps double.
 const CONSTANT_STEP_WINDOWS: u32 = 4;
 
-/// Counts what arrives by priority and finds the threshold that fits the capacity.
+/// Counts arrivals by priority and finds the threshold that fits the capacity.
 ///
-/// Raising works on a histogram of arrivals, so that it is right at once whatever the mix of
-/// priorities, and never goes above what was really shed here. Lowering can't use it: entry
-/// daemons already shed what it would count. It goes in steps that double while nothing is shed,
-/// and halves the threshold besides while slots stay free, so that the end of an overload is found
-/// in a few windows.
+/// The threshold is raised from a histogram of arrivals, so it fits any mix of priorities at once
+/// and never exceeds what was actually shed here. The histogram can't be used to lower it, because
+/// entry daemons already shed part of the arrivals. Instead, the threshold falls in steps that
+/// double while nothing is shed, and is also halved while slots stay free, so that it reaches zero
+/// within a few windows after an overload.
 #[derive(Clone, Debug)]
 pub struct Pressure {
     window_start: Now,
@@ -42,7 +42,7 @@
 }
 
 impl Pressure {
-    /// Starts without pressure.
+    /// Creates a threshold of zero.
     pub fn new(now: Now) -> Self {
         Self {
             window_start: now,
@@ -58,36 +58,36 @@
         }
     }
 
-    /// A request arrived at the gate.
+    /// Records a request that arrived at the gate.
     pub fn arrived(&mut self, now: Now, priority: Priority) {
         self.advance(now);
         self.arrived[bucket(priority)] += 1.0;
     }
 
-    /// A request was admitted after this wait.
+    /// Records a request that was admitted after this queueing delay.
     pub fn admitted(&mut self, queueing_delay: Duration) {
         self.admitted += 1.0;
         self.admitted_in_window += 1;
         self.queueing_delay_sum += queueing_delay;
     }
 
-    /// Nearly all slots are taken.
+    /// Records that nearly all slots are in use.
     pub fn mark_busy(&mut self) {
         self.is_busy = true;
     }
 
-    /// A request was refused or pushed out for lack of room.
+    /// Records a request that was refused or evicted for lack of capacity.
     pub fn shed(&mut self, priority: Priority) {
         self.highest_shed = self.highest_shed.max(Some(bucket(priority)));
     }
 
-    /// Requests below this priority are being shed.
+    /// Returns the threshold: requests below this priority are shed.
     pub fn threshold(&mut self, now: Now) -> Priority {
         self.advance(now);
         Priority((self.threshold_bucket * BUCKET_WIDTH) as u16)
     }
 
-    /// How long the pressure has lasted; `None` while there is none.
+    /// Returns how long the threshold has been above zero, or `None` if it is zero.
     pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
         self.since.map(|since| now.saturating_sub(since))
     }
@@ -150,7 +150,8 @@
         self.quiet_windows += 1;
         self.threshold_bucket = self.threshold_bucket.saturating_sub(1 << doublings);
         if !self.is_busy {
-            // Slots stayed free through the whole window: what is shed for them is shed in vain.
+            // Slots stayed free through the whole window, so the threshold sheds more than
+            // necessary.
             self.threshold_bucket /= 2;
         }
         if self.threshold_bucket == 0 {
--- a/crates/sorrelturn-policy/src/quarantine.rs
+++ b/crates/sorrelturn-policy/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests crash the backend servers that run them. See `docs/design/quarantine.md`.
+//! Detects requests that crash the backend servers running them. See `docs/design/quarantine.md`.
 
 use crate::Now;
 use sorrelturn_protocol::{Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint};
@@ -7,37 +7,38 @@
     time::Duration,
 };
 
-/// A request that was at work in so many crashes is held. One proves nothing, since all that ran beside the cause is as
-/// suspect; each further one takes a VM with all its work for seconds.
+/// Number of crashes after which a request that was in progress in all of them is quarantined. A
+/// single crash also implicates every request that ran beside its cause.
 pub const CRASHES_TO_QUARANTINE: usize = 2;
-/// What was learnt of a crash counts for so long: many times what a caller goes on trying, and short enough
-/// that a request that was held by mistake, or whose cause was mended, isn't lost for the day.
+/// How long crashes and cleared requests are remembered. It outlasts the retries of a caller, yet
+/// releases a request on the same day if it was quarantined by mistake or its cause was fixed.
 const RETENTION_TIME: Duration = Duration::from_secs(600);
-/// The most crashes that are remembered: those of a failure domain of the largest fleet within [`RETENTION_TIME`].
+/// Maximum number of crashes that are remembered.
 const MAX_CRASHES: usize = 128;
-/// The most names of one crash: two for each of what the largest backend server known has at work (396 slots).
+/// Maximum number of requests recorded for one crash: two names for each request in progress.
 const MAX_REQUESTS_PER_CRASH: usize = 1_024;
-/// The most requests that are remembered as cleared.
+/// Maximum number of cleared requests that are remembered.
 const MAX_CLEARED: usize = 4_096;
 
-/// What is known of requests that were at work when backend servers crashed.
+/// Requests that were in progress when backend servers crashed.
 ///
-/// It only grows until it is forgotten with age, so daemons that have heard the same in any order know the same.
+/// Entries are only added until they expire, so daemons that receive the same updates in any order
+/// reach the same state.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     crash_threshold: usize,
     crashes: VecDeque<Crash>,
-    /// In how many of the crashes each request was at work.
+    /// Number of crashes during which each request was in progress.
     crash_counts: HashMap<RequestFingerprint, usize>,
     cleared: HashMap<RequestFingerprint, Now>,
 }
 
-/// What followed from what was heard.
+/// The changes caused by a received update.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QuarantineUpdate {
-    /// What of it was unknown here, which others have to hear.
+    /// Part of the update that was new to this daemon and must be forwarded to others.
     pub new_reports: CrashNews,
-    /// The requests that are held from now on.
+    /// Requests that the update put into quarantine.
     pub quarantined: Vec<RequestFingerprint>,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Quarantine {
-    /// One that holds a request after so many crashes.
+    /// Creates a quarantine that takes in a request after `crash_threshold` crashes.
     pub fn with_crash_threshold(crash_threshold: usize) -> Self {
         Self {
             crash_threshold,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Takes what somebody learnt.
+    /// Merges an update from another daemon or from this one.
     pub fn receive(&mut self, now: Now, update: &CrashNews) -> QuarantineUpdate {
         self.remove_expired(now);
         let mut new_reports = CrashNews::default();
@@ -95,7 +96,8 @@
         }
     }
 
-    /// The crashes in which any of these requests was at work, and of what was at work only these.
+    /// Returns the crashes during which any of these requests was in progress, reduced to these
+    /// requests.
     pub fn evidence_for(&self, now: Now, requests: &[RequestFingerprint]) -> Vec<CrashReport> {
         if requests.is_empty() {
             return Vec::new();
@@ -108,13 +110,13 @@
         crashes
     }
 
-    /// Whether the crash that was heard of last is the one by which a request is held.
+    /// Returns whether the crash recorded last is the one that quarantines a request.
     fn has_just_reached_threshold(&self, request: RequestFingerprint) -> bool {
         self.crash_counts.get(&request) == Some(&self.crash_threshold)
             && self.is_quarantined(request)
     }
 
-    /// A request ran to its end, and so isn't the cause of a crash. Returns whether that is news.
+    /// Records that a request finished and thus doesn't cause crashes. Returns whether this is new.
     pub fn clear(&mut self, at: Now, request: RequestFingerprint) -> bool {
         let is_new = !self.cleared.contains_key(&request) && self.cleared.len() < MAX_CLEARED;
         if is_new {
@@ -123,13 +125,13 @@
         is_new
     }
 
-    /// Whether a request is kept from backend servers, as of the last time that what is old was forgotten.
+    /// Returns whether a request is quarantined, as of the last removal of expired entries.
     pub fn is_quarantined(&self, request: RequestFingerprint) -> bool {
         let crashes = self.crash_counts.get(&request).copied().unwrap_or_default();
         crashes >= self.crash_threshold && !self.cleared.contains_key(&request)
     }
 
-    /// How long a request is held if nothing more is heard of it.
+    /// Returns how long a request stays quarantined if no further crash is reported.
     pub fn remaining_quarantine(&self, now: Now, request: RequestFingerprint) -> Option<Duration> {
         if !self.is_quarantined(request) {
             return None;
@@ -140,19 +142,19 @@
             .map(|crash| crash.at + RETENTION_TIME)
             .collect();
         expiry_times.sort_unstable();
-        // It is free when fewer than enough are left.
+        // The request is released once fewer crashes than the threshold remain.
         let last = expiry_times.len().checked_sub(self.crash_threshold)?;
         expiry_times[last]
             .checked_sub(now)
             .filter(|remaining| !remaining.is_zero())
     }
 
-    /// Whether nothing is suspected.
+    /// Returns whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.crash_counts.is_empty()
     }
 
-    /// All that is known, for a daemon that knows something else.
+    /// Returns the whole state, for a daemon whose state differs.
     pub fn snapshot(&self, now: Now) -> CrashNews {
         let crashes = self.crashes.iter().map(|crash| CrashReport {
             id: crash.id,
@@ -169,7 +171,7 @@
         }
     }
 
-    /// A sum over all that is known; daemons with equal sums know the same.
+    /// Returns a checksum of the state; daemons with equal checksums have the same state.
     pub fn checksum(&self) -> u64 {
         let crashes = self.crashes.iter().flat_map(|crash| {
             let running = crash.running.iter();
@@ -179,7 +181,7 @@
         crashes.chain(cleared).fold(0, |sum, value| sum ^ value)
     }
 
-    /// Returns the requests that weren't known to have been at work in this crash.
+    /// Records a crash. Returns the requests that weren't yet recorded for it.
     fn record_crash(&mut self, now: Now, report: &CrashReport) -> Vec<RequestFingerprint> {
         let age = Duration::from_millis(report.age_ms);
         if age >= RETENTION_TIME {
@@ -202,7 +204,7 @@
         unknown
     }
 
-    /// Adds a crash in the order of time; returns its index.
+    /// Inserts a crash in chronological order and returns its index.
     fn insert_crash(&mut self, at: Now, id: CrashId) -> usize {
         if self.crashes.len() >= MAX_CRASHES {
             self.remove_oldest_crash();
@@ -213,7 +215,7 @@
         index
     }
 
-    /// Forgets what was learnt too long ago.
+    /// Removes crashes and cleared requests older than the retention time.
     pub fn remove_expired(&mut self, now: Now) {
         let is_expired = |crash: &Crash| crash.at + RETENTION_TIME <= now;
         while self.crashes.front().is_some_and(is_expired) {
@@ -237,7 +239,8 @@
     }
 }
 
-/// Spreads a number over all bits, so that sums of numbers that differ little differ (the finalizer of SplitMix64).
+/// Spreads a number over all bits (the finalizer of SplitMix64), so that checksums of similar
+/// numbers differ.
 fn mix(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/sorrelturn-policy/src/retry.rs
+++ b/crates/sorrelturn-policy/src/retry.rs
@@ -1,51 +1,51 @@
-//! What to do after one attempt at an instance. See `docs/design/retries.md`.
+//! Decides what follows a failed attempt. See `docs/design/retries.md`.
 
 use sorrelturn_protocol::{Refusal, Verdict};
 
-/// How many other instances are asked after refusals that ran nothing.
+/// Maximum number of other instances that are tried after refusals that executed nothing.
 const MAX_REROUTES: u32 = 2;
-/// How many after a refusal for overload: its neighbours are likely to be loaded as well.
+/// Maximum number of other instances that are tried after an overload refusal, since these are
+/// likely to be loaded as well.
 const MAX_OVERLOAD_REROUTES: u32 = 1;
 
-/// How often a call is sent again that backend servers turn away although their daemons had slots for it. Where
-/// they turn 55 in 100 away, 1 in 120 calls is still turned away the eighth time: a tree of eight calls comes
-/// through 93 times in 100, and 20 times with two. What it costs is bounded by the retries that are allowed.
+/// Maximum number of times that a call is sent again after backend servers refused it although
+/// their daemons had free slots. The retry budget limits the cost.
 pub const MAX_BACKEND_REFUSALS: u32 = 7;
 
-/// One attempt that didn't bring a good answer, and what is left for another.
+/// A failed attempt and what remains for further ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// Whether it may have run.
+    /// Whether the request may have been executed.
     pub verdict: Verdict,
-    /// Why it was refused, if it was.
+    /// Why the request was refused, if it was.
     pub refusal: Option<Refusal>,
-    /// Whether the failure lies deeper and was retried there.
+    /// Whether the failure occurred deeper in the call tree and was already retried there.
     pub already_retried: bool,
-    /// Whether a second run harms nobody.
+    /// Whether the request may safely be executed more than once.
     pub repeatable: bool,
-    /// Refusals elsewhere so far.
+    /// Number of reroutes so far.
     pub reroutes: u32,
-    /// The attempts left for this call.
+    /// Number of attempts left for this call.
     pub attempts_left: u32,
-    /// The attempts that another try needs.
+    /// Number of attempts that a retry needs.
     pub attempts_needed: u32,
-    /// Whether the deadline leaves time for another try.
+    /// Whether the deadline leaves time for another attempt.
     pub has_time_left: bool,
 }
 
-/// What to do next.
+/// The next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing ran: ask another instance, at no cost.
+    /// Nothing was executed: try another instance, at no cost.
     Reroute,
-    /// Something may have run: try again, if the retry bucket pays for it.
+    /// The request may have been executed: retry it if the retry budget allows.
     Retry,
-    /// Answer what there is.
+    /// Return the failure to the caller.
     Answer,
 }
 
-/// Decides what follows after a backend server turned a call away so many times. It is not full, since its daemon
-/// had a slot, so another try may well be taken, also by the same one.
+/// Decides what follows after a backend server has refused a call `refusals` times. Its daemon had
+/// a free slot, so another attempt may well succeed, even at the same backend server.
 pub fn step_after_backend_refusal(refusals: u32, has_time_left: bool) -> Step {
     if refusals <= MAX_BACKEND_REFUSALS && has_time_left {
         Step::Reroute
--- a/crates/sorrelturn-policy/src/retry_window.rs
+++ b/crates/sorrelturn-policy/src/retry_window.rs
@@ -1,22 +1,22 @@
-//! The retries that one daemon may make at one service, in each window of time.
+//! Limits the retries of one daemon to one service in a sliding window.
 //! See `docs/design/retries.md`.
 
 use crate::Now;
 use std::{collections::VecDeque, time::Duration};
 
-/// A window is counted in so many slices.
+/// Number of slices that a window is divided into.
 const SLICES: usize = 20;
-/// Retries are allowed by the least that was sent in any window that ended within this part of a window ago:
-/// whoever counts may take a window that ends then.
+/// The limit follows from the window with the fewest first attempts among those that ended within
+/// this many slices, since the bound must hold for any of them.
 const LOOKBACK_SLICES: usize = SLICES / 2;
-/// The part of the ratio that is used of it. The rest covers what one daemon can't know: that load moves from one
-/// to another in between.
+/// Fraction of the retry ratio that is used. The rest covers load that moves between daemons.
 const RATIO_FRACTION: f64 = 0.75;
-/// The part of the ratio that is used of what was sent in the window that ends now. After a start it is all
-/// there is; windows that end a quarter later or earlier hold half of it at least.
+/// Fraction of the retry ratio that is used for the window ending now, the only one available after
+/// a start. Windows that end up to a quarter later or earlier contain at least half of its
+/// attempts.
 const LAST_WINDOW_RATIO_FRACTION: f64 = 0.4;
 
-/// What was sent in one part of a window.
+/// Attempts in one slice of a window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: u64,
@@ -24,26 +24,27 @@
     retries: f64,
 }
 
-/// Counts first sendings and those that follow in a sliding window.
+/// Counts first attempts and retries in a sliding window.
 ///
-/// Each daemon is bounded by what it sent itself, so the sum over all daemons keeps the bound without talk, also
-/// after a restart. What was sent counts, and not what succeeded: where a service turns many away, successes dry
-/// up just when retries are needed.
+/// Each daemon is limited by its own first attempts, so all daemons together stay within the bound
+/// without coordination, even after restarts. The limit counts attempts rather than successes,
+/// because successes become rare just when a service refuses much and retries are needed.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     slice_length: Duration,
     ratio: f64,
     slack: f64,
-    /// The oldest first; slices in which nothing was sent are left out.
+    /// Slices with attempts, oldest first.
     slices: VecDeque<Slice>,
-    /// What may be sent again in the window that ends with the newest part, as worked out when that began.
+    /// Retries allowed in the window that ends with the newest slice, computed when that slice
+    /// began.
     allowed: f64,
-    /// What was sent again in it.
+    /// Retries made in that window.
     retries: f64,
 }
 
 impl RetryWindow {
-    /// Allows `ratio` retries for each first sending, and `slack` besides, in each window of this length.
+    /// Allows `ratio` retries per first attempt, plus `slack`, in each window.
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
             slice_length: (window / SLICES as u32).max(Duration::from_millis(1)),
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Something is sent for the first time.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self, now: Now) {
         self.current_slice(now).first_attempts += 1.0;
     }
 
-    /// Something is sent that counts as a retry for this part, whoever caused it: a call that a repeated
-    /// request makes.
+    /// Records a call made by a request that may itself be a repeat; `retry_fraction` of the call
+    /// counts as a retry, whoever caused the repeat.
     pub fn record_call_of_repeat(&mut self, now: Now, retry_fraction: f64) {
         let current = self.current_slice(now);
         current.first_attempts += 1.0 - retry_fraction;
@@ -69,7 +70,7 @@
         self.retries += retry_fraction;
     }
 
-    /// Takes the price of one retry if it is allowed.
+    /// Records a retry if the limit allows it. Returns whether it does.
     pub fn take(&mut self, now: Now) -> bool {
         self.current_slice(now);
         let is_allowed = self.retries + 1.0 <= self.allowed;
@@ -80,7 +81,7 @@
         is_allowed
     }
 
-    /// A part has begun: what its window allows follows from the slices before it, and stands until it ends.
+    /// Starts a slice and computes the limit that applies until it ends from the slices before it.
     fn start_slice(&mut self, number: u64) {
         let window = SLICES as u64;
         let first_attempts_in_window = |slices_ago: u64| {
@@ -93,11 +94,11 @@
             .fold(last, f64::min);
         let counted = (minimum * RATIO_FRACTION).max(last * LAST_WINDOW_RATIO_FRACTION);
         self.allowed = self.slack + self.ratio * counted;
-        // The part before the window may lie in it with its end.
+        // Includes the slice before the window, whose end may lie in it.
         self.retries = self.sum_between(number - window, number, |slice| slice.retries);
     }
 
-    /// The sum over the slices from one number to another, both included.
+    /// Sums over the slices from one number to another, both inclusive.
     fn sum_between(&self, from: u64, to: u64, count: impl Fn(&Slice) -> f64) -> f64 {
         let in_range = self
             .slices
@@ -107,7 +108,7 @@
     }
 
     fn current_slice(&mut self, now: Now) -> &mut Slice {
-        // Numbers begin high enough for those of earlier windows.
+        // The offset keeps the numbers of earlier slices from underflowing.
         let number = (now.as_nanos() / self.slice_length.as_nanos()) as u64 + 2 * SLICES as u64;
         let oldest_retained = number - (SLICES + LOOKBACK_SLICES + 1) as u64;
         while self
--- a/crates/sorrelturn-policy/src/routing.rs
+++ b/crates/sorrelturn-policy/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which instance gets a call. See `docs/design/routing.md`.
+//! Chooses the instance that serves a call. See `docs/design/routing.md`.
 
 use crate::Now;
 use sorrelturn_protocol::Incarnation;
@@ -7,49 +7,49 @@
     time::Duration,
 };
 
-/// Failures in a row after which an instance is ejected.
+/// Consecutive failures after which an instance is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// The first ejection; each further one in a row lasts twice as long.
+/// Duration of the first ejection; each consecutive one lasts twice as long.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// The most doublings of an ejection.
+/// Maximum number of times that the duration of an ejection doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
-/// If fewer than this share of the instances would be left, ejections are ignored: so many
-/// don't fail by themselves, and emptying a service would end it.
+/// Ejections are ignored if fewer than this percentage of the instances would remain: so many
+/// rarely fail independently, and an empty service would be an outage.
 const MIN_AVAILABLE_PERCENT: usize = 50;
-/// A reported load loses half of its weight in this time. It must outlast the pauses between the calls
-/// that an entry makes to one instance: one that isn't asked would else look idle.
+/// Half-life of the weight of a reported load. It exceeds the usual pause between two calls to one
+/// instance, so that an unused instance doesn't look idle.
 const LOAD_HALF_LIFE_MS: u64 = 600;
-/// What a call adds to an instance's load that is in flight from here and not yet in its report, in
-/// percent.
+/// Load, in percent, that is added for each call in flight from this daemon that the last report
+/// doesn't include.
 const UNREPORTED_CALL_PERCENT: u64 = 4;
-/// From this load on, in percent, waits begin and requests are refused.
+/// Load, in percent, from which calls are queued or refused.
 const HIGH_LOAD_PERCENT: u64 = 80;
-/// Each percent above it counts so many times.
+/// Weight of each percent above [`HIGH_LOAD_PERCENT`].
 const HIGH_LOAD_FACTOR: u64 = 4;
-/// What an instance that fails every call would have added, in percent: at a failure in three it is
-/// avoided like one that is loaded to the full.
+/// Load, in percent, that is added to an instance that fails every call.
 const ERROR_PENALTY_PERCENT: u64 = 300;
-/// Each call's outcome counts for one part in so many.
+/// Number of calls over which the error rate is averaged.
 const ERROR_SMOOTHING_CALLS: u32 = 16;
-/// The scale of the share of errors.
+/// Value that stands for an error rate of 100 %.
 const ERROR_SCALE: u32 = 1_000;
-/// Without calls, the share of errors loses half of its weight in this time, so that an instance that
-/// was avoided is tried again.
+/// Half-life of the error rate while no calls are made, so that an avoided instance is tried again.
 const ERROR_HALF_LIFE_MS: u64 = 1_000;
-/// What another failure domain adds, in percent: near instances are used until they are loaded.
+/// Load, in percent, that is added to instances of other failure domains, so that calls stay in the
+/// local domain until it is loaded.
 const OTHER_DOMAIN_PENALTY_PERCENT: u64 = 40;
 
-/// What is known here of one instance of a service; written by answers, read by every choice.
+/// State of one instance of a service, as seen by this daemon. Answers update it and every choice
+/// reads it.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its run.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Whether it is in this daemon's failure domain.
+    /// Whether the instance is in this daemon's failure domain.
     pub near: bool,
     warm_at_ms: u64,
     cold_start_ms: u64,
     in_flight: AtomicU32,
-    /// How many were in flight from here when it reported its load last.
+    /// Calls in flight from this daemon when the instance last reported its load.
     in_flight_at_report: AtomicU32,
     load: AtomicU32,
     load_at_ms: AtomicU64,
@@ -60,28 +60,29 @@
     leaving: AtomicU32,
 }
 
-/// What one exchange told about an instance.
+/// What one exchange reveals about an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceReport {
-    /// It answered, with this load in percent.
+    /// The instance answered and reported its load.
     Answered {
-        /// Calls in flight and waiting there, in percent of its limit.
+        /// Calls in flight and queued there, in percent of its limit.
         load: u16,
     },
-    /// Its backend server turned the call away though it had a slot, or failed by itself.
+    /// The backend server refused the call although it had a free slot, or failed on its own.
     BackendError,
-    /// Nothing could be sent to it.
+    /// Nothing could be sent to the instance.
     Unreachable,
-    /// It said that it is leaving.
+    /// The instance reported that it is leaving.
     Leaving,
-    /// It broke off or let the deadline pass.
+    /// The connection broke or the deadline passed.
     Failed,
-    /// The call was given up here; says nothing.
+    /// This daemon cancelled the call, which says nothing about the instance.
     Cancelled,
 }
 
 impl Instance {
-    /// An instance that is brought to full load over `cold_start`, counted from `now`.
+    /// Creates an instance whose share of calls grows to the full one over `cold_start`, counted
+    /// from `now`.
     pub fn new(incarnation: Incarnation, near: bool, cold_start: Duration, now: Now) -> Self {
         let warm_up_ms = cold_start.as_millis() as u64;
         Self {
@@ -101,12 +102,12 @@
         }
     }
 
-    /// A call goes out to it.
+    /// Records that a call is sent to the instance.
     pub fn started(&self) {
         self.in_flight.fetch_add(1, Relaxed);
     }
 
-    /// A call to it is over; returns whether the instance is ejected by it.
+    /// Records the end of a call. Returns whether it leads to an ejection.
     pub fn finished(&self, now: Now, report: InstanceReport) -> bool {
         let in_flight = self.in_flight.fetch_sub(1, Relaxed).saturating_sub(1);
         match report {
@@ -126,13 +127,14 @@
                 false
             }
             InstanceReport::BackendError => {
-                // What broke off is a matter of ejection instead.
+                // Broken exchanges don't count as errors here; they lead to ejections.
                 self.record_error_sample(now, ERROR_SCALE);
                 self.failures.store(0, Relaxed);
                 false
             }
             InstanceReport::Unreachable => {
-                // Nothing was sent, so nothing is lost by waiting; a silent VM holds each try up.
+                // Nothing was sent, so an early ejection loses no work, while each further attempt
+                // at a silent VM would block until its timeout.
                 let failures_before_ejection = FAILURES_TO_EJECT.saturating_sub(1);
                 self.failures.fetch_max(failures_before_ejection, Relaxed);
                 self.record_failure(now)
@@ -142,17 +144,17 @@
         }
     }
 
-    /// Calls in flight from here.
+    /// Returns the number of calls in flight from this daemon.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Relaxed)
     }
 
-    /// Whether it said that it is leaving.
+    /// Returns whether the instance reported that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Relaxed) != 0
     }
 
-    /// Whether it is ejected now.
+    /// Returns whether the instance is ejected at `now`.
     pub fn is_ejected(&self, now: Now) -> bool {
         self.is_ejected_at(now.as_millis() as u64)
     }
@@ -161,7 +163,8 @@
         now_ms < self.ejected_until_ms.load(Relaxed)
     }
 
-    /// Takes one call's outcome: 0 for an answer, [`ERROR_SCALE`] for an error.
+    /// Adds the result of one call to the error rate: 0 for an answer, [`ERROR_SCALE`] for an
+    /// error.
     fn record_error_sample(&self, now: Now, sample: u32) {
         let now_ms = now.as_millis() as u64;
         let before = self.error_share_at(now_ms);
@@ -175,7 +178,7 @@
         self.errors_at_ms.store(now_ms, Relaxed);
     }
 
-    /// The share of calls that failed, by [`ERROR_SCALE`].
+    /// Returns the error rate in units of 1/[`ERROR_SCALE`].
     fn error_share_at(&self, now_ms: u64) -> u32 {
         let errors = self.errors.load(Relaxed);
         if errors == 0 {
@@ -198,7 +201,7 @@
         true
     }
 
-    /// The load that a call to it would meet, in percent; old reports count less.
+    /// Returns the load that a call would meet, in percent; older reports weigh less.
     fn score(&self, now_ms: u64) -> u64 {
         let age = now_ms.saturating_sub(self.load_at_ms.load(Relaxed));
         let halvings = (age / LOAD_HALF_LIFE_MS).min(16) as u32;
@@ -217,7 +220,7 @@
         load + loaded + far + errors
     }
 
-    /// The share of its calls that a cold instance is given, in percent.
+    /// Returns the share of its calls that an instance accepts while it warms up, in percent.
     fn warmth(&self, now_ms: u64) -> u64 {
         let left = self.warm_at_ms.saturating_sub(now_ms);
         if left == 0 || self.cold_start_ms == 0 {
@@ -227,11 +230,11 @@
     }
 }
 
-/// Chooses an instance: the better of a few drawn at random, among those that are fit.
+/// Chooses the less loaded of two randomly sampled instances among those that are available.
 ///
-/// `instances` gives each instance; `tried` are those that this call must not ask again. Returns
-/// the position in `instances`, or `None` if no instance is left. It allocates nothing: it runs
-/// for every call, over all instances of a service.
+/// `instances` lists all instances of the service; `tried` holds those that this call must not use
+/// again. Returns the position in `instances`, or `None` if no instance is left. It runs for every
+/// call and doesn't allocate.
 pub fn choose<'a>(
     instances: impl ExactSizeIterator<Item = &'a Instance> + Clone,
     now: Now,
@@ -250,7 +253,7 @@
         CandidateCounts::of(available.filter(|instance| is_candidate_at(instance, now_ms)));
     let mut at_ms = now_ms;
     if counts.all() * 100 < all * MIN_AVAILABLE_PERCENT {
-        // Every ejection is over by then.
+        // At this time every ejection has ended.
         at_ms = u64::MAX;
         counts = CandidateCounts::of(instances.clone().filter(|instance| is_selectable(instance)));
     }
@@ -260,25 +263,25 @@
     choose_from_sample(counts.sample(rng), candidates, now_ms, rng)
 }
 
-/// How many candidates there are in the own failure domain and in the others.
+/// Number of candidates in the local failure domain and in the others.
 #[derive(Clone, Copy, Default)]
 struct CandidateCounts {
     near: usize,
     far: usize,
 }
 
-/// Which candidates were drawn, by their counts among the near and among the far ones.
+/// The sampled candidates, by their positions among the near and among the far ones.
 struct Sample {
     near: [usize; 2],
     far: [usize; 2],
-    /// How many they are.
+    /// Number of sampled candidates.
     count: usize,
 }
 
-/// How many choices of 256 are between two near candidates. The rest are between a near and a far one,
-/// so that load that the near ones can't take leaves the failure domain.
+/// Number of choices out of 256 that compare two near candidates. The others compare a near and a
+/// far one, so that load which exceeds the local capacity leaves the failure domain.
 const NEAR_PAIRS_PER_256: u8 = 32;
-/// The place of no candidate.
+/// Position that stands for no candidate.
 const NOT_SAMPLED: usize = usize::MAX;
 
 impl CandidateCounts {
@@ -298,9 +301,9 @@
         self.near + self.far
     }
 
-    /// Draws two: a near one, where there is any, with a far one mostly, or another near one. A far one
-    /// takes over when the near one is loaded; without a near one among the drawn, calls would cross
-    /// failure domains by chance.
+    /// Samples two candidates: a near one, if there is any, and usually a far one, otherwise
+    /// another near one. The far one takes over when the near one is loaded; without a near one in
+    /// the sample, calls would cross failure domains needlessly.
     fn sample(self, rng: &mut fastrand::Rng) -> Sample {
         let from_near = match self.near {
             0 => 0,
@@ -316,7 +319,7 @@
     }
 }
 
-/// Draws up to two counts out of `count`.
+/// Samples up to two positions below `count`.
 fn sample_positions(count: usize, wanted: usize, rng: &mut fastrand::Rng) -> [usize; 2] {
     match count.min(wanted) {
         0 => [NOT_SAMPLED; 2],
@@ -329,7 +332,8 @@
     }
 }
 
-/// The best of the candidates that were drawn; a cold one gets its small share only.
+/// Chooses the sampled candidate with the lowest score; one that still warms up may pass the call
+/// on to the other.
 fn choose_from_sample<'a>(
     sample: Sample,
     candidates: impl Iterator<Item = (usize, &'a Instance)>,
@@ -355,7 +359,7 @@
         remaining -= 1;
         let score = instance.score(now_ms);
         match best {
-            // Of two alike, the one that was drawn first: its place in the list must not count.
+            // On a tie, the first sampled one wins, so that the list order does not matter.
             Some((at, known, best_score))
                 if best_score < score || (best_score == score && !is_first_sampled) =>
             {
--- a/crates/sorrelturn-policy/tests/presence.rs
+++ b/crates/sorrelturn-policy/tests/presence.rs
@@ -1,7 +1,7 @@
 //! Which backend server stands beside the daemon: late news, replacements and leaving.
 
 use proptest::prelude::*;
-use sorrelturn_policy::{AnnouncementEffect, Now, Presence};
+use sorrelturn_policy::{Now, Presence, PresenceChange};
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::time::Duration;
 
@@ -22,24 +22,24 @@
     let mut presence = Presence::default();
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Ready, 1)),
-        AnnouncementEffect::NowReady
+        PresenceChange::NowReady
     );
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Draining, 4)),
-        AnnouncementEffect::NowLeaving
+        PresenceChange::NowLeaving
     );
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Ready, 3)),
-        AnnouncementEffect::Outdated
+        PresenceChange::Outdated
     );
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Ready, 9)),
-        AnnouncementEffect::Outdated
+        PresenceChange::Outdated
     );
     assert_eq!(presence.serving(), None);
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Gone, 5)),
-        AnnouncementEffect::NoChange
+        PresenceChange::NoChange
     );
 }
 
@@ -49,11 +49,11 @@
     presence.receive(NOW, news("a", BackendState::Ready, 7));
     assert_eq!(
         presence.receive(NOW, news("b", BackendState::Ready, 1)),
-        AnnouncementEffect::NowReady
+        PresenceChange::NowReady
     );
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Ready, 8)),
-        AnnouncementEffect::Outdated
+        PresenceChange::Outdated
     );
     assert_eq!(presence.serving(), Some("b"));
 }
@@ -64,7 +64,7 @@
     presence.receive(NOW, news("a", BackendState::Ready, 9));
     assert_eq!(
         presence.receive(NOW, news("a", BackendState::Draining, 8)),
-        AnnouncementEffect::NowLeaving
+        PresenceChange::NowLeaving
     );
 }
 
@@ -95,9 +95,9 @@
     let mut presence = Presence::default();
     presence.receive(at(0), of_run(100, BackendState::Ready, 9));
     let heard = presence.receive(at(2), of_run(200, BackendState::Ready, 1));
-    assert_eq!(heard, AnnouncementEffect::NowReady);
+    assert_eq!(heard, PresenceChange::NowReady);
     let heard = presence.receive(at(4), of_run(200, BackendState::Draining, 2));
-    assert_eq!(heard, AnnouncementEffect::NowLeaving);
+    assert_eq!(heard, PresenceChange::NowLeaving);
 }
 
 #[test]
@@ -107,7 +107,7 @@
     presence.receive(at(1), of_run(100, BackendState::Gone, u64::MAX));
     assert_eq!(presence.serving(), None);
     let heard = presence.receive(at(2), of_run(200, BackendState::Ready, 1));
-    assert_eq!(heard, AnnouncementEffect::NowReady);
+    assert_eq!(heard, PresenceChange::NowReady);
     assert_eq!(presence.serving(), Some("a"));
 }
 
@@ -122,7 +122,7 @@
         BackendState::Ready,
     ] {
         let heard = presence.receive(at(2), of_run(100, state, 50));
-        assert_eq!(heard, AnnouncementEffect::Outdated);
+        assert_eq!(heard, PresenceChange::Outdated);
     }
     assert_eq!(
         presence.current(),
@@ -130,7 +130,7 @@
     );
     // The same where the earlier run was never heard of.
     let heard = presence.receive(at(2), of_run(150, BackendState::Draining, 50));
-    assert_eq!(heard, AnnouncementEffect::Unconfirmed);
+    assert_eq!(heard, PresenceChange::Unconfirmed);
     assert_eq!(presence.serving(), Some("a"));
 }
 
@@ -139,11 +139,11 @@
     let mut presence = Presence::default();
     presence.receive(at(0), of_run(200, BackendState::Ready, 9));
     let early = presence.receive(at(2), of_run(100, BackendState::Ready, 1));
-    assert_eq!(early, AnnouncementEffect::Unconfirmed);
+    assert_eq!(early, PresenceChange::Unconfirmed);
     let later = presence.receive(at(5), of_run(100, BackendState::Ready, 3));
-    assert_eq!(later, AnnouncementEffect::NowReady);
+    assert_eq!(later, PresenceChange::NowReady);
     let own = presence.receive(at(6), of_run(100, BackendState::Draining, 4));
-    assert_eq!(own, AnnouncementEffect::NowLeaving);
+    assert_eq!(own, PresenceChange::NowLeaving);
 }
 
 #[test]
@@ -154,10 +154,10 @@
     presence.receive(at(10), of_run(100, BackendState::Ready, 7));
     for second in 11..14 {
         let heard = presence.receive(at(second), of_run(200, BackendState::Ready, second));
-        assert_eq!(heard, AnnouncementEffect::Outdated);
+        assert_eq!(heard, PresenceChange::Outdated);
     }
     let heard = presence.receive(at(15), of_run(200, BackendState::Ready, 15));
-    assert_eq!(heard, AnnouncementEffect::NowReady);
+    assert_eq!(heard, PresenceChange::NowReady);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     presence.receive(at(1), of_run(200, BackendState::Ready, 1));
     presence.receive(at(2), of_run(200, BackendState::Draining, 2));
     let heard = presence.receive(at(60), of_run(100, BackendState::Ready, 9));
-    assert_eq!(heard, AnnouncementEffect::Outdated);
+    assert_eq!(heard, PresenceChange::Outdated);
     assert_eq!(presence.serving(), None);
 }
 
@@ -176,9 +176,9 @@
     let mut presence = Presence::default();
     presence.receive(at(0), of_run(100, BackendState::Ready, 1));
     let heard = presence.receive(at(1), news("a", BackendState::Gone, 7));
-    assert_eq!(heard, AnnouncementEffect::Foreign);
+    assert_eq!(heard, PresenceChange::Foreign);
     let heard = presence.receive(at(1), news("b", BackendState::Ready, 7));
-    assert_eq!(heard, AnnouncementEffect::Foreign);
+    assert_eq!(heard, PresenceChange::Foreign);
     assert_eq!(
         presence.current(),
         Some(&of_run(100, BackendState::Ready, 1))
@@ -190,9 +190,9 @@
     let mut presence = Presence::default();
     assert!(presence.record_answer_from(at(0), "a"));
     let heard = presence.receive(at(1), of_run(100, BackendState::Ready, 1));
-    assert_eq!(heard, AnnouncementEffect::NowReady);
+    assert_eq!(heard, PresenceChange::NowReady);
     let heard = presence.receive(at(2), of_run(100, BackendState::Draining, 2));
-    assert_eq!(heard, AnnouncementEffect::NowLeaving);
+    assert_eq!(heard, PresenceChange::NowLeaving);
 }
 
 proptest! {
