--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -1,4 +1,5 @@
-//! What the entry's admission learns: the level of load, who calls whom, and what are calls.
+//! Admission at the entry: the shedding level, the call graph, and the detection of calls and
+//! retries.
 
 use sorrelturn_policy::{
     CallGraph, Candidate, FirstTries, LEVEL_STEPS, LearnedThreshold, Origins, SheddingLevel,
@@ -9,83 +10,86 @@
 
 const SLOTS: u32 = 20;
 const STEP: Duration = Duration::from_millis(10);
-/// How long the backend server takes for a request.
+/// Time that the backend server takes for a request.
 const WORK: Duration = Duration::from_millis(20);
-/// The steps at the end over which the mean is taken.
-const AT_END: usize = 200;
+/// Number of steps at the end over which the mean demand is taken.
+const FINAL_STEPS: usize = 200;
 
-/// Plays a backend server that is asked for `load` times its slots by two ranks, half each; the
-/// entry hears of the level after `delay` steps. Returns the mean share of slots that is asked for at
-/// the end, and the level.
-fn play(load: f64, delay: usize, steps: u32) -> (f64, u16) {
-    let (asked, level) = play_whole(load, delay, steps);
-    let at_end = &asked[asked.len() - AT_END..];
-    (at_end.iter().sum::<f64>() / AT_END as f64, level)
+/// Simulates a backend server whose demand is `load` times its slots, half of it from each of two
+/// ranks; the entry receives the level after `delay` steps. Returns the mean demand at the end, as
+/// a share of the slots, and the last level.
+fn simulate(load: f64, delay: usize, steps: u32) -> (f64, u16) {
+    let (demand, level) = simulate_steps(load, delay, steps);
+    let final_demand = &demand[demand.len() - FINAL_STEPS..];
+    (final_demand.iter().sum::<f64>() / FINAL_STEPS as f64, level)
 }
 
-/// Returns the share of slots that is asked for at each step, and the last level.
-fn play_whole(load: f64, delay: usize, steps: u32) -> (Vec<f64>, u16) {
+/// Returns the demand at each step, as a share of the slots, and the last level.
+fn simulate_steps(load: f64, delay: usize, steps: u32) -> (Vec<f64>, u16) {
     let mut level = SheddingLevel::new(Duration::ZERO);
-    let mut told = vec![0; delay];
-    let mut asked = Vec::new();
-    let mut owed = 0.0;
+    let mut delayed_levels = vec![0; delay];
+    let mut demand = Vec::new();
+    let mut pending = 0.0;
     for step in 1..=steps {
-        let heard = told.remove(0);
-        let passes = |rank| {
-            let kept = (0..=255u8).filter(|bucket| !refuses(heard, rank, 2, *bucket));
-            kept.count() as f64 / 256.0
+        let received = delayed_levels.remove(0);
+        let admitted_share = |rank| {
+            let admitted = (0..=255u8).filter(|bucket| !refuses(received, rank, 2, *bucket));
+            admitted.count() as f64 / 256.0
         };
-        let used = load * (passes(0) + passes(1)) / 2.0;
-        owed += used * f64::from(SLOTS) * STEP.as_secs_f64() / WORK.as_secs_f64();
-        while owed >= 1.0 {
-            owed -= 1.0;
-            // Each tells the level at which its root was admitted.
-            level.arrived(heard);
+        let used = load * (admitted_share(0) + admitted_share(1)) / 2.0;
+        pending += used * f64::from(SLOTS) * STEP.as_secs_f64() / WORK.as_secs_f64();
+        while pending >= 1.0 {
+            pending -= 1.0;
+            // Each request carries the level at which its root was admitted.
+            level.arrived(received);
             level.finished(WORK);
         }
         level.update(STEP * step, 0, SLOTS);
-        told.push(level.level());
-        asked.push(used);
+        delayed_levels.push(level.level());
+        demand.push(used);
     }
-    (asked, told[delay - 1])
+    (demand, delayed_levels[delay - 1])
 }
 
-/// Where one of several instances is left, a step of the level changes several times as much; the way
-/// of a request through a chain of sequential calls is half a second and more.
+/// Guards against a level that oscillates when it takes effect late and each step refuses many
+/// requests.
 #[test]
 fn the_level_does_not_swing_where_few_instances_are_left() {
     for load in [2.0, 3.0, 4.5] {
-        let (asked, _) = play_whole(load, 60, 2_000);
-        let at_end = &asked[asked.len() - 2 * AT_END..];
-        let least = at_end.iter().copied().fold(f64::MAX, f64::min);
-        let most = at_end.iter().copied().fold(0.0, f64::max);
-        assert!(most - least < 0.3, "load {load}: {least} to {most}");
-        assert!((0.8..=1.05).contains(&least), "load {load}: {least}");
+        let (demand, _) = simulate_steps(load, 60, 2_000);
+        let final_demand = &demand[demand.len() - 2 * FINAL_STEPS..];
+        let minimum = final_demand.iter().copied().fold(f64::MAX, f64::min);
+        let maximum = final_demand.iter().copied().fold(0.0, f64::max);
+        assert!(
+            maximum - minimum < 0.3,
+            "load {load}: {minimum} to {maximum}"
+        );
+        assert!((0.8..=1.05).contains(&minimum), "load {load}: {minimum}");
     }
 }
 
 #[test]
 fn the_level_settles_below_the_slots_whatever_the_overload() {
-    // The lowest rank alone can give up 0.375 of the load; beyond that the next one gives up little.
-    let most = [
+    // The lowest rank alone can shed 0.375 of the load, and the next rank is needed only a little.
+    let max_levels = [
         (1.1, LEVEL_STEPS),
         (1.3, LEVEL_STEPS),
         (1.45, LEVEL_STEPS),
         (1.5, LEVEL_STEPS * 11 / 10),
     ];
-    for (load, most) in most {
-        let (used, level) = play(load, 30, 1_000);
+    for (load, max_level) in max_levels {
+        let (used, level) = simulate(load, 30, 1_000);
         assert!(
             (0.85..=0.97).contains(&used),
-            "load {load}: {used} of the slots"
+            "load {load}: {used} of the slots in demand"
         );
-        assert!(level < most, "load {load}: {level}");
+        assert!(level < max_level, "load {load}: {level}");
     }
 }
 
 #[test]
 fn nothing_is_refused_below_the_slots() {
-    assert_eq!(play(0.8, 30, 500).1, 0);
+    assert_eq!(simulate(0.8, 30, 500).1, 0);
 }
 
 #[test]
@@ -102,8 +106,8 @@
             level.update(STEP * step, 0, SLOTS);
         }
     }
-    let apart = busy.level().abs_diff(idle.level());
-    assert!(apart < LEVEL_STEPS, "{apart}");
+    let difference = busy.level().abs_diff(idle.level());
+    assert!(difference < LEVEL_STEPS, "{difference}");
 }
 
 #[test]
@@ -137,7 +141,7 @@
     let mut rng = fastrand::Rng::with_seed(7);
     let mut graph = CallGraph::default();
     for _ in 0..4_000 {
-        // Many requests of a kind that calls, few of one that doesn't, in changing numbers.
+        // Many requests of a kind that makes calls, few of one that doesn't, in varying numbers.
         let callers = rng.u32(1..20);
         let others = rng.u32(0..4);
         if rng.u32(0..20) < callers {
@@ -159,10 +163,11 @@
     assert!(others.is_empty(), "{}", graph.rate("other", "child"));
 }
 
-/// A start under load: each instance of a large service sees a few requests of a kind in its first half second.
+/// Guards against slow detection after a start under load, when each instance of a large service
+/// has received only a few requests of a kind.
 #[test]
 fn a_call_is_known_by_a_few_requests_where_callers_would_hardly_send_them_from_there() {
-    // The shares of a fleet of 95 VMs.
+    // The shares of VMs in a fleet of 95 VMs.
     let share_of = |service: &str| match service {
         "archive" => 0.48,
         "seals" => 0.36,
@@ -175,7 +180,8 @@
     assert!(!origins.are_calls("look-up", 4, share_of));
     origins.record("look-up", "archive");
     assert!(origins.are_calls("look-up", 4, share_of));
-    // Callers on all VMs: the first twenty come from the two largest services once in thirty times.
+    // If callers are on all VMs, the first twenty requests come from the two largest services by
+    // chance in one of thirty cases.
     for at in 0..20 {
         origins.record("read", if at % 2 == 0 { "archive" } else { "seals" });
     }
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn a_kind_is_taken_to_call_what_others_call_until_its_own_requests_tell() {
+fn a_new_kind_is_assumed_to_make_the_calls_of_others_until_it_is_observed() {
     let mut graph = CallGraph::default();
     let made_by = |kind: &str| Candidate {
         kind: kind.to_owned(),
@@ -284,13 +290,13 @@
     learned.observe(at(1_010), Priority(600));
     assert!(learned.current(at(1_600)).0 > 300);
     assert_eq!(learned.current(at(4_000)), Priority::LOWEST);
-    // After a silence one answer says all.
+    // After a silence, a single answer sets the level.
     learned.observe(at(1_500), Priority(20));
     assert_eq!(learned.current(at(1_500)), Priority(20));
 }
 
-/// As seen at a billing server: some thirty long payments beside few short reads, each of which makes
-/// one call that ends with it; a payment that ends at the same time is chance.
+/// Guards against crediting the calls of few short requests to many long ones; a payment that ends
+/// together with a call does so by chance.
 #[test]
 fn short_requests_keep_their_calls_beside_many_long_ones() {
     let mut rng = fastrand::Rng::with_seed(11);
@@ -342,16 +348,17 @@
     assert!(!origins.are_calls("old", 4, |_| 1.0));
 }
 
-/// A second refusal costs callers of a higher rank most: with a sixth of it refused, whoever returns has a chance,
-/// though a smaller one than at a first try; in the lowest rank first tries go before all who return.
+/// Guards against starving callers of a higher rank that retry after a refusal. They are served
+/// less often than first attempts; in the lowest rank, first attempts go before all retries.
 #[test]
-fn who_returns_goes_behind_first_tries_and_finds_some_room_in_a_higher_rank() {
+fn retries_go_behind_first_attempts_and_find_some_capacity_in_a_higher_rank() {
     let level = LEVEL_STEPS * 6 / 5;
-    let served = |rank, place: fn(u8, usize) -> u8| {
-        let kept = (0..=255u8).filter(|bucket| !refuses(level, rank, 2, place(*bucket, rank)));
-        kept.count()
+    let served = |rank, bucket_for: fn(u8, usize) -> u8| {
+        let admitted =
+            (0..=255u8).filter(|bucket| !refuses(level, rank, 2, bucket_for(*bucket, rank)));
+        admitted.count()
     };
-    let (first, returned) = (served(1, |bucket, _| bucket), served(1, bucket_of_return));
-    assert!((64..first).contains(&returned), "{returned} of {first}");
+    let (first, retried) = (served(1, |bucket, _| bucket), served(1, bucket_of_return));
+    assert!((64..first).contains(&retried), "{retried} of {first}");
     assert_eq!(served(0, bucket_of_return), 0);
 }
--- a/crates/sorrelturn-policy/tests/quarantine.rs
+++ b/crates/sorrelturn-policy/tests/quarantine.rs
@@ -1,13 +1,13 @@
-//! Which requests are held after crashes of backend servers, whatever is heard in whichever order.
+//! Requests are quarantined after crashes of backend servers, in whichever order updates arrive.
 
 use proptest::prelude::*;
 use sorrelturn_policy::{Now, Quarantine};
 use sorrelturn_protocol::{Cleared, CrashId, CrashNews, CrashReport, RequestFingerprint};
 use std::time::Duration;
 
-/// Much less than what was learnt is kept for.
+/// Less than the retention time after the reports.
 const NOW: Now = Duration::from_secs(1_000);
-/// Longer than what was learnt is kept for.
+/// More than the retention time after the reports.
 const MUCH_LATER: Now = Duration::from_secs(3_000);
 
 fn request(number: u64) -> RequestFingerprint {
@@ -36,16 +36,16 @@
     }
 }
 
-fn after(news: &[CrashNews]) -> Quarantine {
+fn after(updates: &[CrashNews]) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    for news in news {
-        quarantine.receive(NOW, news);
+    for update in updates {
+        quarantine.receive(NOW, update);
     }
     quarantine
 }
 
 #[test]
-fn what_ran_beside_one_crash_is_let_through() {
+fn requests_in_progress_in_one_crash_are_not_quarantined() {
     let quarantine = after(&[crash(1, 0, &[7, 8, 9])]);
     for number in [7, 8, 9] {
         assert!(!quarantine.is_quarantined(request(number)));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_was_at_work_in_two_crashes_is_held_and_what_was_in_one_is_not() {
+fn requests_in_progress_in_two_crashes_are_quarantined_and_those_in_one_are_not() {
     let quarantine = after(&[crash(1, 0, &[7, 8]), crash(2, 0, &[7, 9])]);
     assert!(quarantine.is_quarantined(request(7)));
     assert!(!quarantine.is_quarantined(request(8)));
@@ -61,34 +61,34 @@
 }
 
 #[test]
-fn one_crash_that_is_told_twice_counts_once() {
+fn a_crash_that_is_reported_twice_counts_once() {
     let quarantine = after(&[crash(1, 0, &[7]), crash(1, 30, &[7]), crash(1, 60, &[7, 8])]);
     assert!(!quarantine.is_quarantined(request(7)));
     assert!(!quarantine.is_quarantined(request(8)));
 }
 
 #[test]
-fn what_is_told_later_of_a_crash_counts_as_well() {
+fn later_reports_of_a_crash_count_as_well() {
     let quarantine = after(&[crash(1, 0, &[8]), crash(2, 0, &[7]), crash(1, 100, &[7])]);
     assert!(quarantine.is_quarantined(request(7)));
 }
 
 #[test]
-fn what_has_run_to_its_end_anywhere_is_let_through_whenever_that_is_heard() {
+fn finished_requests_are_not_quarantined_whenever_that_is_reported() {
     let crashes = [crash(1, 0, &[7]), crash(2, 0, &[7])];
     for at in 0..=crashes.len() {
-        let mut heard = crashes.to_vec();
-        heard.insert(at, cleared(7));
-        assert!(!after(&heard).is_quarantined(request(7)));
+        let mut updates = crashes.to_vec();
+        updates.insert(at, cleared(7));
+        assert!(!after(&updates).is_quarantined(request(7)));
     }
 }
 
 #[test]
-fn only_what_was_unknown_goes_on_so_that_news_comes_to_rest() {
+fn only_new_reports_are_forwarded_so_that_gossip_ends() {
     let mut quarantine = Quarantine::default();
-    let news = crash(1, 0, &[7, 8]);
-    assert_eq!(quarantine.receive(NOW, &news).new_reports, news);
-    assert!(quarantine.receive(NOW, &news).new_reports.is_empty());
+    let update = crash(1, 0, &[7, 8]);
+    assert_eq!(quarantine.receive(NOW, &update).new_reports, update);
+    assert!(quarantine.receive(NOW, &update).new_reports.is_empty());
     let more = quarantine.receive(NOW, &crash(1, 0, &[8, 9]));
     assert_eq!(more.new_reports, crash(1, 0, &[9]));
     assert_eq!(quarantine.receive(NOW, &cleared(7)).new_reports, cleared(7));
@@ -96,41 +96,41 @@
 }
 
 #[test]
-fn whoever_hears_the_proof_alone_holds_the_same_requests_and_no_others() {
+fn a_daemon_that_receives_only_the_evidence_quarantines_the_same_requests_and_no_others() {
     let mut quarantine = after(&[crash(1, 0, &[7, 8, 9]), crash(3, 0, &[11])]);
-    let held = quarantine
+    let quarantined = quarantine
         .receive(NOW, &crash(2, 0, &[7, 8, 10]))
         .quarantined;
-    assert_eq!(held, [request(7), request(8)]);
+    assert_eq!(quarantined, [request(7), request(8)]);
     assert!(
         quarantine
             .receive(NOW, &crash(4, 0, &[7]))
             .quarantined
             .is_empty()
     );
-    let crashes = quarantine.evidence_for(NOW, &held);
+    let crashes = quarantine.evidence_for(NOW, &quarantined);
     assert!(crashes.iter().all(|crash| crash.id != CrashId(3)));
-    let proof = CrashNews {
+    let evidence = CrashNews {
         crashes,
         cleared: Vec::new(),
     };
-    let other = after(&[proof]);
+    let other = after(&[evidence]);
     assert!(other.is_quarantined(request(7)) && other.is_quarantined(request(8)));
-    let crash_of_others = [9, 10, 11].map(|number| crash(5, 0, &[number]));
+    let unrelated_crashes = [9, 10, 11].map(|number| crash(5, 0, &[number]));
     let mut other = other;
-    for news in &crash_of_others {
-        assert!(other.receive(NOW, news).quarantined.is_empty());
+    for update in &unrelated_crashes {
+        assert!(other.receive(NOW, update).quarantined.is_empty());
     }
 }
 
 #[test]
 fn a_request_is_held_for_ten_minutes_after_the_last_crash_but_one() {
     let mut quarantine = after(&[crash(1, 100_000, &[7]), crash(2, 40_000, &[7])]);
-    let left = quarantine.remaining_quarantine(NOW, request(7));
-    assert_eq!(left, Some(Duration::from_secs(500)));
+    let remaining = quarantine.remaining_quarantine(NOW, request(7));
+    assert_eq!(remaining, Some(Duration::from_secs(500)));
     quarantine.receive(NOW, &crash(3, 10_000, &[7]));
-    let left = quarantine.remaining_quarantine(NOW, request(7));
-    assert_eq!(left, Some(Duration::from_secs(560)));
+    let remaining = quarantine.remaining_quarantine(NOW, request(7));
+    assert_eq!(remaining, Some(Duration::from_secs(560)));
     quarantine.receive(MUCH_LATER, &CrashNews::default());
     assert_eq!(
         quarantine.remaining_quarantine(MUCH_LATER, request(7)),
@@ -148,9 +148,9 @@
     );
 }
 
-/// Daemons that tell each other all that they know would else remember it for ever.
+/// Guards against daemons that keep entries alive forever by sending them to each other.
 #[test]
-fn what_daemons_go_on_telling_one_another_is_forgotten_by_all() {
+fn reports_that_daemons_keep_exchanging_expire_everywhere() {
     let mut one = after(&[crash(1, 0, &[7]), crash(2, 0, &[7]), cleared(8)]);
     let mut two = Quarantine::default();
     let mut now = NOW;
@@ -179,12 +179,12 @@
         quarantine.receive(NOW, &crash(id, 0, &running));
     }
     assert!(quarantine.snapshot(NOW).crashes.len() <= 128);
-    // The newest are the ones that are kept.
+    // The newest crashes are retained.
     quarantine.receive(NOW, &crash(20_000, 0, &[9_999 * 50]));
     assert!(quarantine.is_quarantined(request(9_999 * 50)));
 }
 
-fn any_news() -> impl Strategy<Value = Vec<CrashNews>> {
+fn any_updates() -> impl Strategy<Value = Vec<CrashNews>> {
     let crash = (0u64..6, prop::collection::vec(0u64..8, 0..5))
         .prop_map(|(id, running)| crash(id, 0, &running));
     let one = prop_oneof![4 => crash, 1 => (0u64..8).prop_map(cleared)];
@@ -192,10 +192,11 @@
 }
 
 proptest! {
-    /// Two daemons that heard the same in another order, one of them by a swap with a third, agree.
+    /// Guards against daemons that diverge after receiving the same updates in another order or
+    /// through another daemon.
     #[test]
-    fn daemons_that_heard_the_same_hold_the_same(
-        (news, other) in any_news().prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle())),
+    fn daemons_that_received_the_same_updates_agree(
+        (news, other) in any_updates().prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle())),
         split in 0usize..20,
     ) {
         let one = after(&news);
@@ -209,9 +210,9 @@
         }
     }
 
-    /// Against the rule written down plainly.
+    /// Compares the quarantine with a plain version of its rule.
     #[test]
-    fn a_request_is_held_exactly_if_two_crashes_had_it_at_work_and_nobody_has_seen_it_run(news in any_news()) {
+    fn a_request_is_quarantined_exactly_if_it_was_in_progress_in_two_crashes_and_never_finished(news in any_updates()) {
         let quarantine = after(&news);
         for number in 0..8 {
             let mut crashes: Vec<CrashId> = news
--- a/crates/sorrelturn-policy/tests/retries.rs
+++ b/crates/sorrelturn-policy/tests/retries.rs
@@ -5,39 +5,40 @@
 use sorrelturn_protocol::{Refusal, Verdict};
 use std::time::Duration;
 
-/// What goes wrong at an execution, drawn at random.
+/// Failure rates of the simulated executions.
 #[derive(Clone, Copy)]
-struct Trouble {
-    /// The share of executions that fail.
+struct FailureRates {
+    /// The fraction of executions that fail.
     fails: f64,
-    /// The share of answers that are lost, with what they would have handed back.
+    /// The fraction of answers that are lost, together with the attempts that they would return.
     loses: f64,
 }
 
 struct Tree<'a> {
     fan_out: u32,
     depth: u32,
-    trouble: Trouble,
+    failure_rates: FailureRates,
     rng: &'a mut fastrand::Rng,
     executions: u64,
 }
 
 impl Tree<'_> {
-    /// The executions that a call needs at this depth when nothing fails.
+    /// Returns the number of executions that a call at this depth needs if nothing fails.
     fn need(&self, depth: u32) -> u32 {
         (depth..self.depth).fold(1u32, |need, _| {
             need.saturating_mul(self.fan_out).saturating_add(1)
         })
     }
 
-    /// A call with its share, as the forwarder makes it; returns success and what is handed back.
+    /// Makes a call with its share of attempts, as the forwarder does. Returns whether it succeeded
+    /// and the attempts left.
     fn call(&mut self, depth: u32, mut share: u32) -> (bool, u32) {
         let need = self.need(depth);
         loop {
             let first = first_share(share, need);
             share -= first;
             let (good, already_retried, back) = self.execute(depth, first);
-            let lost = self.rng.f64() < self.trouble.loses;
+            let lost = self.rng.f64() < self.failure_rates.loses;
             share += if lost { 0 } else { back };
             if good && !lost {
                 return (true, share);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// One execution at a backend server, with its nested calls.
+    /// Simulates one execution at a backend server, with its nested calls.
     fn execute(&mut self, depth: u32, share: u32) -> (bool, bool, u32) {
         if share == 0 {
             return (false, true, 0);
@@ -78,12 +79,12 @@
                 all_good &= good;
             }
         }
-        let fails = self.rng.f64() < self.trouble.fails;
+        let fails = self.rng.f64() < self.failure_rates.fails;
         (all_good && !fails, !all_good, pool.close())
     }
 }
 
-/// Naive retries: each hop tries three times.
+/// Returns the number of executions with naive retries, where each hop tries three times.
 fn naive(fan_out: u32, depth: u32) -> u64 {
     if depth == 0 {
         return 3;
@@ -95,14 +96,14 @@
 fn eight_hops_that_all_fail_cost_no_more_than_the_roots_attempts() {
     for (fan_out, attempts) in [(1, 8), (1, 20), (3, 9_841), (3, 20_000)] {
         let mut rng = fastrand::Rng::with_seed(1);
-        let trouble = Trouble {
+        let failure_rates = FailureRates {
             fails: 1.0,
             loses: 0.0,
         };
         let mut tree = Tree {
             fan_out,
             depth: 7,
-            trouble,
+            failure_rates,
             rng: &mut rng,
             executions: 0,
         };
@@ -125,14 +126,14 @@
 fn a_healthy_tree_completes_with_just_what_it_needs() {
     for fan_out in 1..4 {
         let mut rng = fastrand::Rng::with_seed(2);
-        let trouble = Trouble {
+        let failure_rates = FailureRates {
             fails: 0.0,
             loses: 0.0,
         };
         let mut tree = Tree {
             fan_out,
             depth: 4,
-            trouble,
+            failure_rates,
             rng: &mut rng,
             executions: 0,
         };
@@ -153,8 +154,8 @@
         seed: u64,
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let trouble = Trouble { fails, loses };
-        let mut tree = Tree { fan_out, depth, trouble, rng: &mut rng, executions: 0 };
+        let failure_rates = FailureRates { fails, loses };
+        let mut tree = Tree { fan_out, depth, failure_rates, rng: &mut rng, executions: 0 };
         let (_, back) = tree.call(0, attempts);
         prop_assert!(tree.executions + u64::from(back) <= u64::from(attempts));
     }
@@ -215,26 +216,28 @@
     let times: Vec<Duration> = (0..100)
         .map(|_| RetryAfter::compute(Some(Duration::from_secs(20)), &mut rng))
         .collect();
-    let (least, most) = (times.iter().min(), times.iter().max());
-    assert!(least >= Some(&Duration::from_secs(10)) && most <= Some(&Duration::from_secs(30)));
-    assert!(most > least.map(|least| *least * 2).as_ref());
+    let (shortest, longest) = (times.iter().min(), times.iter().max());
+    assert!(
+        shortest >= Some(&Duration::from_secs(10)) && longest <= Some(&Duration::from_secs(30))
+    );
+    assert!(longest > shortest.map(|shortest| *shortest * 2).as_ref());
 }
 
-/// As seen at entries of a chain whose deepest service was short of slots: the gate beside the entry had
-/// no pressure, so callers were told about a second, however long they had been refused there.
+/// Guards against short retry times during a long overload that only services deeper in the call
+/// chain can see.
 #[test]
-fn refused_callers_are_told_by_how_long_the_entry_has_refused() {
+fn retry_after_grows_with_how_long_the_entry_has_refused() {
     let mut rng = fastrand::Rng::with_seed(5);
-    let mut refusing = RefusalStreak::default();
+    let mut streak = RefusalStreak::default();
     let at = Duration::from_millis;
-    let told: Vec<Duration> = (0..100)
-        .map(|number| refusing.record_refusal(at(1_000 + number * 100), &mut rng))
+    let delays: Vec<Duration> = (0..100)
+        .map(|number| streak.record_refusal(at(1_000 + number * 100), &mut rng))
         .collect();
-    let mean = |told: &[Duration]| told.iter().sum::<Duration>() / told.len() as u32;
-    assert!(mean(&told[..10]) < at(1_500), "{told:?}");
-    assert!(mean(&told[90..]) > at(7_000), "{told:?}");
-    assert!(told.iter().all(|told| *told <= at(45_000)));
-    // After a quiet time another pressure begins.
-    let told = refusing.record_refusal(at(14_000), &mut rng);
-    assert!(told <= at(1_500), "{told:?}");
+    let mean = |delays: &[Duration]| delays.iter().sum::<Duration>() / delays.len() as u32;
+    assert!(mean(&delays[..10]) < at(1_500), "{delays:?}");
+    assert!(mean(&delays[90..]) > at(7_000), "{delays:?}");
+    assert!(delays.iter().all(|delay| *delay <= at(45_000)));
+    // After a quiet time, another overload begins.
+    let delay = streak.record_refusal(at(14_000), &mut rng);
+    assert!(delay <= at(1_500), "{delay:?}");
 }
--- a/crates/sorrelturn-policy/tests/retry_window.rs
+++ b/crates/sorrelturn-policy/tests/retry_window.rs
@@ -1,8 +1,6 @@
-//! Retries of all daemons together stay within the operators' bound, though each counts what it sent alone.
-//!
-//! The pattern: a service turns half of all away though it has slots, and every daemon sends again as often as it may.
-//! The bound is the operators': in each window, a fifth of the requests of that window, or of the one before it, or
-//! of the one half a window before it, and a slack for all daemons.
+//! All daemons together stay within the bound on retries, though each counts only its own attempts.
+//! Retries per window may reach a fifth of the requests of that window, the one before it or the
+//! one half a window earlier, whichever is the most, plus a slack for all daemons.
 
 use proptest::prelude::*;
 use sorrelturn_policy::RetryWindow;
@@ -11,32 +9,34 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const RATIO: f64 = 0.2;
 const SLACK: f64 = 50.0;
-/// Time is played in steps of a quarter of a second.
+/// Length of a simulated step.
 const STEP: Duration = Duration::from_millis(250);
-const STEPS_A_WINDOW: usize = 40;
-/// The slack is shared as if there were so many daemons at least, and half of it is kept for restarts.
-const LEAST_SHARERS: usize = 12;
+const STEPS_PER_WINDOW: usize = 40;
+/// Minimum number of daemons that the slack is divided among; half of the slack is reserved for
+/// restarts.
+const MIN_SHARERS: usize = 12;
 
-fn fresh(daemons: usize) -> RetryWindow {
-    let share = SLACK * 0.5 / daemons.max(LEAST_SHARERS) as f64;
+fn new_window(daemons: usize) -> RetryWindow {
+    let share = SLACK * 0.5 / daemons.max(MIN_SHARERS) as f64;
     RetryWindow::new(WINDOW, RATIO, share)
 }
 
-/// What one stretch of the play is like.
+/// A period of the simulation with constant load.
 #[derive(Clone, Debug)]
-struct Stretch {
+struct Period {
     steps: usize,
-    /// First sendings of all daemons in a step.
+    /// First attempts of all daemons per step.
     load: u32,
-    /// How many of a step's sendings each daemon wants to repeat, in percent: 120 is every one, some twice.
-    wants_percent: u32,
-    /// Each daemon's part of the load, before it is made whole.
-    parts: Vec<u32>,
-    /// These start anew as it begins.
+    /// Retries that each daemon wants per first attempt, in percent; above 100, some requests are
+    /// retried twice.
+    retry_percent: u32,
+    /// Relative share of the load of each daemon.
+    weights: Vec<u32>,
+    /// Whether each daemon restarts at the beginning of the period.
     restarts: Vec<bool>,
 }
 
-fn stretch() -> impl Strategy<Value = Stretch> {
+fn period() -> impl Strategy<Value = Period> {
     (
         4usize..60,
         0u32..600,
@@ -44,40 +44,40 @@
         prop::collection::vec(2u32..5, 14),
         prop::collection::vec(prop::bool::weighted(0.15), 14),
     )
-        .prop_map(|(steps, load, wants_percent, parts, restarts)| Stretch {
+        .prop_map(|(steps, load, retry_percent, weights, restarts)| Period {
             steps,
             load,
-            wants_percent,
-            parts,
+            retry_percent,
+            weights,
             restarts,
         })
 }
 
-/// Plays it; first sendings and repeats of each step.
-fn play(daemons: usize, stretches: &[Stretch]) -> Vec<(f64, f64)> {
-    let mut windows: Vec<RetryWindow> = (0..daemons).map(|_| fresh(daemons)).collect();
+/// Runs the simulation and returns the first attempts and retries of each step.
+fn simulate(daemons: usize, periods: &[Period]) -> Vec<(f64, f64)> {
+    let mut windows: Vec<RetryWindow> = (0..daemons).map(|_| new_window(daemons)).collect();
     let mut steps = Vec::new();
     let mut now = Duration::from_secs(1);
-    for stretch in stretches {
-        for (window, restarts) in windows.iter_mut().zip(&stretch.restarts) {
+    for period in periods {
+        for (window, restarts) in windows.iter_mut().zip(&period.restarts) {
             if *restarts {
-                *window = fresh(daemons);
+                *window = new_window(daemons);
             }
         }
-        let whole: u32 = stretch.parts[..daemons].iter().sum();
-        for _ in 0..stretch.steps {
-            let (mut first, mut again) = (0.0, 0.0);
-            for (window, part) in windows.iter_mut().zip(&stretch.parts) {
-                let sends = stretch.load * part / whole;
-                for _ in 0..sends {
+        let total_weight: u32 = period.weights[..daemons].iter().sum();
+        for _ in 0..period.steps {
+            let (mut first, mut retries) = (0.0, 0.0);
+            for (window, weight) in windows.iter_mut().zip(&period.weights) {
+                let sent = period.load * weight / total_weight;
+                for _ in 0..sent {
                     window.record_first_attempt(now);
                 }
-                first += f64::from(sends);
-                for _ in 0..sends * stretch.wants_percent / 100 {
-                    again += f64::from(u8::from(window.take(now)));
+                first += f64::from(sent);
+                for _ in 0..sent * period.retry_percent / 100 {
+                    retries += f64::from(u8::from(window.take(now)));
                 }
             }
-            steps.push((first, again));
+            steps.push((first, retries));
             now += STEP;
         }
     }
@@ -90,65 +90,66 @@
     #[test]
     fn all_daemons_together_keep_the_bound_whatever_comes(
         daemons in 2usize..=14,
-        stretches in prop::collection::vec(stretch(), 1..12),
+        periods in prop::collection::vec(period(), 1..12),
     ) {
-        let steps = play(daemons, &stretches);
+        let steps = simulate(daemons, &periods);
         let first = |from: usize, to: usize| -> f64 {
             steps[from.min(to)..to].iter().map(|(first, _)| first).sum()
         };
         for end in 1..=steps.len() {
-            let begin = end.saturating_sub(STEPS_A_WINDOW);
-            let half = end.saturating_sub(STEPS_A_WINDOW / 2);
+            let begin = end.saturating_sub(STEPS_PER_WINDOW);
+            let half = end.saturating_sub(STEPS_PER_WINDOW / 2);
             let counted = first(begin, end)
-                .max(first(begin.saturating_sub(STEPS_A_WINDOW), begin))
-                .max(first(half.saturating_sub(STEPS_A_WINDOW), half));
-            let again: f64 = steps[begin..end].iter().map(|(_, again)| again).sum();
-            let most = RATIO * counted + SLACK;
-            prop_assert!(again <= most, "{again} of {most} in the window that ends with step {end}");
+                .max(first(begin.saturating_sub(STEPS_PER_WINDOW), begin))
+                .max(first(half.saturating_sub(STEPS_PER_WINDOW), half));
+            let retries: f64 = steps[begin..end].iter().map(|(_, retries)| retries).sum();
+            let max_retries = RATIO * counted + SLACK;
+            prop_assert!(retries <= max_retries, "{retries} of {max_retries} in the window that ends with step {end}");
         }
     }
 }
 
 #[test]
-fn what_was_sent_before_pays_when_a_service_begins_to_turn_most_away() {
-    let calm = Stretch {
+fn earlier_attempts_pay_for_retries_when_a_service_begins_to_refuse_most_calls() {
+    let healthy = Period {
         steps: 60,
         load: 280,
-        wants_percent: 0,
-        parts: vec![1; 14],
+        retry_percent: 0,
+        weights: vec![1; 14],
         restarts: vec![false; 14],
     };
-    let turned_away = Stretch {
+    let refused = Period {
         steps: 8,
-        wants_percent: 120,
-        ..calm.clone()
+        retry_percent: 120,
+        ..healthy.clone()
     };
-    let steps = play(14, &[calm, turned_away]);
-    let (first, again) = steps[60..]
+    let steps = simulate(14, &[healthy, refused]);
+    let (first, retries) = steps[60..]
         .iter()
         .fold((0.0, 0.0), |sum, step| (sum.0 + step.0, sum.1 + step.1));
-    // Two seconds of load at 1.2 sendings more each: a bucket of 12 % of successes would have paid for a tenth of it.
-    assert!(again > first * 0.7, "{again} for {first}");
+    // The attempts before the failure pay for most of the wanted retries; a budget of 12 % of
+    // successes would pay for a tenth.
+    assert!(retries > first * 0.7, "{retries} for {first}");
 }
 
 #[test]
 fn a_daemon_that_starts_anew_may_use_its_share_of_the_slack_at_once_and_no_more() {
-    let mut window = fresh(14);
+    let mut window = new_window(14);
     let now = Duration::from_secs(1);
-    let taken = (0..20).filter(|_| window.take(now)).count();
-    assert_eq!(taken, 1);
+    let allowed = (0..20).filter(|_| window.take(now)).count();
+    assert_eq!(allowed, 1);
     for _ in 0..100 {
         window.record_first_attempt(now);
     }
     let later = now + STEP * 2;
-    let taken = (0..100).filter(|_| window.take(later)).count();
-    assert!((5..=15).contains(&taken), "{taken}");
+    let allowed = (0..100).filter(|_| window.take(later)).count();
+    assert!((5..=15).contains(&allowed), "{allowed}");
 }
 
 #[test]
 fn calls_of_a_repeated_request_are_counted_whoever_made_it() {
     let now = Duration::from_secs(1);
-    let taken = |repeated: f64| {
+    let allowed_retries = |repeated: f64| {
         let mut window = RetryWindow::new(WINDOW, RATIO, 0.0);
         for step in 0..80 {
             let at = now + STEP * step;
@@ -159,9 +160,9 @@
         let last = now + STEP * 79;
         (0..1_000).filter(|_| window.take(last)).count()
     };
-    let without = taken(0.0);
+    let without = allowed_retries(0.0);
     assert!((50..=80).contains(&without), "{without}");
-    // A tenth of the calls are repeats already, and take as much of what is allowed.
-    let with = taken(0.1);
+    // A tenth of the calls are repeats already and use up as much of the limit.
+    let with = allowed_retries(0.1);
     assert!(with <= without / 2, "{with} of {without}");
 }
--- a/crates/sorrelturn-policy/tests/routing.rs
+++ b/crates/sorrelturn-policy/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routing avoids what is loaded, broken, leaving or cold, and never empties a service.
+//! Routing avoids loaded, failing, leaving and cold instances, and never empties a service.
 
 use sorrelturn_policy::*;
 use sorrelturn_protocol::Incarnation;
