--- a/crates/sorrelturn-policy/src/retry_after.rs
+++ b/crates/sorrelturn-policy/src/retry_after.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 /// Minimum expected duration of an overload.
-const MIN_DELAY: Duration = Duration::from_secs(1);
+const MIN_EXPECTED_OVERLOAD: Duration = Duration::from_secs(1);
 /// Maximum expected duration of an overload: if it ends early, callers must not stay away for long.
-const MAX_DELAY: Duration = Duration::from_secs(30);
+const MAX_EXPECTED_OVERLOAD: Duration = Duration::from_secs(30);
 
 /// Time without a refusal after which an overload counts as over. Small entries refuse requests of
 /// a rare kind more than a second apart.
@@ -45,9 +45,11 @@
     /// random factor from 0.5 to 1.5 spreads the retries.
     pub fn compute(overload_duration: Option<Duration>, rng: &mut fastrand::Rng) -> Duration {
         let expected = overload_duration
-            .unwrap_or(MIN_DELAY)
-            .clamp(MIN_DELAY, MAX_DELAY);
-        expected.mul_f64(0.5 + rng.f64()).max(MIN_DELAY / 2)
+            .unwrap_or(MIN_EXPECTED_OVERLOAD)
+            .clamp(MIN_EXPECTED_OVERLOAD, MAX_EXPECTED_OVERLOAD);
+        expected
+            .mul_f64(0.5 + rng.f64())
+            .max(MIN_EXPECTED_OVERLOAD / 2)
     }
 
     /// Returns the value of the `Retry-After` header in whole seconds, rounded up so that callers
--- a/crates/sorrelturn-policy/src/routing.rs
+++ b/crates/sorrelturn-policy/src/routing.rs
@@ -222,11 +222,11 @@
 
     /// Returns the share of its calls that an instance accepts while it warms up, in percent.
     fn warmth(&self, now_ms: u64) -> u64 {
-        let left = self.warm_at_ms.saturating_sub(now_ms);
-        if left == 0 || self.cold_start_ms == 0 {
+        let remaining_ms = self.warm_at_ms.saturating_sub(now_ms);
+        if remaining_ms == 0 || self.cold_start_ms == 0 {
             return 100;
         }
-        100 - (left * 90 / self.cold_start_ms).min(90)
+        100 - (remaining_ms * 90 / self.cold_start_ms).min(90)
     }
 }
 
@@ -320,8 +320,8 @@
 }
 
 /// Samples up to two positions below `count`.
-fn sample_positions(count: usize, wanted: usize, rng: &mut fastrand::Rng) -> [usize; 2] {
-    match count.min(wanted) {
+fn sample_positions(count: usize, sample_size: usize, rng: &mut fastrand::Rng) -> [usize; 2] {
+    match count.min(sample_size) {
         0 => [NOT_SAMPLED; 2],
         1 => [rng.usize(..count), NOT_SAMPLED],
         _ => {
@@ -345,14 +345,14 @@
     let mut best: Option<(usize, &Instance, u64)> = None;
     let mut other: Option<(usize, &Instance)> = None;
     for (position, instance) in candidates {
-        let (place, wanted) = if instance.near {
+        let (index, sampled) = if instance.near {
             (&mut near, &sample.near)
         } else {
             (&mut far, &sample.far)
         };
-        let is_sampled = wanted.contains(place);
-        let is_first_sampled = wanted[0] == *place;
-        *place += 1;
+        let is_sampled = sampled.contains(index);
+        let is_first_sampled = sampled[0] == *index;
+        *index += 1;
         if !is_sampled {
             continue;
         }
