--- a/crates/sorrelturn-bench/src/returns.rs
+++ b/crates/sorrelturn-bench/src/returns.rs
@@ -5,8 +5,8 @@
 
 use fastrand::Rng;
 use sorrelturn_policy::{
-    Arrival, Decision, Gate, GateConfig, LearnedThreshold, Now, Outcome, Refusing, RetryDetector,
-    bucket_for_retry, refuses,
+    Arrival, Decision, Gate, GateConfig, LearnedThreshold, Now, Outcome, RefusalStreak,
+    RetryDetector, bucket_for_retry, refuses,
 };
 use sorrelturn_protocol::{Importance, Priority};
 use std::{
@@ -157,8 +157,8 @@
 pub const PRODUCT: ReturnWay = ReturnWay {
     name: "the product's",
     rule: || {
-        let mut refusing = Refusing::default();
-        Box::new(move |refused, rng| refusing.refused(refused.now, rng))
+        let mut refusing = RefusalStreak::default();
+        Box::new(move |refused, rng| refusing.record_refusal(refused.now, rng))
     },
     order: bucket_for_retry,
 };
--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -1,7 +1,7 @@
 //! Admission to one backend server: a concurrency limit and a short priority queue.
 //! See `docs/design/admission.md`.
 
-use crate::{AdaptiveLimit, ConcurrencyTuner, LoadLevel, Now, Outcome, Pressure, TuningSample};
+use crate::{AdaptiveLimit, ConcurrencyTuner, Now, Outcome, Pressure, SheddingLevel, TuningSample};
 use sorrelturn_protocol::{Importance, Priority, Refusal};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -102,7 +102,7 @@
     tuner: ConcurrencyTuner,
     last_sample: TuningSample,
     pressure: Pressure,
-    level: LoadLevel,
+    level: SheddingLevel,
     in_flight: u32,
     queue: BTreeMap<QueueKey, Now>,
 }
@@ -116,7 +116,7 @@
             tuner: ConcurrencyTuner::new(cfg.slots),
             last_sample: TuningSample::default(),
             pressure: Pressure::new(now),
-            level: LoadLevel::new(now),
+            level: SheddingLevel::new(now),
             in_flight: 0,
             queue: BTreeMap::new(),
         }
@@ -235,7 +235,7 @@
 
     /// Reports the scheduling delay of the daemon.
     pub fn report_lag(&mut self, lag: Duration) {
-        self.level.lags(lag);
+        self.level.set_lag(lag);
     }
 
     /// Starts a new cold start after the backend server was unavailable.
@@ -291,14 +291,14 @@
 
     fn update_level(&mut self, now: Now) {
         let limit = self.steady_limit(now);
-        self.level.passed(now, self.queue.len(), limit);
+        self.level.update(now, self.queue.len(), limit);
     }
 
     /// The duration of the current overload; `None` without overload.
     pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
         match self.cfg.call_queue_timeout {
-            None => self.pressure.lasting(now),
-            Some(_) => self.level.lasting(now),
+            None => self.pressure.pressure_duration(now),
+            Some(_) => self.level.pressure_duration(now),
         }
     }
 
@@ -324,7 +324,7 @@
         self.last_sample = self.tuner.begin(now, self.in_flight);
         self.pressure.admitted(queueing_delay);
         if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_FRACTION {
-            self.pressure.busy();
+            self.pressure.mark_busy();
         }
     }
 
--- a/crates/sorrelturn-policy/src/lib.rs
+++ b/crates/sorrelturn-policy/src/lib.rs
@@ -31,16 +31,16 @@
 pub use learned::LearnedThreshold;
 pub use leaving::{Leaving, LeavingCause};
 pub use limit::{AdaptiveLimit, Outcome};
-pub use load_level::{LEVEL_STEPS, LoadLevel, refuses};
+pub use load_level::{LEVEL_STEPS, SheddingLevel, refuses};
 pub use origins::Origins;
-pub use presence::{Heard, Presence};
+pub use presence::{Presence, PresenceChange};
 pub use pressure::Pressure;
-pub use quarantine::{CRASHES_TO_HOLD, Learnt, Quarantine};
-pub use retry::{Attempt, MOST_TURNED_AWAY, Step, after_turned_away, next_step};
-pub use retry_after::{Refusing, RetryAfter};
+pub use quarantine::{CRASHES_TO_QUARANTINE, Quarantine, QuarantineUpdate};
+pub use retry::{Attempt, MAX_BACKEND_REFUSALS, Step, next_step, step_after_backend_refusal};
+pub use retry_after::{RefusalStreak, RetryAfter};
 pub use retry_window::RetryWindow;
 pub use routing::{Instance, InstanceReport, choose};
-pub use worked_on::WorkedOn;
+pub use worked_on::InProgressRequests;
 
 /// A point in time: the time since the process started, including time that its VM was suspended.
 pub type Now = std::time::Duration;
--- a/crates/sorrelturn-policy/src/origins.rs
+++ b/crates/sorrelturn-policy/src/origins.rs
@@ -1,66 +1,67 @@
-//! Whether requests of a kind begin with callers or are calls of backend servers, learnt at the
-//! service that answers them. See `docs/design/entry-admission.md`.
+//! Detects whether requests of a kind come from callers or are calls of backend servers, as seen by
+//! the service that serves them. See `docs/design/entry-admission.md`.
 //!
-//! Callers send requests on every VM; a backend server makes its calls on its own. So requests
-//! that come from the VMs of few services only are calls.
+//! Callers send requests from every VM, while a backend server makes calls only from its own VM. So
+//! requests that come from the VMs of only a few services are calls.
 
 use std::collections::HashMap;
 
-/// Before so many requests of a kind, nothing is concluded.
-const LEAST_REQUESTS: u32 = 40;
-/// A service from whose VMs fewer come, in percent, doesn't count: a few requests go astray.
-const LEAST_PERCENT: u32 = 3;
-/// Fewer are enough where callers on all VMs would hardly send them all from these few: once in so many times by chance.
-/// A service of half of the VMs is known by ten requests instead of forty, which an instance among many has within a
-/// second of a start.
-const ONCE_BY_CHANCE: f64 = 1_000.0;
-/// When so many have come, older ones begin to count less.
-const MEMORY_REQUESTS: u32 = 2_000;
+/// Minimum number of requests of a kind for a decision by the number of services.
+const MIN_REQUESTS: u32 = 40;
+/// Services that send a smaller percentage of the requests are ignored, as a few requests are
+/// misattributed.
+const MIN_SHARE_PERCENT: u32 = 3;
+/// With fewer requests, a kind counts as calls if callers on all VMs would send all of them from
+/// these services less than once in this many cases.
+const CHANCE_FACTOR: f64 = 1_000.0;
+/// Number of requests of a kind above which the counts are halved, so that older requests weigh
+/// less.
+const MAX_COUNTED_REQUESTS: u32 = 2_000;
 
-/// Where the requests of each kind come from.
+/// Counts the requests of each kind by the service whose VMs they come from.
 #[derive(Clone, Debug, Default)]
 pub struct Origins {
     by_kind: HashMap<String, HashMap<String, u32>>,
 }
 
 impl Origins {
-    /// A request of a kind came from a VM of a service.
-    pub fn saw(&mut self, kind: &str, from_service: &str) {
+    /// Records a request of a kind that came from a VM of `caller_service`.
+    pub fn record(&mut self, kind: &str, caller_service: &str) {
         let origins = match self.by_kind.get_mut(kind) {
             Some(origins) => origins,
             None => self.by_kind.entry(kind.to_owned()).or_default(),
         };
-        match origins.get_mut(from_service) {
+        match origins.get_mut(caller_service) {
             Some(count) => *count += 1,
             None => {
-                origins.insert(from_service.to_owned(), 1);
+                origins.insert(caller_service.to_owned(), 1);
             }
         }
-        if origins.values().sum::<u32>() > MEMORY_REQUESTS {
+        if origins.values().sum::<u32>() > MAX_COUNTED_REQUESTS {
             origins.values_mut().for_each(|count| *count /= 2);
         }
     }
 
-    /// Forgets kinds that no longer exist.
+    /// Removes kinds that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
         self.by_kind.retain(|kind, _| exists(kind));
     }
 
-    /// Whether requests of a kind are calls of backend servers, in a fleet of so many services; `share_of` tells the
-    /// part of all VMs that a service has.
+    /// Returns whether requests of a kind are calls of backend servers, in a fleet with this number
+    /// of services. `share_of` returns a service's share of all VMs.
     pub fn are_calls(&self, kind: &str, services: usize, share_of: impl Fn(&str) -> f64) -> bool {
         let Some(origins) = self.by_kind.get(kind) else {
             return false;
         };
-        let all: u32 = origins.values().sum();
-        if all < LEAST_REQUESTS {
+        let total: u32 = origins.values().sum();
+        if total < MIN_REQUESTS {
             let share: f64 = origins.keys().map(|service| share_of(service)).sum();
-            let by_chance = share.min(1.0).powi(all as i32);
-            return origins.len() * 2 <= services && by_chance * ONCE_BY_CHANCE < 1.0;
+            let chance = share.min(1.0).powi(total as i32);
+            return origins.len() * 2 <= services && chance * CHANCE_FACTOR < 1.0;
         }
         let count = origins
             .values()
-            .filter(|count| **count * 100 >= all * LEAST_PERCENT)
+            .filter(|count| **count * 100 >= total * MIN_SHARE_PERCENT)
             .count();
         count * 2 <= services
     }
--- a/crates/sorrelturn-policy/src/presence.rs
+++ b/crates/sorrelturn-policy/src/presence.rs
@@ -1,210 +1,230 @@
-//! Which backend server stands beside the daemon, and whether it takes work.
+//! Tracks the backend server beside the daemon and whether it accepts work.
 //! See `docs/design/running-on-the-platform.md`.
 
 use crate::Now;
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{collections::VecDeque, time::Duration};
 
-/// So many earlier runs are remembered, so that late news of them is recognised. One replacement takes
-/// seconds and news is late by seconds, so a handful is enough.
-const EARLIER_KEPT: usize = 8;
+/// Maximum number of earlier incarnations that are remembered, so that delayed announcements of
+/// them are recognized.
+const MAX_EARLIER_INCARNATIONS: usize = 8;
 
-/// A run that has said nothing for so long may be followed by one that seems to have started before it.
-/// Backend servers announce themselves every 1.5 s, so a living one misses two announcements by then.
-const SILENCE: Duration = Duration::from_secs(4);
+/// Silence of the current incarnation after which one with an earlier start time may replace it.
+/// Backend servers announce themselves every 1.5 s, so a live one misses two announcements by then.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What follows from an announcement.
+/// The result of processing an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing new.
-    Known,
-    /// It was sent before something that is known already.
-    Late,
-    /// It is of a run that was never heard of and seems to have started before the known one: held up, or
-    /// sent after a step back of the clock. Nothing follows from it yet.
-    Doubtful,
-    /// It doesn't say which run it is of, and the runs here do: somebody else wrote it.
+pub enum PresenceChange {
+    /// The announcement changes nothing.
+    NoChange,
+    /// The announcement is older than what is already known.
+    Outdated,
+    /// The announcement comes from an unknown incarnation that seems to have started before the
+    /// current one, either because it was delayed or because the clock stepped back. It has no
+    /// effect yet.
+    Unconfirmed,
+    /// The announcement lacks a start time although the backend servers here send one, so it comes
+    /// from another sender.
     Foreign,
-    /// A backend server that takes work is there, or takes work anew.
+    /// A backend server accepts work, or accepts it again.
     NowReady,
-    /// The backend server leaves: nothing more may be handed to it.
+    /// The backend server is leaving and must not get any more requests.
     NowLeaving,
 }
 
-/// One run of a backend server: a restart may keep the id, but not the time of the start.
+/// One incarnation of a backend server. A restart may keep the id, but not the start time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Run {
+struct BackendIncarnation {
     id: String,
     born: Option<u64>,
 }
 
-impl Run {
-    fn of(news: &Announcement) -> Self {
+impl BackendIncarnation {
+    fn of(announcement: &Announcement) -> Self {
         Self {
-            id: news.id.clone(),
-            born: news.born,
+            id: announcement.id.clone(),
+            born: announcement.born,
         }
     }
 
-    fn is_of(&self, news: &Announcement) -> bool {
-        self.id == news.id && self.born == news.born
+    fn matches(&self, announcement: &Announcement) -> bool {
+        self.id == announcement.id && self.born == announcement.born
     }
 }
 
-/// The backend server beside a daemon, as far as it is known.
+/// What is known of the backend server beside a daemon.
 ///
-/// A run is told by its id and its start. Between two runs of one id, the later start decides; but clocks step, and
-/// a run that started after a step back seems to be the earlier one. It is taken once the known run has been silent
-/// for longer than a living one is. Until then the daemon goes on under the same id, which is no harm: requests
-/// carry the id alone, and what leaves isn't acknowledged for a run that isn't the known one.
+/// An incarnation is identified by its id and its start time. Of two incarnations with one id, the
+/// one with the later start time is current. As clocks may step back, an incarnation with an
+/// earlier start time also becomes current once the known one has been silent for longer than a
+/// live one would be. Until then the daemon keeps using the same id. This is safe: requests carry
+/// only the id, and a leaving announcement is acknowledged only for the current incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
     current: Option<Announcement>,
-    /// Whether the current run has announced itself, and wasn't told by an answer alone.
-    announced: bool,
-    heard_at: Now,
-    earlier: VecDeque<Run>,
-    /// Runs here tell when they started.
-    tells_start: bool,
+    /// Whether the current incarnation has announced itself, rather than being known from an answer
+    /// alone.
+    has_announced: bool,
+    last_update: Now,
+    earlier: VecDeque<BackendIncarnation>,
+    /// Whether backend servers here send their start time.
+    sends_start_time: bool,
 }
 
 impl Presence {
-    /// The id of the backend server that takes work now.
+    /// Returns the id of the backend server that accepts work.
     pub fn serving(&self) -> Option<&str> {
         let current = self.current.as_ref()?;
         (current.state == BackendState::Ready).then_some(current.id.as_str())
     }
 
-    /// What is known of the backend server, in whatever state it is.
+    /// Returns the last known announcement of the backend server, whatever its state.
     pub fn current(&self) -> Option<&Announcement> {
         self.current.as_ref()
     }
 
-    /// Takes an announcement. A run that leaves never comes back; a new run has another id or another start.
-    pub fn hear(&mut self, now: Now, news: Announcement) -> Heard {
-        if news.born.is_none() && self.tells_start {
-            return Heard::Foreign;
+    /// Processes an announcement. An incarnation that is leaving never becomes ready again; a new
+    /// incarnation has another id or start time.
+    pub fn receive(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
+        if announcement.born.is_none() && self.sends_start_time {
+            return PresenceChange::Foreign;
         }
-        self.tells_start |= news.born.is_some();
+        self.sends_start_time |= announcement.born.is_some();
         let Some(current) = &self.current else {
-            return self.replace(now, news);
+            return self.replace(now, announcement);
         };
-        if self.is_first_word(&news) {
-            return self.takes_name(now, news);
+        if self.is_first_announcement(&announcement) {
+            return self.adopt_first_announcement(now, announcement);
         }
-        if Run::of(current).is_of(&news) {
-            return self.of_current(now, news);
+        if BackendIncarnation::of(current).matches(&announcement) {
+            return self.update_current(now, announcement);
         }
-        if self.follows(now, &news) {
-            return self.replace(now, news);
+        if self.supersedes_current(now, &announcement) {
+            return self.replace(now, announcement);
         }
-        if self.earlier.iter().any(|earlier| earlier.is_of(&news)) {
-            Heard::Late
+        if self
+            .earlier
+            .iter()
+            .any(|earlier| earlier.matches(&announcement))
+        {
+            PresenceChange::Outdated
         } else {
-            Heard::Doubtful
+            PresenceChange::Unconfirmed
         }
     }
 
-    /// Another backend server answered at the address: the known one has ended. Returns whether
-    /// this is news.
-    pub fn answered_as(&mut self, now: Now, id: &str) -> bool {
-        let known = self.current.as_ref().is_some_and(|known| known.id == id);
-        if known || self.earlier.iter().any(|earlier| earlier.id == id) {
+    /// Records that the backend server with this id answered at the address; if it isn't the known
+    /// one, that one has ended. Returns whether this is new.
+    pub fn record_answer_from(&mut self, now: Now, id: &str) -> bool {
+        let is_current = self
+            .current
+            .as_ref()
+            .is_some_and(|current| current.id == id);
+        if is_current || self.earlier.iter().any(|earlier| earlier.id == id) {
             return false;
         }
-        let news = Announcement {
+        let announcement = Announcement {
             id: id.to_owned(),
             born: None,
             state: BackendState::Ready,
             sequence: 0,
         };
-        self.replace(now, news);
-        self.announced = false;
+        self.replace(now, announcement);
+        self.has_announced = false;
         true
     }
 
-    /// Whether the current run is known by an answer alone, which doesn't tell its start, and this is its first
-    /// announcement.
-    fn is_first_word(&self, news: &Announcement) -> bool {
+    /// Returns whether the current incarnation is known only from an answer, which carries no start
+    /// time, and this is its first announcement.
+    fn is_first_announcement(&self, announcement: &Announcement) -> bool {
         let current = self.current.as_ref();
-        let same_id = current.is_some_and(|current| current.id == news.id);
-        let unheard = self.earlier.iter().all(|earlier| !earlier.is_of(news));
-        same_id && unheard && !self.announced && news.born.is_some()
+        let has_same_id = current.is_some_and(|current| current.id == announcement.id);
+        let is_unseen = self
+            .earlier
+            .iter()
+            .all(|earlier| !earlier.matches(announcement));
+        has_same_id && is_unseen && !self.has_announced && announcement.born.is_some()
     }
 
-    fn takes_name(&mut self, now: Now, news: Announcement) -> Heard {
-        let leaves = news.state != BackendState::Ready;
-        self.current = Some(news);
-        self.announced = true;
-        self.heard_at = now;
-        if leaves {
-            Heard::NowLeaving
+    fn adopt_first_announcement(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
+        let is_leaving = announcement.state != BackendState::Ready;
+        self.current = Some(announcement);
+        self.has_announced = true;
+        self.last_update = now;
+        if is_leaving {
+            PresenceChange::NowLeaving
         } else {
-            Heard::NowReady
+            PresenceChange::NowReady
         }
     }
 
-    fn of_current(&mut self, now: Now, news: Announcement) -> Heard {
+    fn update_current(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         let Some(current) = &mut self.current else {
-            return Heard::Late;
+            return PresenceChange::Outdated;
         };
-        if news.state > current.state {
-            current.sequence = current.sequence.max(news.sequence);
+        if announcement.state > current.state {
+            current.sequence = current.sequence.max(announcement.sequence);
             let was_ready = current.state == BackendState::Ready;
-            current.state = news.state;
-            self.heard_at = now;
+            current.state = announcement.state;
+            self.last_update = now;
             return if was_ready {
-                Heard::NowLeaving
+                PresenceChange::NowLeaving
             } else {
-                Heard::Known
+                PresenceChange::NoChange
             };
         }
-        if news.state < current.state || news.sequence < current.sequence {
-            return Heard::Late;
+        if announcement.state < current.state || announcement.sequence < current.sequence {
+            return PresenceChange::Outdated;
         }
-        current.sequence = news.sequence;
-        self.announced = true;
-        self.heard_at = now;
-        Heard::Known
+        current.sequence = announcement.sequence;
+        self.has_announced = true;
+        self.last_update = now;
+        PresenceChange::NoChange
     }
 
-    /// Whether news of another run than the current one tells of a later one.
-    fn follows(&self, now: Now, news: &Announcement) -> bool {
+    /// Returns whether an announcement of another incarnation makes that one current.
+    fn supersedes_current(&self, now: Now, announcement: &Announcement) -> bool {
         let Some(current) = &self.current else {
             return true;
         };
-        let was_known = self.earlier.iter().any(|earlier| earlier.is_of(news));
-        let later_start = current.id != news.id || news.born > current.born;
-        if !was_known && later_start {
+        let was_known = self
+            .earlier
+            .iter()
+            .any(|earlier| earlier.matches(announcement));
+        let has_later_start = current.id != announcement.id || announcement.born > current.born;
+        if !was_known && has_later_start {
             return true;
         }
-        let silent = now >= self.heard_at + SILENCE;
-        let takes_work = news.state == BackendState::Ready;
-        // A run that was replaced and still announces itself was replaced by news that came late. But what has left
-        // was acknowledged, and is no proof that an earlier run is alive.
-        let may_return = match (was_known, current.state) {
-            (true, state) => state == BackendState::Ready && news.born.is_some(),
+        let is_silent = now >= self.last_update + SILENCE_TIMEOUT;
+        let accepts_work = announcement.state == BackendState::Ready;
+        // If a replaced incarnation still announces itself, it was replaced because of a delayed
+        // announcement. But if the current one is leaving, that was acknowledged, and an earlier
+        // one doesn't come back.
+        let may_take_over = match (was_known, current.state) {
+            (true, state) => state == BackendState::Ready && announcement.born.is_some(),
             (false, state) => state != BackendState::Draining,
         };
-        silent && takes_work && may_return
+        is_silent && accepts_work && may_take_over
     }
 
-    fn replace(&mut self, now: Now, news: Announcement) -> Heard {
+    fn replace(&mut self, now: Now, announcement: Announcement) -> PresenceChange {
         let was_ready = self.serving().is_some();
-        let is_ready = news.state == BackendState::Ready;
-        self.heard_at = now;
-        self.announced = true;
-        self.earlier.retain(|earlier| !earlier.is_of(&news));
-        if let Some(before) = self.current.replace(news) {
-            if self.earlier.len() == EARLIER_KEPT {
+        let is_ready = announcement.state == BackendState::Ready;
+        self.last_update = now;
+        self.has_announced = true;
+        self.earlier
+            .retain(|earlier| !earlier.matches(&announcement));
+        if let Some(previous) = self.current.replace(announcement) {
+            if self.earlier.len() == MAX_EARLIER_INCARNATIONS {
                 self.earlier.pop_front();
             }
-            self.earlier.push_back(Run::of(&before));
+            self.earlier.push_back(BackendIncarnation::of(&previous));
         }
         match (was_ready, is_ready) {
-            (_, true) => Heard::NowReady,
-            (true, false) => Heard::NowLeaving,
-            (false, false) => Heard::Known,
+            (_, true) => PresenceChange::NowReady,
+            (true, false) => PresenceChange::NowLeaving,
+            (false, false) => PresenceChange::NoChange,
         }
     }
 }
