--- a/crates/sorrelturn-daemon/src/config/settings.rs
+++ b/crates/sorrelturn-daemon/src/config/settings.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use sorrelturn_bundle::{Diagnostic, SourceMap, TrustedKeys, parse_settings};
 use sorrelturn_platform::OBJECTS_PATH;
-use sorrelturn_quota::{Bound, Terms};
+use sorrelturn_quota::{Bound, ValidityConfig};
 use std::{
     collections::BTreeMap, net::SocketAddr, ops::RangeInclusive, path::PathBuf, time::Duration,
 };
@@ -179,11 +179,11 @@
 
     /// For how long shares and grants are good. What is granted before a window and used in it has to fit into the
     /// overage.
-    pub(crate) fn quota_terms(&self) -> Terms {
+    pub(crate) fn quota_terms(&self) -> ValidityConfig {
         let overage = self.quota_window_s * self.quota_overage * GRANT_PART_OF_OVERAGE;
-        Terms {
-            lease: Duration::from_millis(self.quota_lease_ms),
-            grant: MOST_GRANT_TIME.min(Duration::from_secs_f64(overage)),
+        ValidityConfig {
+            min_lease_duration: Duration::from_millis(self.quota_lease_ms),
+            grant_validity: MOST_GRANT_TIME.min(Duration::from_secs_f64(overage)),
         }
     }
 }
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -13,8 +13,8 @@
 use sorrelturn_policy::Now;
 use sorrelturn_protocol::{CallerId, Incarnation, MemberRecord, MemberState, Refusal, RequestId};
 use sorrelturn_quota::{
-    Accountant, AcquireReply, AcquireRequest, Bound, Entry, Limit, Outcome, Shard, Target, Terms,
-    preferred_accountant,
+    AcquireReply, AcquireRequest, AcquireTarget, Bound, Limit, Outcome, QuotaAllocator,
+    QuotaClient, Shard, ValidityConfig, preferred_allocator,
 };
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -33,21 +33,21 @@
 
 /// What a daemon lends, holds and grants.
 pub(crate) struct Quota {
-    entry: Mutex<Entry>,
-    accountant: Mutex<Accountant>,
+    entry: Mutex<QuotaClient>,
+    accountant: Mutex<QuotaAllocator>,
     /// What became of the requests of workspaces at this entry.
     pub(crate) counts: WorkspaceCounts,
-    terms: Terms,
+    terms: ValidityConfig,
     bound: Bound,
     /// The accountants of the shards, by run.
     accountants: Mutex<HashMap<Incarnation, MemberRecord>>,
 }
 
 impl Quota {
-    pub(crate) fn new(run: Incarnation, bound: Bound, terms: Terms, now: Now) -> Self {
+    pub(crate) fn new(run: Incarnation, bound: Bound, terms: ValidityConfig, now: Now) -> Self {
         Self {
-            entry: Mutex::new(Entry::new(run, terms, now)),
-            accountant: Mutex::new(Accountant::new(run, terms, now)),
+            entry: Mutex::new(QuotaClient::new(run, terms, now)),
+            accountant: Mutex::new(QuotaAllocator::new(run, terms, now)),
             counts: WorkspaceCounts::default(),
             terms,
             bound,
@@ -60,7 +60,7 @@
             rate: quota.rate,
             burst: quota.burst,
         };
-        self.bound.bucket(limit, self.terms.grant)
+        self.bound.bucket(limit, self.terms.grant_validity)
     }
 
     /// For how long shares are lent at a time.
@@ -124,7 +124,7 @@
             break;
         };
         let Some(drawn) = ask(node, target, Some(workspace.id)).await else {
-            lock(&node.quota.entry).mark_unresponsive(node.now(), target.accountant);
+            lock(&node.quota.entry).mark_unresponsive(node.now(), target.allocator);
             look(node);
             continue;
         };
@@ -189,10 +189,10 @@
     workspaces.any(|workspace| workspace.quota.is_some())
 }
 
-async fn renew(node: &Arc<Node>, target: Target) {
+async fn renew(node: &Arc<Node>, target: AcquireTarget) {
     match ask(node, target, None).await {
         Some(drawn) => lock(&node.quota.entry).record_reading(node.now(), drawn.clock_reading),
-        None => lock(&node.quota.entry).mark_unresponsive(node.now(), target.accountant),
+        None => lock(&node.quota.entry).mark_unresponsive(node.now(), target.allocator),
     }
 }
 
@@ -208,7 +208,7 @@
         .collect();
     let of_shard = |shard| {
         let named = live.iter();
-        preferred_accountant(
+        preferred_allocator(
             shard,
             named.map(|record| (record.instance.as_str(), record.incarnation)),
         )
@@ -217,7 +217,7 @@
     let accountants = Shard::all().filter_map(of_shard);
     let mut known = lock(&node.quota.accountants);
     // One that is not preferred any more may still hold a loan.
-    if known.len() > 4 * sorrelturn_quota::SHARDS {
+    if known.len() > 4 * sorrelturn_quota::SHARD_COUNT {
         known.clear();
     }
     for run in accountants {
@@ -229,16 +229,16 @@
 /// Asks an accountant; `None` if it doesn't answer in time.
 async fn ask(
     node: &Arc<Node>,
-    target: Target,
+    target: AcquireTarget,
     workspace: Option<CallerId>,
 ) -> Option<AcquireReply> {
     let members = members(&lock(&node.membership));
     let draw = lock(&node.quota.entry).acquire_request(target, members, workspace);
-    if target.accountant == node.incarnation {
+    if target.allocator == node.incarnation {
         return Some(answer(node, &draw));
     }
     let record = lock(&node.quota.accountants)
-        .get(&target.accountant)
+        .get(&target.allocator)
         .cloned()?;
     let too_late = async {
         node.timers.after(DRAW_TIME).await;
--- a/crates/sorrelturn-quota/src/accountant.rs
+++ b/crates/sorrelturn-quota/src/allocator.rs
@@ -1,7 +1,8 @@
-//! The accountant side of quotas: grants from the shares that are leased to it.
+//! The allocator side of quotas: grants from the shares that are leased to it.
 
 use crate::{
-    AcquireReply, AcquireRequest, ClockReading, Limit, Now, Outcome, SHARDS, Shard, Terms,
+    AcquireReply, AcquireRequest, ClockReading, Limit, Now, Outcome, SHARD_COUNT, Shard,
+    ValidityConfig,
 };
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
@@ -19,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct Lessor {
     members: u32,
-    leases: [LeasePeriod; SHARDS],
+    leases: [LeasePeriod; SHARD_COUNT],
 }
 
 /// The period of a share's lease.
@@ -42,31 +43,31 @@
 
 /// Grants requests of workspaces within their quotas, in proportion to the leased shares.
 #[derive(Clone, Debug)]
-pub struct Accountant {
+pub struct QuotaAllocator {
     incarnation: Incarnation,
-    terms: Terms,
+    validity: ValidityConfig,
     lessors: BTreeMap<Incarnation, Lessor>,
     /// The number of members among which the quotas are divided, and until when it can't decrease.
     members: (u32, Now),
     /// For each shard, the sum of share times lease time over all leases, in seconds.
-    leased_share_seconds: [f64; SHARDS],
+    leased_share_seconds: [f64; SHARD_COUNT],
     /// For each shard, the fraction of the shares that is currently leased.
-    leased_fraction: [f64; SHARDS],
+    leased_fraction: [f64; SHARD_COUNT],
     /// The time up to which `leased_share_seconds` and `leased_fraction` are computed.
     counted_until: Now,
     pools: BTreeMap<CallerId, Pool>,
 }
 
-impl Accountant {
-    /// Creates an accountant without leases.
-    pub fn new(incarnation: Incarnation, terms: Terms, now: Now) -> Self {
+impl QuotaAllocator {
+    /// Creates an allocator without leases.
+    pub fn new(incarnation: Incarnation, validity: ValidityConfig, now: Now) -> Self {
         Self {
             incarnation,
-            terms,
+            validity,
             lessors: BTreeMap::new(),
             members: (1, now),
-            leased_share_seconds: [0.0; SHARDS],
-            leased_fraction: [0.0; SHARDS],
+            leased_share_seconds: [0.0; SHARD_COUNT],
+            leased_fraction: [0.0; SHARD_COUNT],
             counted_until: now,
             pools: BTreeMap::new(),
         }
@@ -75,7 +76,7 @@
     /// Processes an acquire request.
     ///
     /// `limit` is the limit of the requested workspace, absent if it is unknown here; `members` is the number of
-    /// members that this accountant knows.
+    /// members that this allocator knows.
     pub fn acquire(
         &mut self,
         now: Now,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Returns the fraction of a shard's shares that is leased to this accountant.
+    /// Returns the fraction of a shard's shares that is leased to this allocator.
     pub fn leased_fraction(&mut self, now: Now, shard: Shard, members: u32) -> f64 {
         let now = self.monotonic(now);
         self.count_leased(now, members);
@@ -107,7 +108,7 @@
     }
 
     fn lease_duration(&self, members: u32) -> Duration {
-        self.terms.lease_duration(members.max(self.members.0))
+        self.validity.lease_duration(members.max(self.members.0))
     }
 
     /// Raises a clock value that was read before another thread's update, so that no time is counted twice.
@@ -123,14 +124,14 @@
         else {
             return;
         };
-        // If the settings of lessor and accountant differ, the shorter duration applies.
+        // If the settings of lessor and allocator differ, the shorter duration applies.
         let until = lease.clock_reading.at + self.lease_duration(members).min(lease.duration);
         if until <= now {
             return;
         }
         let lessor = self.lessors.entry(req.from).or_insert(Lessor {
             members: req.members,
-            leases: [LeasePeriod::default(); SHARDS],
+            leases: [LeasePeriod::default(); SHARD_COUNT],
         });
         lessor.members = req.members;
         for shard in lease.shards.iter() {
@@ -146,7 +147,7 @@
     fn count_leased(&mut self, now: Now, members: u32) {
         let before = self.counted_until;
         let share = 1.0 / f64::from(self.quota_divisor(now, members));
-        self.leased_fraction = [0.0; SHARDS];
+        self.leased_fraction = [0.0; SHARD_COUNT];
         for lessor in self.lessors.values() {
             for (index, period) in lessor.leases.iter().enumerate() {
                 let from = period.since.max(before);
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -22,7 +22,7 @@
 }
 
 impl Bound {
-    /// Returns the token bucket that enforces the bound in every window, even if an accountant loses its state.
+    /// Returns the token bucket that enforces the bound in every window, even if an allocator loses its state.
     ///
     /// A workspace may use its burst again in each window, so the bucket refills at the rate plus one burst per window.
     /// The bucket's capacity is the rest of the bound. `grant` is how long an unused grant stays valid.
--- a/crates/sorrelturn-quota/src/entry.rs
+++ b/crates/sorrelturn-quota/src/client.rs
@@ -1,30 +1,31 @@
-//! The entry side of quotas: the leases of its own shares and the grants that it holds.
+//! The client side of quotas: the leases of its own shares and the grants that it holds.
 
 use crate::{
-    AcquireReply, AcquireRequest, ClockReading, Lease, Now, Outcome, SHARDS, Shard, ShardSet, Terms,
+    AcquireReply, AcquireRequest, ClockReading, Lease, Now, Outcome, SHARD_COUNT, Shard, ShardSet,
+    ValidityConfig,
 };
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The factor by which the entry extends a lease, because the accountant's clock may run slower than its own.
+/// The factor by which the client extends a lease, because the allocator's clock may run slower than its own.
 const CLOCK_MARGIN: f64 = 1.05;
 /// The fraction of the lease duration after which a lease is renewed.
 ///
 /// It is below one half because the clock reading of a renewal is already one renewal interval old.
 pub const RENEW_AFTER_FRACTION: f64 = 0.4;
-/// How long an accountant that didn't answer is skipped.
+/// How long an allocator that didn't answer is skipped.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
 /// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its
-/// accountant.
+/// allocator.
 const OVER_QUOTA_INTERVAL: Duration = Duration::from_millis(100);
 /// The number of workspaces with grant balances above which expired balances are removed.
 const MAX_GRANT_BALANCES: usize = 20_000;
 
 /// The recipient of an acquire request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Target {
-    /// The incarnation of the accountant.
-    pub accountant: Incarnation,
+pub struct AcquireTarget {
+    /// The incarnation of the allocator.
+    pub allocator: Incarnation,
     /// The lease that is sent with the request.
     pub lease: Option<Lease>,
 }
@@ -45,44 +46,46 @@
 struct GrantBalance {
     grants: u32,
     until: Now,
-    /// If the workspace is over its quota: when to ask the accountant again, and the Retry-After time.
+    /// If the workspace is over its quota: when to ask the allocator again, and the Retry-After time.
     over_quota: Option<(Now, Duration)>,
 }
 
 /// The leases and grants of one daemon.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct QuotaClient {
     incarnation: Incarnation,
     started: Now,
     /// The lease duration. It only grows, as more members become known.
-    lease: Duration,
-    terms: Terms,
-    preferred: [Option<Incarnation>; SHARDS],
-    leased: [Option<LeasedShare>; SHARDS],
+    lease_duration: Duration,
+    validity: ValidityConfig,
+    preferred: [Option<Incarnation>; SHARD_COUNT],
+    leased: [Option<LeasedShare>; SHARD_COUNT],
     readings: BTreeMap<Incarnation, ReceivedReading>,
     unresponsive: BTreeMap<Incarnation, Now>,
     balances: BTreeMap<CallerId, GrantBalance>,
 }
 
-impl Entry {
+impl QuotaClient {
     /// Creates the state of an incarnation that starts at `now`.
-    pub fn new(incarnation: Incarnation, terms: Terms, now: Now) -> Self {
+    pub fn new(incarnation: Incarnation, validity: ValidityConfig, now: Now) -> Self {
         Self {
             incarnation,
             started: now,
-            lease: terms.lease,
-            terms,
-            preferred: [None; SHARDS],
-            leased: [None; SHARDS],
+            lease_duration: validity.min_lease_duration,
+            validity,
+            preferred: [None; SHARD_COUNT],
+            leased: [None; SHARD_COUNT],
             readings: BTreeMap::new(),
             unresponsive: BTreeMap::new(),
             balances: BTreeMap::new(),
         }
     }
 
-    /// Sets the preferred accountant of each shard and the number of members.
+    /// Sets the preferred allocator of each shard and the number of members.
     pub fn set_preferred(&mut self, members: u32, of_shard: impl Fn(Shard) -> Option<Incarnation>) {
-        self.lease = self.lease.max(self.terms.lease_duration(members));
+        self.lease_duration = self
+            .lease_duration
+            .max(self.validity.lease_duration(members));
         for shard in Shard::all() {
             self.preferred[shard.index()] = of_shard(shard);
         }
@@ -90,20 +93,20 @@
 
     /// Returns the lease duration.
     pub fn lease_duration(&self) -> Duration {
-        self.lease
+        self.lease_duration
     }
 
-    /// Whether an accountant is skipped because it recently didn't answer.
-    pub fn is_unresponsive(&self, now: Now, accountant: Incarnation) -> bool {
-        let until = self.unresponsive.get(&accountant);
+    /// Whether an allocator is skipped because it recently didn't answer.
+    pub fn is_unresponsive(&self, now: Now, allocator: Incarnation) -> bool {
+        let until = self.unresponsive.get(&allocator);
         until.is_some_and(|until| now < *until)
     }
 
-    /// Records that an accountant didn't answer.
-    pub fn mark_unresponsive(&mut self, now: Now, accountant: Incarnation) {
+    /// Records that an allocator didn't answer.
+    pub fn mark_unresponsive(&mut self, now: Now, allocator: Incarnation) {
         self.unresponsive.retain(|_, until| now < *until);
         self.unresponsive
-            .insert(accountant, now + UNRESPONSIVE_TIMEOUT);
+            .insert(allocator, now + UNRESPONSIVE_TIMEOUT);
     }
 
     /// Uses one grant of a workspace; returns `false` if there is no valid one.
@@ -117,47 +120,47 @@
         }
     }
 
-    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the accountant
+    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the allocator
     /// need not be asked again.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Selects the accountant for an acquire request and the lease to send with it. The lease counts as given from this
+    /// Selects the allocator for an acquire request and the lease to send with it. The lease counts as given from this
     /// call.
     ///
-    /// A share is leased to one accountant at a time. While a lease to another than the preferred accountant may still
+    /// A share is leased to one allocator at a time. While a lease to another than the preferred allocator may still
     /// be valid, the request goes to that one without a lease, provided that it answers.
-    pub fn target(&mut self, now: Now, shard: Shard) -> Option<Target> {
+    pub fn target(&mut self, now: Now, shard: Shard) -> Option<AcquireTarget> {
         let preferred = self.preferred[shard.index()]?;
         let other_lessee = self.leased_elsewhere(now, shard, preferred);
         match other_lessee.filter(|other| !self.is_unresponsive(now, *other)) {
-            Some(accountant) => Some(Target {
-                accountant,
+            Some(allocator) => Some(AcquireTarget {
+                allocator,
                 lease: None,
             }),
-            None => Some(Target {
-                accountant: preferred,
+            None => Some(AcquireTarget {
+                allocator: preferred,
                 lease: self.lease_shares(now, preferred),
             }),
         }
     }
 
-    /// Returns one shard for each accountant whose lease is due for renewal or not yet established.
+    /// Returns one shard for each allocator whose lease is due for renewal or not yet established.
     pub fn due_renewals(&self, now: Now) -> Vec<Shard> {
-        let renew_after = self.lease.mul_f64(RENEW_AFTER_FRACTION);
+        let renew_after = self.lease_duration.mul_f64(RENEW_AFTER_FRACTION);
         let mut due: Vec<Shard> = Vec::new();
         for shard in Shard::all() {
-            let Some(accountant) = self.preferred[shard.index()] else {
+            let Some(allocator) = self.preferred[shard.index()] else {
                 continue;
             };
-            let reading = self.readings.get(&accountant);
+            let reading = self.readings.get(&allocator);
             let is_due = reading.is_none_or(|reading| now >= reading.at + renew_after);
             let has_renewal = due
                 .iter()
-                .any(|other| self.preferred[other.index()] == Some(accountant));
-            if is_due && !has_renewal && !self.is_unresponsive(now, accountant) {
+                .any(|other| self.preferred[other.index()] == Some(allocator));
+            if is_due && !has_renewal && !self.is_unresponsive(now, allocator) {
                 due.push(shard);
             }
         }
@@ -167,7 +170,7 @@
     /// Builds the acquire request for a target.
     pub fn acquire_request(
         &self,
-        target: Target,
+        target: AcquireTarget,
         members: u32,
         workspace: Option<CallerId>,
     ) -> AcquireRequest {
@@ -198,7 +201,7 @@
             }
             Outcome::Nothing => return false,
         };
-        let until = sent + self.terms.grant;
+        let until = sent + self.validity.grant_validity;
         if now >= until || grants == 0 {
             return false;
         }
@@ -228,10 +231,10 @@
         })
     }
 
-    /// Records the clock reading of an accountant's reply.
+    /// Records the clock reading of an allocator's reply.
     pub fn record_reading(&mut self, now: Now, clock_reading: ClockReading) {
         self.unresponsive.remove(&clock_reading.incarnation);
-        let lease = self.lease;
+        let lease = self.lease_duration;
         self.readings.retain(|_, reading| now < reading.at + lease);
         self.readings.insert(
             clock_reading.incarnation,
@@ -249,7 +252,7 @@
             .iter()
             .flatten()
             .filter(|leased| now < leased.until);
-        leased.count() as f64 / SHARDS as f64
+        leased.count() as f64 / SHARD_COUNT as f64
     }
 
     fn leased_elsewhere(&self, now: Now, shard: Shard, than: Incarnation) -> Option<Incarnation> {
@@ -257,13 +260,13 @@
         (leased.to != than).then_some(leased.to)
     }
 
-    /// Leases to an accountant the shares of all its shards that are not leased to others.
+    /// Leases to an allocator the shares of all its shards that are not leased to others.
     fn lease_shares(&mut self, now: Now, to: Incarnation) -> Option<Lease> {
         let reading = *self.readings.get(&to)?;
-        // The accountant counts from its clock reading, which is older than the time at which it was received.
-        let until = reading.at + self.lease.mul_f64(CLOCK_MARGIN);
+        // The allocator counts from its clock reading, which is older than the time at which it was received.
+        let until = reading.at + self.lease_duration.mul_f64(CLOCK_MARGIN);
         // A lease of the previous incarnation, unknown to this one, may still be valid.
-        let leases_from = self.started + self.lease.mul_f64(CLOCK_MARGIN);
+        let leases_from = self.started + self.lease_duration.mul_f64(CLOCK_MARGIN);
         if now < leases_from || now >= until {
             return None;
         }
@@ -275,7 +278,7 @@
             self.leased[shard.index()] = Some(LeasedShare { to, until });
         }
         let clock_reading = reading.clock_reading;
-        let duration = self.lease;
+        let duration = self.lease_duration;
         (!shards.is_empty()).then_some(Lease {
             clock_reading,
             shards,
--- a/crates/sorrelturn-quota/src/lib.rs
+++ b/crates/sorrelturn-quota/src/lib.rs
@@ -1,36 +1,37 @@
 #![doc = include_str!("../README.md")]
 
-mod accountant;
+mod allocator;
 mod bound;
-mod entry;
+mod client;
 mod messages;
 mod shard;
 
-pub use accountant::Accountant;
+pub use allocator::QuotaAllocator;
 pub use bound::Bound;
-pub use entry::{Entry, RENEW_AFTER_FRACTION, Target};
+pub use client::{AcquireTarget, QuotaClient, RENEW_AFTER_FRACTION};
 pub use messages::{AcquireReply, AcquireRequest, ClockReading, Lease, Outcome};
-pub use shard::{SHARDS, Shard, ShardSet, preferred_accountant};
+pub use shard::{SHARD_COUNT, Shard, ShardSet, preferred_allocator};
 
 /// A point in time: the time since the process started, including time during which its VM was suspended.
 pub type Now = std::time::Duration;
 
 /// How long leases and grants are valid.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct ValidityConfig {
     /// The minimum duration of a lease, counted from the clock reading that it carries.
-    pub lease: std::time::Duration,
+    pub min_lease_duration: std::time::Duration,
     /// How long an unused grant stays valid.
-    pub grant: std::time::Duration,
+    pub grant_validity: std::time::Duration,
 }
 
-/// Leases grow with the fleet, which limits the renewals per second that an accountant answers.
-const MIN_LEASE_PER_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
+/// Leases grow with the fleet, which limits the renewals per second that an allocator answers.
+const MIN_LEASE_DURATION_PER_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
 
-impl Terms {
+impl ValidityConfig {
     /// Returns the lease duration in a fleet of `members` daemons.
     pub fn lease_duration(&self, members: u32) -> std::time::Duration {
-        self.lease.max(MIN_LEASE_PER_MEMBER * members)
+        self.min_lease_duration
+            .max(MIN_LEASE_DURATION_PER_MEMBER * members)
     }
 }
 
--- a/crates/sorrelturn-quota/src/messages.rs
+++ b/crates/sorrelturn-quota/src/messages.rs
@@ -1,27 +1,27 @@
-//! The messages between daemons and accountants.
+//! The messages between daemons and allocators.
 
 use crate::{Now, ShardSet};
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::time::Duration;
 
-/// A reading of an accountant's clock.
+/// A reading of an allocator's clock.
 ///
-/// A message that carries it was sent later than the reading, however late it arrives. The accountant can therefore
+/// A message that carries it was sent later than the reading, however late it arrives. The allocator can therefore
 /// count a lease from the reading by its own clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockReading {
-    /// The incarnation of the accountant.
+    /// The incarnation of the allocator.
     #[serde(rename = "run")]
     pub incarnation: Incarnation,
-    /// The time by the accountant's clock.
+    /// The time by the allocator's clock.
     pub at: Now,
 }
 
-/// A lease of a daemon's quota shares to an accountant.
+/// A lease of a daemon's quota shares to an allocator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// The accountant's own clock reading, from which the lease is counted.
+    /// The allocator's own clock reading, from which the lease is counted.
     #[serde(rename = "stamp")]
     pub clock_reading: ClockReading,
     /// The shards whose shares are leased.
@@ -31,7 +31,7 @@
     pub duration: Duration,
 }
 
-/// A daemon's request to an accountant for grants, for a lease renewal, or for both.
+/// A daemon's request to an allocator for grants, for a lease renewal, or for both.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcquireRequest {
     /// The incarnation of the requesting daemon.
@@ -55,11 +55,11 @@
     Granted(u32),
     /// The quota is used up; capacity is probably available after this time.
     UsedUp(Duration),
-    /// The accountant doesn't know a quota for the workspace, or the request names none.
+    /// The allocator doesn't know a quota for the workspace, or the request names none.
     Nothing,
 }
 
-/// An accountant's reply to an [`AcquireRequest`].
+/// An allocator's reply to an [`AcquireRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcquireReply {
     /// The clock reading for the next lease.
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -1,13 +1,13 @@
-//! Shards: groups of workspaces that share an accountant.
+//! Shards: groups of workspaces that share an allocator.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number of shards, which is also the maximum number of accountants that a daemon exchanges messages with.
+/// The number of shards, which is also the maximum number of allocators that a daemon exchanges messages with.
 ///
-/// More shards distribute the load over more accountants and cost each daemon more messages.
-pub const SHARDS: usize = 8;
+/// More shards distribute the load over more allocators and cost each daemon more messages.
+pub const SHARD_COUNT: usize = 8;
 
 /// The number of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -16,12 +16,12 @@
 impl Shard {
     /// Returns the shard of a workspace.
     pub fn of(workspace: CallerId) -> Self {
-        Self((workspace.0 % SHARDS as u64) as u8)
+        Self((workspace.0 % SHARD_COUNT as u64) as u8)
     }
 
     /// Iterates over all shards.
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..SHARDS as u8).map(Self)
+        (0..SHARD_COUNT as u8).map(Self)
     }
 
     pub(crate) fn index(self) -> usize {
@@ -65,11 +65,11 @@
     }
 }
 
-/// Selects a shard's accountant by rendezvous hashing.
+/// Selects a shard's allocator by rendezvous hashing.
 ///
-/// Daemons with the same member list select the same accountant. When a member joins or leaves, only its own shards
+/// Daemons with the same member list select the same allocator. When a member joins or leaves, only its own shards
 /// move.
-pub fn preferred_accountant<'a>(
+pub fn preferred_allocator<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
 ) -> Option<Incarnation> {
--- a/crates/sorrelturn-quota/tests/accountant.rs
+++ b/crates/sorrelturn-quota/tests/allocator.rs
@@ -1,14 +1,15 @@
-//! Guards against an accountant that grants more than the leased shares allow.
+//! Guards against an allocator that grants more than the leased shares allow.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Accountant, AcquireRequest, ClockReading, Lease, Limit, Now, Outcome, Shard, ShardSet, Terms,
+    AcquireRequest, ClockReading, Lease, Limit, Now, Outcome, QuotaAllocator, Shard, ShardSet,
+    ValidityConfig,
 };
 use std::time::Duration;
 
-const TERMS: Terms = Terms {
-    lease: Duration::from_secs(1),
-    grant: Duration::from_millis(300),
+const VALIDITY: ValidityConfig = ValidityConfig {
+    min_lease_duration: Duration::from_secs(1),
+    grant_validity: Duration::from_millis(300),
 };
 const INCARNATION: Incarnation = Incarnation(9);
 const LIMIT: Limit = Limit {
@@ -33,7 +34,7 @@
         lease: Some(Lease {
             clock_reading,
             shards,
-            duration: TERMS.lease,
+            duration: VALIDITY.min_lease_duration,
         }),
         members: 1,
         workspace: Some(WORKSPACE),
@@ -50,7 +51,7 @@
 
 /// Lets all `lessors` acquire as many grants as possible every 10 ms; returns the number granted.
 fn acquire_in_steps(
-    accountant: &mut Accountant,
+    allocator: &mut QuotaAllocator,
     lessors: &[u64],
     members: u32,
     ms: std::ops::Range<u64>,
@@ -64,7 +65,7 @@
                 ..request(lessor, at_ms(ms), 100)
             };
             granted(
-                accountant
+                allocator
                     .acquire(at_ms(ms), &request, Some(LIMIT), members)
                     .outcome,
             )
@@ -75,8 +76,8 @@
 #[test]
 fn grants_are_proportional_to_the_leased_shares() {
     for (lessors, fraction) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
-        let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
-        let granted_count = acquire_in_steps(&mut accountant, lessors, 4, 0..5_000);
+        let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
+        let granted_count = acquire_in_steps(&mut allocator, lessors, 4, 0..5_000);
         let requested = LIMIT.rate * 5.0 * fraction;
         assert!(
             (f64::from(granted_count) - requested).abs() <= 0.02 * requested + 1.0,
@@ -87,89 +88,89 @@
 
 #[test]
 fn the_share_of_a_departed_member_is_not_redistributed_before_its_lease_expires() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
-    acquire_in_steps(&mut accountant, &[1, 2, 3], 3, 0..2_000);
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
+    acquire_in_steps(&mut allocator, &[1, 2, 3], 3, 0..2_000);
     // The third member has gone; the lease of its share ends at 2,990 ms.
-    let granted_count = acquire_in_steps(&mut accountant, &[1, 2], 2, 2_000..3_000);
+    let granted_count = acquire_in_steps(&mut allocator, &[1, 2], 2, 2_000..3_000);
     assert!(
         f64::from(granted_count) <= LIMIT.rate * 1.0 + 1.0,
         "{granted_count}"
     );
-    let later = acquire_in_steps(&mut accountant, &[1, 2], 2, 4_000..5_000);
+    let later = acquire_in_steps(&mut allocator, &[1, 2], 2, 4_000..5_000);
     assert!(f64::from(later) >= LIMIT.rate * 0.95, "{later}");
 }
 
 #[test]
 fn a_lease_that_arrives_late_counts_from_its_clock_reading() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
     let late_request = request(1, at_ms(0), 100);
-    let reply = accountant.acquire(at_ms(1_500), &late_request, Some(LIMIT), 1);
+    let reply = allocator.acquire(at_ms(1_500), &late_request, Some(LIMIT), 1);
     assert_eq!(granted(reply.outcome), 0);
     assert_eq!(
-        accountant.leased_fraction(at_ms(1_500), Shard::of(WORKSPACE), 1),
+        allocator.leased_fraction(at_ms(1_500), Shard::of(WORKSPACE), 1),
         0.0
     );
 }
 
 #[test]
 fn a_clock_reading_of_an_earlier_incarnation_gives_no_lease() {
-    let mut accountant = Accountant::new(Incarnation(8), TERMS, Now::ZERO);
-    accountant.acquire(at_ms(10), &request(1, at_ms(10), 1), Some(LIMIT), 1);
+    let mut allocator = QuotaAllocator::new(Incarnation(8), VALIDITY, Now::ZERO);
+    allocator.acquire(at_ms(10), &request(1, at_ms(10), 1), Some(LIMIT), 1);
     assert_eq!(
-        accountant.leased_fraction(at_ms(10), Shard::of(WORKSPACE), 1),
+        allocator.leased_fraction(at_ms(10), Shard::of(WORKSPACE), 1),
         0.0
     );
 }
 
 #[test]
 fn retry_after_grows_with_the_number_of_refused_requests() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
-    acquire_in_steps(&mut accountant, &[1], 1, 0..1_000);
-    let retry_after = |accountant: &mut Accountant, ms| match accountant
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
+    acquire_in_steps(&mut allocator, &[1], 1, 0..1_000);
+    let retry_after = |allocator: &mut QuotaAllocator, ms| match allocator
         .acquire(at_ms(ms), &request(1, at_ms(ms), 1), Some(LIMIT), 1)
         .outcome
     {
         Outcome::UsedUp(retry_after) => retry_after,
         other => panic!("{other:?}"),
     };
-    let first = retry_after(&mut accountant, 991);
+    let first = retry_after(&mut allocator, 991);
     for _ in 0..200 {
-        retry_after(&mut accountant, 992);
+        retry_after(&mut allocator, 992);
     }
-    assert!(retry_after(&mut accountant, 993) > 2 * first);
+    assert!(retry_after(&mut allocator, 993) > 2 * first);
 }
 
 #[test]
 fn a_lowered_limit_caps_accumulated_tokens() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
     for ms in (0..2_000).step_by(100) {
         let idle = AcquireRequest {
             workspace: None,
             ..request(1, at_ms(ms), 0)
         };
-        accountant.acquire(at_ms(ms), &idle, None, 1);
+        allocator.acquire(at_ms(ms), &idle, None, 1);
     }
     let lower = Limit {
         rate: 1.0,
         burst: 2.0,
     };
-    let reply = accountant.acquire(at_ms(2_000), &request(1, at_ms(2_000), 100), Some(lower), 1);
+    let reply = allocator.acquire(at_ms(2_000), &request(1, at_ms(2_000), 100), Some(lower), 1);
     assert_eq!(reply.outcome, Outcome::Granted(2));
 }
 
-/// A thread may be delayed between its clock reading and its call of the accountant, for instance while its VM is
+/// A thread may be delayed between its clock reading and its call of the allocator, for instance while its VM is
 /// suspended.
 #[test]
 fn an_out_of_order_clock_reading_counts_no_time_twice() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
     let mut granted_count = 0;
     for ms in (0..5_000u64).step_by(10) {
         for read in [ms, ms.saturating_sub(400)] {
             let request = request(1, at_ms(read), 100);
-            let reply = accountant.acquire(at_ms(read), &request, Some(LIMIT), 1);
+            let reply = allocator.acquire(at_ms(read), &request, Some(LIMIT), 1);
             granted_count += granted(reply.outcome);
         }
-        accountant.leased_fraction(at_ms(ms.saturating_sub(300)), Shard::of(WORKSPACE), 1);
+        allocator.leased_fraction(at_ms(ms.saturating_sub(300)), Shard::of(WORKSPACE), 1);
     }
     assert!(
         f64::from(granted_count) <= LIMIT.rate * 5.0 + 1.0,
@@ -177,16 +178,16 @@
     );
 }
 
-/// While the settings of a fleet change, lessors and accountants may use different ones.
+/// While the settings of a fleet change, lessors and allocators may use different ones.
 #[test]
 fn a_lease_expires_no_later_than_its_lessor_assumes() {
-    let mut accountant = Accountant::new(INCARNATION, TERMS, Now::ZERO);
+    let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
     let mut short = request(1, at_ms(0), 1);
     if let Some(lease) = &mut short.lease {
         lease.duration = Duration::from_millis(250);
     }
-    accountant.acquire(at_ms(0), &short, Some(LIMIT), 1);
-    let mut fraction = |ms| accountant.leased_fraction(at_ms(ms), Shard::of(WORKSPACE), 1);
+    allocator.acquire(at_ms(0), &short, Some(LIMIT), 1);
+    let mut fraction = |ms| allocator.leased_fraction(at_ms(ms), Shard::of(WORKSPACE), 1);
     assert_eq!(fraction(249), 1.0);
     assert_eq!(fraction(250), 0.0);
 }
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -1,16 +1,17 @@
-//! Simulates daemons that lease their shares to one accountant over a network with delays. Guards against shares that
+//! Simulates daemons that lease their shares to one allocator over a network with delays. Guards against shares that
 //! stay unleased long after a fleet restart, and against too many renewals.
 
 use sorrelturn_protocol::Incarnation;
 use sorrelturn_quota::{
-    Accountant, AcquireReply, AcquireRequest, Entry, Now, RENEW_AFTER_FRACTION, Shard, Terms,
+    AcquireReply, AcquireRequest, Now, QuotaAllocator, QuotaClient, RENEW_AFTER_FRACTION, Shard,
+    ValidityConfig,
 };
 use std::time::Duration;
 
 const DAEMONS: u32 = 20;
-/// A fleet in which renewals at the shortest lease duration would overload an accountant.
+/// A fleet in which renewals at the shortest lease duration would overload an allocator.
 const MANY_DAEMONS: u32 = 600;
-const ACCOUNTANT: Incarnation = Incarnation(100);
+const ALLOCATOR: Incarnation = Incarnation(100);
 const SHARD: Shard = Shard(0);
 const STEP: Duration = Duration::from_millis(5);
 const SIMULATED_DURATION: Duration = Duration::from_secs(10);
@@ -34,23 +35,23 @@
 }
 
 struct Daemon {
-    entry: Entry,
+    client: QuotaClient,
     /// The reply to a renewal in transit, with its arrival time.
     reply_in_transit: Option<(Now, AcquireReply)>,
 }
 
 fn simulate(members: u32, lease: Duration, one_way_delay: Duration) -> Played {
-    let terms = Terms {
-        lease,
-        grant: Duration::from_millis(150),
+    let validity = ValidityConfig {
+        min_lease_duration: lease,
+        grant_validity: Duration::from_millis(150),
     };
-    let mut accountant = Accountant::new(ACCOUNTANT, terms, Now::ZERO);
+    let mut allocator = QuotaAllocator::new(ALLOCATOR, validity, Now::ZERO);
     let mut daemons: Vec<Daemon> = (0..members)
         .map(|incarnation| {
-            let mut entry = Entry::new(Incarnation(incarnation.into()), terms, Now::ZERO);
-            entry.set_preferred(members, |shard| (shard == SHARD).then_some(ACCOUNTANT));
+            let mut client = QuotaClient::new(Incarnation(incarnation.into()), validity, Now::ZERO);
+            client.set_preferred(members, |shard| (shard == SHARD).then_some(ALLOCATOR));
             Daemon {
-                entry,
+                client,
                 reply_in_transit: None,
             }
         })
@@ -64,26 +65,26 @@
                 .reply_in_transit
                 .take_if(|(arrives, _)| *arrives <= now)
             {
-                daemon.entry.record_reading(now, reply.clock_reading);
+                daemon.client.record_reading(now, reply.clock_reading);
             }
             let is_waiting = daemon.reply_in_transit.is_some()
                 || in_transit.iter().any(|(_, sender, _)| *sender == at);
-            let due = daemon.entry.due_renewals(now);
+            let due = daemon.client.due_renewals(now);
             if !is_waiting && !due.is_empty() {
                 let target = daemon
-                    .entry
+                    .client
                     .target(now, SHARD)
-                    .expect("a preferred accountant");
-                let req = daemon.entry.acquire_request(target, members, None);
+                    .expect("a preferred allocator");
+                let req = daemon.client.acquire_request(target, members, None);
                 in_transit.push((now + one_way_delay, at, req));
                 renewals += 1;
             }
         }
         for (_, at, req) in in_transit.extract_if(.., |(arrives, ..)| *arrives <= now) {
-            let reply = accountant.acquire(now, &req, None, members);
+            let reply = allocator.acquire(now, &req, None, members);
             daemons[at].reply_in_transit = Some((now + one_way_delay, reply));
         }
-        let fraction = accountant.leased_fraction(now, SHARD, members);
+        let fraction = allocator.leased_fraction(now, SHARD, members);
         if fraction > 0.95 {
             until_lent.get_or_insert(now);
         }
@@ -131,7 +132,7 @@
 
 /// The minimum lease duration depends on the fleet size, regardless of the settings.
 #[test]
-fn renewals_per_accountant_are_limited_regardless_of_the_fleet_size() {
+fn renewals_per_allocator_are_limited_regardless_of_the_fleet_size() {
     let few = simulate(DAEMONS, Duration::from_millis(250), NEAR);
     let many = simulate(MANY_DAEMONS, Duration::from_millis(250), NEAR);
     for (members, simulated) in [(DAEMONS, &few), (MANY_DAEMONS, &many)] {
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -1,10 +1,11 @@
-//! Checks all states of two daemons up to a bound, with faulty networks, a restart, a changed accountant and a lowered
+//! Checks all states of two daemons up to a bound, with faulty networks, a restart, a changed allocator and a lowered
 //! limit. Guards against excess leases and grants and against daemons that are stuck. Breadth-first search yields
 //! shortest traces.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Accountant, AcquireReply, AcquireRequest, Entry, Limit, Now, Outcome, Shard, Target, Terms,
+    AcquireReply, AcquireRequest, AcquireTarget, Limit, Now, Outcome, QuotaAllocator, QuotaClient,
+    Shard, ValidityConfig,
 };
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,16 +18,16 @@
 const DAEMONS: usize = 2;
 /// Half a lease duration, so that states before and after the end of a lease differ.
 const TICK: Duration = Duration::from_millis(500);
-const TERMS: Terms = Terms {
-    lease: Duration::from_millis(1_000),
-    grant: Duration::from_millis(250),
+const VALIDITY: ValidityConfig = ValidityConfig {
+    min_lease_duration: Duration::from_millis(1_000),
+    grant_validity: Duration::from_millis(250),
 };
 /// One token per tick, with a capacity of two.
 const LIMIT: Limit = Limit {
     rate: 2.0,
     burst: 2.0,
 };
-/// The bound of the search. It must cover a start, a lease that expires and a lease to another accountant.
+/// The bound of the search. It must cover a start, a lease that expires and a lease to another allocator.
 const MAX_TICKS: u32 = FIRST_TICK + 2;
 /// The search starts in this tick; by then both daemons lease their shares to the first one.
 const FIRST_TICK: u32 = 8;
@@ -62,8 +63,8 @@
 #[derive(Clone)]
 struct Daemon {
     incarnation: Incarnation,
-    entry: Entry,
-    accountant: Accountant,
+    client: QuotaClient,
+    allocator: QuotaAllocator,
     preferred: usize,
 }
 
@@ -137,7 +138,7 @@
             .collect();
         for daemon in &mut self.daemons {
             let preferred = incarnations[daemon.preferred];
-            daemon.entry.set_preferred(DAEMONS as u32, |shard| {
+            daemon.client.set_preferred(DAEMONS as u32, |shard| {
                 (shard == Shard(0)).then_some(preferred)
             });
         }
@@ -210,29 +211,29 @@
 
     fn send_request(&mut self, at: usize, workspace: Option<CallerId>) {
         let now = self.now();
-        let entry = &mut self.daemons[at].entry;
-        let Some(target) = entry.target(now, Shard(0)) else {
+        let client = &mut self.daemons[at].client;
+        let Some(target) = client.target(now, Shard(0)) else {
             return;
         };
-        let req = entry.acquire_request(target, DAEMONS as u32, workspace);
-        // An accountant whose incarnation has ended gets no request.
+        let req = client.acquire_request(target, DAEMONS as u32, workspace);
+        // An allocator whose incarnation has ended gets no request.
         if let Some(to) = self.index_of(target) {
             let sent = now;
             self.messages.push(Message::Request { to, sent, req });
         }
     }
 
-    fn index_of(&self, target: Target) -> Option<usize> {
+    fn index_of(&self, target: AcquireTarget) -> Option<usize> {
         let mut daemons = self.daemons.iter();
-        daemons.position(|daemon| daemon.incarnation == target.accountant)
+        daemons.position(|daemon| daemon.incarnation == target.allocator)
     }
 
     fn deliver(&mut self, message: Message) {
         let (now, limit) = (self.now(), self.limit());
         match message {
             Message::Request { to, sent, req } => {
-                let accountant = &mut self.daemons[to].accountant;
-                let reply = accountant.acquire(now, &req, Some(limit), DAEMONS as u32);
+                let allocator = &mut self.daemons[to].allocator;
+                let reply = allocator.acquire(now, &req, Some(limit), DAEMONS as u32);
                 let requester = self
                     .daemons
                     .iter()
@@ -256,7 +257,7 @@
             } => {
                 let daemon = &mut self.daemons[to];
                 if daemon.incarnation == incarnation
-                    && daemon.entry.accept_reply(now, sent, WORKSPACE, &reply)
+                    && daemon.client.accept_reply(now, sent, WORKSPACE, &reply)
                 {
                     self.ran.push(self.ticks);
                 }
@@ -273,7 +274,7 @@
             .iter_mut()
             .map(|daemon| {
                 daemon
-                    .accountant
+                    .allocator
                     .leased_fraction(now, Shard(0), DAEMONS as u32)
             })
             .sum();
@@ -282,7 +283,7 @@
         }
         for from in 0..=self.ticks {
             let ran = self.ran.iter().filter(|tick| **tick >= from).count();
-            let window = TICK * (self.ticks - from) + TERMS.grant;
+            let window = TICK * (self.ticks - from) + VALIDITY.grant_validity;
             // Each fragment of the fleet can grant one request, however small its share of the burst is.
             let fragments = DAEMONS as f64 - 1.0;
             let allowed = LIMIT.rate * window.as_secs_f64() + LIMIT.burst + fragments;
@@ -301,7 +302,7 @@
             write!(
                 text,
                 "{:?}{:?}{}",
-                daemon.entry, daemon.accountant, daemon.preferred
+                daemon.client, daemon.allocator, daemon.preferred
             )
             .expect("text");
         }
@@ -338,13 +339,15 @@
     fn new(incarnation: u64, now: Now, mutation: Mutation) -> Self {
         let incarnation = Incarnation(incarnation);
         let entry_started = match mutation {
-            Mutation::LeasesAtOnceAfterRestart => now.saturating_sub(2 * TERMS.lease),
+            Mutation::LeasesAtOnceAfterRestart => {
+                now.saturating_sub(2 * VALIDITY.min_lease_duration)
+            }
             _ => now,
         };
         Self {
             incarnation,
-            entry: Entry::new(incarnation, TERMS, entry_started),
-            accountant: Accountant::new(incarnation, TERMS, now),
+            client: QuotaClient::new(incarnation, VALIDITY, entry_started),
+            allocator: QuotaAllocator::new(incarnation, VALIDITY, now),
             preferred: 0,
         }
     }
@@ -432,13 +435,13 @@
 
 #[test]
 fn a_grant_is_used_once() {
-    let mut entry = Entry::new(Incarnation(1), TERMS, Now::ZERO);
+    let mut client = QuotaClient::new(Incarnation(1), VALIDITY, Now::ZERO);
     let clock_reading = sorrelturn_quota::ClockReading {
         incarnation: Incarnation(2),
         at: Now::ZERO,
     };
     let outcome = Outcome::Granted(1);
-    assert!(entry.accept_reply(
+    assert!(client.accept_reply(
         Now::ZERO,
         Now::ZERO,
         WORKSPACE,
@@ -447,5 +450,5 @@
             outcome
         }
     ));
-    assert!(!entry.use_grant(Now::ZERO, WORKSPACE));
+    assert!(!client.use_grant(Now::ZERO, WORKSPACE));
 }
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -4,15 +4,17 @@
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use sorrelturn_protocol::{CallerId, Incarnation};
-use sorrelturn_quota::{Accountant, AcquireReply, AcquireRequest, Entry, Limit, Now, Shard, Terms};
+use sorrelturn_quota::{
+    AcquireReply, AcquireRequest, Limit, Now, QuotaAllocator, QuotaClient, Shard, ValidityConfig,
+};
 use std::time::Duration;
 
 const DAEMONS: u32 = 3;
 const WORKSPACE: CallerId = CallerId(0);
 const SHARD: Shard = Shard(0);
-const TERMS: Terms = Terms {
-    lease: Duration::from_millis(250),
-    grant: Duration::from_millis(50),
+const VALIDITY: ValidityConfig = ValidityConfig {
+    min_lease_duration: Duration::from_millis(250),
+    grant_validity: Duration::from_millis(50),
 };
 const LIMIT: Limit = Limit {
     rate: 20.0,
@@ -84,9 +86,9 @@
 
 struct Daemon {
     incarnation: Incarnation,
-    entry: Entry,
-    accountant: Accountant,
-    /// The index of the daemon that this one prefers as the accountant.
+    client: QuotaClient,
+    allocator: QuotaAllocator,
+    /// The index of the daemon that this one prefers as the allocator.
     preferred: usize,
     clock_rate_percent: u32,
 }
@@ -95,14 +97,14 @@
     fn new(incarnation: Incarnation, clock_rate_percent: u32, now: Duration) -> Self {
         let mut daemon = Self {
             incarnation,
-            entry: Entry::new(incarnation, TERMS, Now::ZERO),
-            accountant: Accountant::new(incarnation, TERMS, Now::ZERO),
+            client: QuotaClient::new(incarnation, VALIDITY, Now::ZERO),
+            allocator: QuotaAllocator::new(incarnation, VALIDITY, Now::ZERO),
             preferred: 0,
             clock_rate_percent,
         };
         let now = daemon.clock_time(now);
-        daemon.entry = Entry::new(incarnation, TERMS, now);
-        daemon.accountant = Accountant::new(incarnation, TERMS, now);
+        daemon.client = QuotaClient::new(incarnation, VALIDITY, now);
+        daemon.allocator = QuotaAllocator::new(incarnation, VALIDITY, now);
         daemon
     }
 
@@ -137,20 +139,20 @@
         for daemon in &mut self.daemons {
             let preferred = incarnations[daemon.preferred];
             let of_shard = |shard| (shard == SHARD).then_some(preferred);
-            daemon.entry.set_preferred(DAEMONS, of_shard);
+            daemon.client.set_preferred(DAEMONS, of_shard);
         }
     }
 
     fn request(&mut self, at: usize, workspace: Option<CallerId>) {
         let daemon = &mut self.daemons[at];
         let sent = daemon.clock_time(self.now);
-        if workspace.is_some() && daemon.entry.use_grant(sent, WORKSPACE) {
+        if workspace.is_some() && daemon.client.use_grant(sent, WORKSPACE) {
             self.ran.push(self.now);
             return;
         }
-        if let Some(target) = daemon.entry.target(sent, SHARD) {
-            let req = daemon.entry.acquire_request(target, DAEMONS, workspace);
-            let to = target.accountant;
+        if let Some(target) = daemon.client.target(sent, SHARD) {
+            let req = daemon.client.acquire_request(target, DAEMONS, workspace);
+            let to = target.allocator;
             self.messages.push(Message::Request { to, sent, req });
         }
     }
@@ -162,7 +164,7 @@
                 let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
                 let now = daemon.clock_time(self.now);
-                let reply = daemon.accountant.acquire(now, &req, Some(LIMIT), DAEMONS);
+                let reply = daemon.allocator.acquire(now, &req, Some(LIMIT), DAEMONS);
                 let to = req.from;
                 self.messages.push(Message::Reply { to, sent, reply });
             }
@@ -170,7 +172,7 @@
                 let Some(at) = self.index_of(to) else { return };
                 let daemon = &mut self.daemons[at];
                 let now = daemon.clock_time(self.now);
-                if daemon.entry.accept_reply(now, sent, WORKSPACE, &reply) {
+                if daemon.client.accept_reply(now, sent, WORKSPACE, &reply) {
                     self.ran.push(self.now);
                 }
             }
@@ -246,8 +248,8 @@
 
     fn check_invariants(fleet: &Self, _: &()) {
         let leased = |daemon: &Daemon| {
-            let mut accountant = daemon.accountant.clone();
-            accountant.leased_fraction(daemon.clock_time(fleet.now), SHARD, DAEMONS)
+            let mut allocator = daemon.allocator.clone();
+            allocator.leased_fraction(daemon.clock_time(fleet.now), SHARD, DAEMONS)
         };
         let leased: f64 = fleet.daemons.iter().map(leased).sum();
         assert!(leased <= 1.0 + 1e-9, "{leased} of the shares are leased");
@@ -256,7 +258,8 @@
         let in_window = ran.take_while(|at| fleet.now - **at <= WINDOW).count();
         let max_clock_factor =
             f64::from(CLOCK_RATE_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
-        let earned = LIMIT.rate * max_clock_factor * (WINDOW + TERMS.grant).as_secs_f64();
+        let earned =
+            LIMIT.rate * max_clock_factor * (WINDOW + VALIDITY.grant_validity).as_secs_f64();
         // Each fragment of the fleet can grant one request, however small its share of the burst is.
         let max_count = earned + LIMIT.burst + f64::from(DAEMONS - 1);
         assert!(
--- a/crates/sorrelturn-quota/tests/schemes.rs
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -3,7 +3,8 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Accountant, Bound, Entry, Limit, Now, Outcome, SHARDS, Shard, Terms, preferred_accountant,
+    Bound, Limit, Now, Outcome, QuotaAllocator, QuotaClient, SHARD_COUNT, Shard, ValidityConfig,
+    preferred_allocator,
 };
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,9 +15,9 @@
 const LIMIT_FACTOR: f64 = 1.6;
 const SECONDS: u64 = 16;
 const STEP: Duration = Duration::from_millis(10);
-const TERMS: Terms = Terms {
-    lease: Duration::from_secs(1),
-    grant: Duration::from_millis(150),
+const VALIDITY: ValidityConfig = ValidityConfig {
+    min_lease_duration: Duration::from_secs(1),
+    grant_validity: Duration::from_millis(150),
 };
 /// The window of `BOUND` in steps.
 const WINDOW_STEPS: usize = 500;
@@ -87,7 +88,7 @@
 }
 
 fn bucket(workspace: usize) -> Limit {
-    BOUND.bucket(limit(workspace), TERMS.grant)
+    BOUND.bucket(limit(workspace), VALIDITY.grant_validity)
 }
 
 /// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
@@ -215,8 +216,8 @@
 
 /// The scheme of this crate.
 struct LeasedShares {
-    entries: Vec<Entry>,
-    accountants: Vec<Accountant>,
+    entries: Vec<QuotaClient>,
+    allocators: Vec<QuotaAllocator>,
     renewed_at: Now,
     is_partitioned: bool,
 }
@@ -228,10 +229,10 @@
         let incarnation = |at: usize| Incarnation(at as u64);
         Self {
             entries: (0..ENTRIES)
-                .map(|at| Entry::new(incarnation(at), TERMS, Now::ZERO))
+                .map(|at| QuotaClient::new(incarnation(at), VALIDITY, Now::ZERO))
                 .collect(),
-            accountants: (0..ENTRIES)
-                .map(|at| Accountant::new(incarnation(at), TERMS, Now::ZERO))
+            allocators: (0..ENTRIES)
+                .map(|at| QuotaAllocator::new(incarnation(at), VALIDITY, Now::ZERO))
                 .collect(),
             renewed_at: Now::ZERO,
             is_partitioned: false,
@@ -246,15 +247,15 @@
         let Some(target) = self.entries[entry].target(now, shard) else {
             return false;
         };
-        let accountant = target.accountant.0 as usize;
-        if !self.is_reachable(entry, accountant) {
-            self.entries[entry].mark_unresponsive(now, target.accountant);
+        let allocator = target.allocator.0 as usize;
+        if !self.is_reachable(entry, allocator) {
+            self.entries[entry].mark_unresponsive(now, target.allocator);
             self.set_preferred(now, entry);
             return false;
         }
         let id = workspace.map(|workspace| CallerId(workspace as u64));
         let request = self.entries[entry].acquire_request(target, ENTRIES as u32, id);
-        let reply = self.accountants[accountant].acquire(
+        let reply = self.allocators[allocator].acquire(
             now,
             &request,
             workspace.map(bucket),
@@ -275,7 +276,7 @@
         let of_shard = |shard| {
             let members = names.iter().enumerate();
             let members = members.map(|(at, name)| (name.as_str(), Incarnation(at as u64)));
-            preferred_accountant(
+            preferred_allocator(
                 shard,
                 members.filter(|(_, incarnation)| !own_entry.is_unresponsive(now, *incarnation)),
             )
@@ -430,15 +431,15 @@
 }
 
 #[test]
-fn all_shards_are_spread_over_many_accountants() {
+fn all_shards_are_spread_over_many_allocators() {
     let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
     let chosen = Shard::all().filter_map(|shard| {
         let members = names.iter().enumerate();
-        preferred_accountant(
+        preferred_allocator(
             shard,
             members.map(|(at, name)| (name.as_str(), Incarnation(at as u64))),
         )
     });
     let distinct: std::collections::HashSet<Incarnation> = chosen.collect();
-    assert!(distinct.len() > SHARDS / 2, "{}", distinct.len());
+    assert!(distinct.len() > SHARD_COUNT / 2, "{}", distinct.len());
 }
