--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -13,7 +13,7 @@
 use sorrelturn_policy::Now;
 use sorrelturn_protocol::{CallerId, Incarnation, MemberRecord, MemberState, Refusal, RequestId};
 use sorrelturn_quota::{
-    AcquireReply, AcquireRequest, AcquireTarget, Bound, Limit, Outcome, QuotaAllocator,
+    AcquireOutcome, AcquireReply, AcquireRequest, AcquireTarget, Bound, Limit, QuotaAllocator,
     QuotaClient, Shard, ValidityConfig, preferred_allocator,
 };
 use sorrelturn_telemetry::{Field, events};
@@ -60,7 +60,7 @@
             rate: quota.rate,
             burst: quota.burst,
         };
-        self.bound.bucket(limit, self.terms.grant_validity)
+        self.bound.token_bucket(limit, self.terms.grant_validity)
     }
 
     /// For how long shares are lent at a time.
@@ -133,9 +133,9 @@
             return Ok(());
         }
         return match drawn.outcome {
-            Outcome::UsedUp(room_in) => Err(Refused::UsedUp(room_in)),
+            AcquireOutcome::UsedUp(room_in) => Err(Refused::UsedUp(room_in)),
             // Granted too late to be used, or unknown to an accountant whose table is another.
-            Outcome::Granted(_) | Outcome::Nothing => break,
+            AcquireOutcome::Granted(_) | AcquireOutcome::NoQuota => break,
         };
     }
     Err(Refused::Unknown)
--- a/crates/sorrelturn-quota/src/allocator.rs
+++ b/crates/sorrelturn-quota/src/allocator.rs
@@ -1,14 +1,14 @@
-//! The allocator side of quotas: grants from the shares that are leased to it.
+//! The allocator: grants requests of workspaces from the shares that quota clients lease to it.
 
 use crate::{
-    AcquireReply, AcquireRequest, ClockReading, Limit, Now, Outcome, SHARD_COUNT, Shard,
+    AcquireOutcome, AcquireReply, AcquireRequest, ClockReading, Limit, Now, SHARD_COUNT, Shard,
     ValidityConfig,
 };
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The number of pools from which on idle ones are evicted.
-const MAX_POOLS: usize = 20_000;
+/// The number of pools at which idle pools are evicted.
+const POOL_EVICTION_THRESHOLD: usize = 20_000;
 /// The minimum Retry-After time for a caller that is over its quota.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// The maximum Retry-After time for a caller that is over its quota.
@@ -16,7 +16,7 @@
 /// The time constant with which the backlog of refused requests decays.
 const BACKLOG_DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// The leases of one daemon.
+/// A quota client that leases shares to this allocator.
 #[derive(Clone, Debug)]
 struct Lessor {
     members: u32,
@@ -34,21 +34,21 @@
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     tokens: f64,
-    /// The shard's leased share-seconds up to which tokens are credited.
-    counted_share_seconds: f64,
+    /// The shard's `leased_share_seconds` at the last credit of tokens.
+    credited_share_seconds: f64,
     /// The estimated number of refused requests that will be retried.
     backlog: f64,
     last_refusal: Now,
 }
 
-/// Grants requests of workspaces within their quotas, in proportion to the leased shares.
+/// The part of a daemon that grants requests of its shards' workspaces, in proportion to the shares leased to it.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     incarnation: Incarnation,
     validity: ValidityConfig,
     lessors: BTreeMap<Incarnation, Lessor>,
-    /// The number of members among which the quotas are divided, and until when it can't decrease.
-    members: (u32, Now),
+    /// The number of members among which the quotas are divided, and the time before which it can't decrease.
+    quota_divisor: (u32, Now),
     /// For each shard, the sum of share times lease time over all leases, in seconds.
     leased_share_seconds: [f64; SHARD_COUNT],
     /// For each shard, the fraction of the shares that is currently leased.
@@ -59,13 +59,13 @@
 }
 
 impl QuotaAllocator {
-    /// Creates an allocator without leases.
+    /// Creates an allocator to which no share is leased.
     pub fn new(incarnation: Incarnation, validity: ValidityConfig, now: Now) -> Self {
         Self {
             incarnation,
             validity,
             lessors: BTreeMap::new(),
-            members: (1, now),
+            quota_divisor: (1, now),
             leased_share_seconds: [0.0; SHARD_COUNT],
             leased_fraction: [0.0; SHARD_COUNT],
             counted_until: now,
@@ -75,8 +75,8 @@
 
     /// Processes an acquire request.
     ///
-    /// `limit` is the limit of the requested workspace, absent if it is unknown here; `members` is the number of
-    /// members that this allocator knows.
+    /// `limit` is the token bucket of the requested workspace, absent if its quota is unknown here; `members` is the
+    /// number of members that this allocator knows.
     pub fn acquire(
         &mut self,
         now: Now,
@@ -88,7 +88,7 @@
         self.accept_lease(now, req, members);
         let outcome = match (req.workspace, limit) {
             (Some(workspace), Some(limit)) => self.grant(now, workspace, limit, req.requested),
-            _ => Outcome::Nothing,
+            _ => AcquireOutcome::NoQuota,
         };
         let clock_reading = ClockReading {
             incarnation: self.incarnation,
@@ -108,10 +108,11 @@
     }
 
     fn lease_duration(&self, members: u32) -> Duration {
-        self.validity.lease_duration(members.max(self.members.0))
+        self.validity
+            .lease_duration(members.max(self.quota_divisor.0))
     }
 
-    /// Raises a clock value that was read before another thread's update, so that no time is counted twice.
+    /// Raises a time that was read before another thread's update, so that no time is counted twice.
     fn monotonic(&self, now: Now) -> Now {
         now.max(self.counted_until)
     }
@@ -124,7 +125,7 @@
         else {
             return;
         };
-        // If the settings of lessor and allocator differ, the shorter duration applies.
+        // If the lease durations of lessor and allocator differ, the shorter one applies.
         let until = lease.clock_reading.at + self.lease_duration(members).min(lease.duration);
         if until <= now {
             return;
@@ -143,14 +144,14 @@
         }
     }
 
-    /// Updates the leased shares up to `now` and removes expired leases.
+    /// Adds the lease time up to `now` to the totals and removes lessors without a valid lease.
     fn count_leased(&mut self, now: Now, members: u32) {
-        let before = self.counted_until;
+        let previously_counted_until = self.counted_until;
         let share = 1.0 / f64::from(self.quota_divisor(now, members));
         self.leased_fraction = [0.0; SHARD_COUNT];
         for lessor in self.lessors.values() {
             for (index, period) in lessor.leases.iter().enumerate() {
-                let from = period.since.max(before);
+                let from = period.since.max(previously_counted_until);
                 let leased = period.until.min(now).saturating_sub(from);
                 self.leased_share_seconds[index] += share * leased.as_secs_f64();
                 if period.until > now {
@@ -165,51 +166,61 @@
 
     /// Returns the number of members among which the quotas are divided: the maximum that any daemon reports.
     ///
-    /// It decreases only after a lease duration, because leases of members that have gone are valid until then.
+    /// It decreases only after a lease duration, because leases of departed members are valid until then.
     fn quota_divisor(&mut self, now: Now, members: u32) -> u32 {
         let reported = self.lessors.values().map(|lessor| lessor.members).max();
         let members = reported.unwrap_or(1).max(members).max(1);
-        let (before, locked_until) = self.members;
-        if members >= before || now >= locked_until {
-            self.members = (members, now + self.lease_duration(members.max(before)));
+        let (previous_divisor, can_decrease_at) = self.quota_divisor;
+        if members >= previous_divisor || now >= can_decrease_at {
+            self.quota_divisor = (
+                members,
+                now + self.lease_duration(members.max(previous_divisor)),
+            );
         }
-        self.members.0
+        self.quota_divisor.0
     }
 
-    fn grant(&mut self, now: Now, workspace: CallerId, limit: Limit, requested: u32) -> Outcome {
+    fn grant(
+        &mut self,
+        now: Now,
+        workspace: CallerId,
+        limit: Limit,
+        requested: u32,
+    ) -> AcquireOutcome {
         self.evict_idle_pools();
         let index = Shard::of(workspace).index();
         let (leased, leased_fraction) = (
             self.leased_share_seconds[index],
             self.leased_fraction[index],
         );
-        // For a workspace without a pool, this incarnation has granted nothing yet.
+        // A new pool is credited for all share-seconds so far; an evicted one has earned tokens in the meantime.
         let pool = self.pools.entry(workspace).or_insert(Pool {
             tokens: 0.0,
-            counted_share_seconds: 0.0,
+            credited_share_seconds: 0.0,
             backlog: 0.0,
             last_refusal: now,
         });
-        let earned = limit.rate * (leased - pool.counted_share_seconds);
-        // The capacity is at least one request; a small fragment of the fleet would otherwise grant nothing.
+        let earned = limit.rate * (leased - pool.credited_share_seconds);
+        // The capacity is at least one request. Otherwise a small fragment of the fleet would grant nothing.
         pool.tokens = (pool.tokens + earned).min((limit.burst * leased_fraction).max(1.0));
-        pool.counted_share_seconds = leased;
+        pool.credited_share_seconds = leased;
         let granted = (pool.tokens.max(0.0) as u32).min(requested);
         if granted > 0 {
             pool.tokens -= f64::from(granted);
-            return Outcome::Granted(granted);
+            return AcquireOutcome::Granted(granted);
         }
-        Outcome::UsedUp(pool.record_refusal(now, limit.rate * leased_fraction))
+        AcquireOutcome::UsedUp(pool.record_refusal(now, limit.rate * leased_fraction))
     }
 
     fn evict_idle_pools(&mut self) {
-        if self.pools.len() < MAX_POOLS {
+        if self.pools.len() < POOL_EVICTION_THRESHOLD {
             return;
         }
-        // An evicted pool is recreated full, so only pools that have refilled are evicted.
+        // An evicted pool is recreated full. A pool without requests for this many share-seconds has refilled if they earn
+        // at least its capacity.
         let leased = self.leased_share_seconds;
         let is_idle = |workspace: &CallerId, pool: &Pool| {
-            leased[Shard::of(*workspace).index()] - pool.counted_share_seconds
+            leased[Shard::of(*workspace).index()] - pool.credited_share_seconds
                 > BACKLOG_DECAY_TIME.as_secs_f64()
         };
         self.pools
--- a/crates/sorrelturn-quota/src/client.rs
+++ b/crates/sorrelturn-quota/src/client.rs
@@ -1,27 +1,28 @@
-//! The client side of quotas: the leases of its own shares and the grants that it holds.
+//! The quota client: leases the daemon's own shares to allocators and holds the grants that it gets from them. It runs
+//! in the daemon at which a caller's request enters.
 
 use crate::{
-    AcquireReply, AcquireRequest, ClockReading, Lease, Now, Outcome, SHARD_COUNT, Shard, ShardSet,
-    ValidityConfig,
+    AcquireOutcome, AcquireReply, AcquireRequest, ClockReading, Lease, Now, SHARD_COUNT, Shard,
+    ShardSet, ValidityConfig,
 };
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The factor by which the client extends a lease, because the allocator's clock may run slower than its own.
-const CLOCK_MARGIN: f64 = 1.05;
+/// The factor by which the quota client extends its leases, because an allocator's clock may be slower than its own.
+const CLOCK_MARGIN_FACTOR: f64 = 1.05;
 /// The fraction of the lease duration after which a lease is renewed.
 ///
 /// It is below one half because the clock reading of a renewal is already one renewal interval old.
 pub const RENEW_AFTER_FRACTION: f64 = 0.4;
-/// How long an allocator that didn't answer is skipped.
-const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an allocator that didn't reply is skipped.
+const UNRESPONSIVE_SKIP_DURATION: Duration = Duration::from_secs(3);
 /// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its
 /// allocator.
 const OVER_QUOTA_INTERVAL: Duration = Duration::from_millis(100);
-/// The number of workspaces with grant balances above which expired balances are removed.
-const MAX_GRANT_BALANCES: usize = 20_000;
+/// The number of grant balances at which expired ones are evicted.
+const BALANCE_EVICTION_THRESHOLD: usize = 20_000;
 
-/// The recipient of an acquire request.
+/// The allocator that an acquire request goes to, and the lease sent with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AcquireTarget {
     /// The incarnation of the allocator.
@@ -32,36 +33,39 @@
 
 #[derive(Clone, Copy, Debug)]
 struct LeasedShare {
-    to: Incarnation,
-    until: Now,
+    allocator: Incarnation,
+    expires_at: Now,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReading {
     clock_reading: ClockReading,
-    at: Now,
+    /// The time of receipt by the quota client's clock.
+    received_at: Now,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct GrantBalance {
     grants: u32,
-    until: Now,
-    /// If the workspace is over its quota: when to ask the allocator again, and the Retry-After time.
+    expires_at: Now,
+    /// If the workspace is over its quota: the time of the next acquire request, and the Retry-After time.
     over_quota: Option<(Now, Duration)>,
 }
 
-/// The leases and grants of one daemon.
+/// The part of a daemon that leases its shares to allocators and requests grants from them.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     incarnation: Incarnation,
     started: Now,
-    /// The lease duration. It only grows, as more members become known.
+    /// The lease duration. It only increases, as more members become known.
     lease_duration: Duration,
     validity: ValidityConfig,
-    preferred: [Option<Incarnation>; SHARD_COUNT],
+    preferred_allocators: [Option<Incarnation>; SHARD_COUNT],
+    /// The last lease of each shard's share.
     leased: [Option<LeasedShare>; SHARD_COUNT],
     readings: BTreeMap<Incarnation, ReceivedReading>,
-    unresponsive: BTreeMap<Incarnation, Now>,
+    /// The time until which each unresponsive allocator is skipped.
+    unresponsive_until: BTreeMap<Incarnation, Now>,
     balances: BTreeMap<CallerId, GrantBalance>,
 }
 
@@ -73,10 +77,10 @@
             started: now,
             lease_duration: validity.min_lease_duration,
             validity,
-            preferred: [None; SHARD_COUNT],
+            preferred_allocators: [None; SHARD_COUNT],
             leased: [None; SHARD_COUNT],
             readings: BTreeMap::new(),
-            unresponsive: BTreeMap::new(),
+            unresponsive_until: BTreeMap::new(),
             balances: BTreeMap::new(),
         }
     }
@@ -87,7 +91,7 @@
             .lease_duration
             .max(self.validity.lease_duration(members));
         for shard in Shard::all() {
-            self.preferred[shard.index()] = of_shard(shard);
+            self.preferred_allocators[shard.index()] = of_shard(shard);
         }
     }
 
@@ -96,23 +100,23 @@
         self.lease_duration
     }
 
-    /// Whether an allocator is skipped because it recently didn't answer.
+    /// Whether an allocator is skipped because it recently didn't reply.
     pub fn is_unresponsive(&self, now: Now, allocator: Incarnation) -> bool {
-        let until = self.unresponsive.get(&allocator);
+        let until = self.unresponsive_until.get(&allocator);
         until.is_some_and(|until| now < *until)
     }
 
-    /// Records that an allocator didn't answer.
+    /// Records that an allocator didn't reply.
     pub fn mark_unresponsive(&mut self, now: Now, allocator: Incarnation) {
-        self.unresponsive.retain(|_, until| now < *until);
-        self.unresponsive
-            .insert(allocator, now + UNRESPONSIVE_TIMEOUT);
+        self.unresponsive_until.retain(|_, until| now < *until);
+        self.unresponsive_until
+            .insert(allocator, now + UNRESPONSIVE_SKIP_DURATION);
     }
 
     /// Uses one grant of a workspace; returns `false` if there is no valid one.
     pub fn use_grant(&mut self, now: Now, workspace: CallerId) -> bool {
         match self.balances.get_mut(&workspace) {
-            Some(balance) if now < balance.until && balance.grants > 0 => {
+            Some(balance) if now < balance.expires_at && balance.grants > 0 => {
                 balance.grants -= 1;
                 true
             }
@@ -120,21 +124,21 @@
         }
     }
 
-    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case the allocator
-    /// need not be asked again.
+    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case no acquire request
+    /// is needed.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Selects the allocator for an acquire request and the lease to send with it. The lease counts as given from this
-    /// call.
+    /// Selects the allocator for an acquire request and the lease to send with it. From this call on the shares count as
+    /// leased.
     ///
-    /// A share is leased to one allocator at a time. While a lease to another than the preferred allocator may still
-    /// be valid, the request goes to that one without a lease, provided that it answers.
+    /// A share is leased to one allocator at a time. While a lease to an allocator other than the preferred one may be
+    /// valid, the request goes to that allocator without a lease, unless it is unresponsive.
     pub fn target(&mut self, now: Now, shard: Shard) -> Option<AcquireTarget> {
-        let preferred = self.preferred[shard.index()]?;
-        let other_lessee = self.leased_elsewhere(now, shard, preferred);
+        let preferred = self.preferred_allocators[shard.index()]?;
+        let other_lessee = self.other_lessee_of(now, shard, preferred);
         match other_lessee.filter(|other| !self.is_unresponsive(now, *other)) {
             Some(allocator) => Some(AcquireTarget {
                 allocator,
@@ -152,14 +156,14 @@
         let renew_after = self.lease_duration.mul_f64(RENEW_AFTER_FRACTION);
         let mut due: Vec<Shard> = Vec::new();
         for shard in Shard::all() {
-            let Some(allocator) = self.preferred[shard.index()] else {
+            let Some(allocator) = self.preferred_allocators[shard.index()] else {
                 continue;
             };
             let reading = self.readings.get(&allocator);
-            let is_due = reading.is_none_or(|reading| now >= reading.at + renew_after);
+            let is_due = reading.is_none_or(|reading| now >= reading.received_at + renew_after);
             let has_renewal = due
                 .iter()
-                .any(|other| self.preferred[other.index()] == Some(allocator));
+                .any(|other| self.preferred_allocators[other.index()] == Some(allocator));
             if is_due && !has_renewal && !self.is_unresponsive(now, allocator) {
                 due.push(shard);
             }
@@ -193,54 +197,56 @@
     ) -> bool {
         self.record_reading(now, reply.clock_reading);
         let grants = match reply.outcome {
-            Outcome::Granted(grants) => grants,
-            Outcome::UsedUp(retry_after) => {
-                self.balance(now, workspace).over_quota =
+            AcquireOutcome::Granted(grants) => grants,
+            AcquireOutcome::UsedUp(retry_after) => {
+                self.balance_mut_or_insert(now, workspace).over_quota =
                     Some((now + OVER_QUOTA_INTERVAL, retry_after));
                 return false;
             }
-            Outcome::Nothing => return false,
+            AcquireOutcome::NoQuota => return false,
         };
-        let until = sent + self.validity.grant_validity;
-        if now >= until || grants == 0 {
+        let expires_at = sent + self.validity.grant_validity;
+        if now >= expires_at || grants == 0 {
             return false;
         }
-        let balance = self.balance(now, workspace);
+        let balance = self.balance_mut_or_insert(now, workspace);
         balance.over_quota = None;
-        if now >= balance.until {
+        if now >= balance.expires_at {
             balance.grants = 0;
-            balance.until = until;
+            balance.expires_at = expires_at;
         }
-        // New grants don't extend the validity of older ones.
-        balance.until = balance.until.min(until);
+        // All grants of a balance share the earliest expiry.
+        balance.expires_at = balance.expires_at.min(expires_at);
+        // The client request that waits for this reply uses one grant.
         balance.grants += grants - 1;
         true
     }
 
-    fn balance(&mut self, now: Now, workspace: CallerId) -> &mut GrantBalance {
-        if self.balances.len() >= MAX_GRANT_BALANCES {
-            let is_over =
+    fn balance_mut_or_insert(&mut self, now: Now, workspace: CallerId) -> &mut GrantBalance {
+        if self.balances.len() >= BALANCE_EVICTION_THRESHOLD {
+            let is_over_quota =
                 |balance: &GrantBalance| balance.over_quota.is_some_and(|(until, _)| now < until);
             self.balances
-                .retain(|_, balance| now < balance.until || is_over(balance));
+                .retain(|_, balance| now < balance.expires_at || is_over_quota(balance));
         }
         self.balances.entry(workspace).or_insert(GrantBalance {
             grants: 0,
-            until: Now::ZERO,
+            expires_at: Now::ZERO,
             over_quota: None,
         })
     }
 
     /// Records the clock reading of an allocator's reply.
     pub fn record_reading(&mut self, now: Now, clock_reading: ClockReading) {
-        self.unresponsive.remove(&clock_reading.incarnation);
-        let lease = self.lease_duration;
-        self.readings.retain(|_, reading| now < reading.at + lease);
+        self.unresponsive_until.remove(&clock_reading.incarnation);
+        let lease_duration = self.lease_duration;
+        self.readings
+            .retain(|_, reading| now < reading.received_at + lease_duration);
         self.readings.insert(
             clock_reading.incarnation,
             ReceivedReading {
                 clock_reading,
-                at: now,
+                received_at: now,
             },
         );
     }
@@ -251,31 +257,40 @@
             .leased
             .iter()
             .flatten()
-            .filter(|leased| now < leased.until);
+            .filter(|leased| now < leased.expires_at);
         leased.count() as f64 / SHARD_COUNT as f64
     }
 
-    fn leased_elsewhere(&self, now: Now, shard: Shard, than: Incarnation) -> Option<Incarnation> {
-        let leased = self.leased[shard.index()].filter(|leased| now < leased.until)?;
-        (leased.to != than).then_some(leased.to)
+    /// Returns the allocator other than `allocator` to which the share is leased.
+    fn other_lessee_of(
+        &self,
+        now: Now,
+        shard: Shard,
+        allocator: Incarnation,
+    ) -> Option<Incarnation> {
+        let leased = self.leased[shard.index()].filter(|leased| now < leased.expires_at)?;
+        (leased.allocator != allocator).then_some(leased.allocator)
     }
 
-    /// Leases to an allocator the shares of all its shards that are not leased to others.
-    fn lease_shares(&mut self, now: Now, to: Incarnation) -> Option<Lease> {
-        let reading = *self.readings.get(&to)?;
-        // The allocator counts from its clock reading, which is older than the time at which it was received.
-        let until = reading.at + self.lease_duration.mul_f64(CLOCK_MARGIN);
-        // A lease of the previous incarnation, unknown to this one, may still be valid.
-        let leases_from = self.started + self.lease_duration.mul_f64(CLOCK_MARGIN);
-        if now < leases_from || now >= until {
+    /// Leases our shares of all shards for which `allocator` is preferred, except those still leased to another one.
+    fn lease_shares(&mut self, now: Now, allocator: Incarnation) -> Option<Lease> {
+        let reading = *self.readings.get(&allocator)?;
+        // The allocator counts from its clock reading, which precedes the time of receipt.
+        let expires_at = reading.received_at + self.lease_duration.mul_f64(CLOCK_MARGIN_FACTOR);
+        // A lease of the previous incarnation, unknown to this one, may be valid until then.
+        let can_lease_at = self.started + self.lease_duration.mul_f64(CLOCK_MARGIN_FACTOR);
+        if now < can_lease_at || now >= expires_at {
             return None;
         }
         let shards: ShardSet = Shard::all()
-            .filter(|shard| self.preferred[shard.index()] == Some(to))
-            .filter(|shard| self.leased_elsewhere(now, *shard, to).is_none())
+            .filter(|shard| self.preferred_allocators[shard.index()] == Some(allocator))
+            .filter(|shard| self.other_lessee_of(now, *shard, allocator).is_none())
             .collect();
         for shard in shards.iter() {
-            self.leased[shard.index()] = Some(LeasedShare { to, until });
+            self.leased[shard.index()] = Some(LeasedShare {
+                allocator,
+                expires_at,
+            });
         }
         let clock_reading = reading.clock_reading;
         let duration = self.lease_duration;
--- a/crates/sorrelturn-quota/src/lib.rs
+++ b/crates/sorrelturn-quota/src/lib.rs
@@ -9,22 +9,22 @@
 pub use allocator::QuotaAllocator;
 pub use bound::Bound;
 pub use client::{AcquireTarget, QuotaClient, RENEW_AFTER_FRACTION};
-pub use messages::{AcquireReply, AcquireRequest, ClockReading, Lease, Outcome};
+pub use messages::{AcquireOutcome, AcquireReply, AcquireRequest, ClockReading, Lease};
 pub use shard::{SHARD_COUNT, Shard, ShardSet, preferred_allocator};
 
 /// A point in time: the time since the process started, including time during which its VM was suspended.
 pub type Now = std::time::Duration;
 
-/// How long leases and grants are valid.
+/// The validity periods of leases and grants.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ValidityConfig {
-    /// The minimum duration of a lease, counted from the clock reading that it carries.
+    /// The minimum duration of a lease, counted from the clock reading that it carries. Large fleets use longer leases.
     pub min_lease_duration: std::time::Duration,
     /// How long an unused grant stays valid.
     pub grant_validity: std::time::Duration,
 }
 
-/// Leases grow with the fleet, which limits the renewals per second that an allocator answers.
+/// The minimum lease duration per member of the fleet. It limits the renewals per second at an allocator.
 const MIN_LEASE_DURATION_PER_MEMBER: std::time::Duration = std::time::Duration::from_millis(3);
 
 impl ValidityConfig {
@@ -35,11 +35,11 @@
     }
 }
 
-/// The quota of a workspace, summed over all daemons.
+/// A rate limit with a burst: the quota of a workspace over all daemons, or a token bucket that enforces it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
     /// Requests per second.
     pub rate: f64,
-    /// Requests that may run at once on top of the rate.
+    /// Requests admitted in a burst, in addition to the rate. For a token bucket, its capacity.
     pub burst: f64,
 }
--- a/crates/sorrelturn-quota/src/messages.rs
+++ b/crates/sorrelturn-quota/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between daemons and allocators.
+//! The messages between quota clients and allocators.
 
 use crate::{Now, ShardSet};
 use serde::{Deserialize, Serialize};
@@ -7,8 +7,8 @@
 
 /// A reading of an allocator's clock.
 ///
-/// A message that carries it was sent later than the reading, however late it arrives. The allocator can therefore
-/// count a lease from the reading by its own clock alone.
+/// A lease counts from the reading, which precedes the message that carries it. A delayed message therefore can't
+/// extend a lease, and only the allocator's own clock matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockReading {
     /// The incarnation of the allocator.
@@ -18,7 +18,9 @@
     pub at: Now,
 }
 
-/// A lease of a daemon's quota shares to an allocator.
+/// A lease of a quota client's shares to an allocator.
+///
+/// A share is an equal fraction of every quota: each member of the fleet has one. It is leased separately for each shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// The allocator's own clock reading, from which the lease is counted.
@@ -26,20 +28,20 @@
     pub clock_reading: ClockReading,
     /// The shards whose shares are leased.
     pub shards: ShardSet,
-    /// The lease duration after the clock reading, by the lessor's settings.
+    /// The lease duration that the quota client uses, counted from the clock reading.
     #[serde(rename = "lasts")]
     pub duration: Duration,
 }
 
-/// A daemon's request to an allocator for grants, for a lease renewal, or for both.
+/// A quota client's request to an allocator for grants, for a lease renewal, or for both.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcquireRequest {
-    /// The incarnation of the requesting daemon.
+    /// The incarnation of the quota client's daemon.
     pub from: Incarnation,
-    /// The lease of its shares; absent if it can't lease any, for instance without a clock reading.
+    /// The lease of the quota client's shares; absent if it can't lease any, for instance without a clock reading.
     #[serde(rename = "loan")]
     pub lease: Option<Lease>,
-    /// The number of members among which the requesting daemon divides the quotas.
+    /// The number of members that the quota client knows, among which the quotas are divided.
     pub members: u32,
     /// The workspace whose grants are requested; absent if the request only renews the lease.
     pub workspace: Option<CallerId>,
@@ -50,13 +52,14 @@
 
 /// The result of an [`AcquireRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
-    /// The number of requests that may run: at least one, at most the requested number.
+pub enum AcquireOutcome {
+    /// The number of grants: at least one, at most the requested number.
     Granted(u32),
     /// The quota is used up; capacity is probably available after this time.
     UsedUp(Duration),
-    /// The allocator doesn't know a quota for the workspace, or the request names none.
-    Nothing,
+    /// The allocator knows no quota for the workspace, or the request names no workspace.
+    #[serde(rename = "Nothing")]
+    NoQuota,
 }
 
 /// An allocator's reply to an [`AcquireRequest`].
@@ -66,5 +69,5 @@
     #[serde(rename = "stamp")]
     pub clock_reading: ClockReading,
     /// The result of the request.
-    pub outcome: Outcome,
+    pub outcome: AcquireOutcome,
 }
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -1,10 +1,11 @@
-//! Shards: groups of workspaces that share an allocator.
+//! Shards: groups of workspaces whose requests one allocator grants.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number of shards, which is also the maximum number of allocators that a daemon exchanges messages with.
+/// The number of shards, which is also the maximum number of allocators that a quota client
+/// usually sends requests to.
 ///
 /// More shards distribute the load over more allocators and cost each daemon more messages.
 pub const SHARD_COUNT: usize = 8;
@@ -67,7 +68,7 @@
 
 /// Selects a shard's allocator by rendezvous hashing.
 ///
-/// Daemons with the same member list select the same allocator. When a member joins or leaves, only its own shards
+/// Quota clients with the same member list select the same allocator. When a member joins or leaves, only its own shards
 /// move.
 pub fn preferred_allocator<'a>(
     shard: Shard,
--- a/crates/sorrelturn-quota/tests/allocator.rs
+++ b/crates/sorrelturn-quota/tests/allocator.rs
@@ -2,8 +2,8 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    AcquireRequest, ClockReading, Lease, Limit, Now, Outcome, QuotaAllocator, Shard, ShardSet,
-    ValidityConfig,
+    AcquireOutcome, AcquireRequest, ClockReading, Lease, Limit, Now, QuotaAllocator, Shard,
+    ShardSet, ValidityConfig,
 };
 use std::time::Duration;
 
@@ -42,9 +42,9 @@
     }
 }
 
-fn granted(outcome: Outcome) -> u32 {
+fn granted(outcome: AcquireOutcome) -> u32 {
     match outcome {
-        Outcome::Granted(count) => count,
+        AcquireOutcome::Granted(count) => count,
         _ => 0,
     }
 }
@@ -130,7 +130,7 @@
         .acquire(at_ms(ms), &request(1, at_ms(ms), 1), Some(LIMIT), 1)
         .outcome
     {
-        Outcome::UsedUp(retry_after) => retry_after,
+        AcquireOutcome::UsedUp(retry_after) => retry_after,
         other => panic!("{other:?}"),
     };
     let first = retry_after(&mut allocator, 991);
@@ -155,7 +155,7 @@
         burst: 2.0,
     };
     let reply = allocator.acquire(at_ms(2_000), &request(1, at_ms(2_000), 100), Some(lower), 1);
-    assert_eq!(reply.outcome, Outcome::Granted(2));
+    assert_eq!(reply.outcome, AcquireOutcome::Granted(2));
 }
 
 /// A thread may be delayed between its clock reading and its call of the allocator, for instance while its VM is
--- a/crates/sorrelturn-quota/tests/bound.rs
+++ b/crates/sorrelturn-quota/tests/bound.rs
@@ -21,7 +21,7 @@
                     overage,
                     slack,
                 };
-                let bucket = bound.bucket(Limit { rate, burst }, GRANT);
+                let bucket = bound.token_bucket(Limit { rate, burst }, GRANT);
                 let most = bucket.rate * (window_time + GRANT).as_secs_f64() + bucket.burst;
                 let allowed = (rate * window + burst) * (1.0 + overage) + slack;
                 assert!(most <= allowed + 1e-6, "{most} {allowed} {bucket:?}");
@@ -38,7 +38,7 @@
         overage: 0.1,
         slack: 20.0,
     };
-    let bucket = bound.bucket(
+    let bucket = bound.token_bucket(
         Limit {
             rate: 100.0,
             burst: 100.0,
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -4,8 +4,8 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    AcquireReply, AcquireRequest, AcquireTarget, Limit, Now, Outcome, QuotaAllocator, QuotaClient,
-    Shard, ValidityConfig,
+    AcquireOutcome, AcquireReply, AcquireRequest, AcquireTarget, Limit, Now, QuotaAllocator,
+    QuotaClient, Shard, ValidityConfig,
 };
 use std::{
     collections::{HashMap, VecDeque},
@@ -440,7 +440,7 @@
         incarnation: Incarnation(2),
         at: Now::ZERO,
     };
-    let outcome = Outcome::Granted(1);
+    let outcome = AcquireOutcome::Granted(1);
     assert!(client.accept_reply(
         Now::ZERO,
         Now::ZERO,
--- a/crates/sorrelturn-quota/tests/schemes.rs
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -3,8 +3,8 @@
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
-    Bound, Limit, Now, Outcome, QuotaAllocator, QuotaClient, SHARD_COUNT, Shard, ValidityConfig,
-    preferred_allocator,
+    AcquireOutcome, Bound, Limit, Now, QuotaAllocator, QuotaClient, SHARD_COUNT, Shard,
+    ValidityConfig, preferred_allocator,
 };
 use std::{collections::VecDeque, time::Duration};
 
@@ -88,7 +88,7 @@
 }
 
 fn bucket(workspace: usize) -> Limit {
-    BOUND.bucket(limit(workspace), VALIDITY.grant_validity)
+    BOUND.token_bucket(limit(workspace), VALIDITY.grant_validity)
 }
 
 /// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
@@ -265,7 +265,7 @@
             Some(id) => self.entries[entry].accept_reply(now, now, id, &reply),
             None => {
                 self.entries[entry].record_reading(now, reply.clock_reading);
-                reply.outcome != Outcome::Nothing
+                reply.outcome != AcquireOutcome::NoQuota
             }
         }
     }
