--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -174,7 +174,7 @@
         let Some(token) = ledger.issue(now, &mut rng) else {
             return;
         };
-        if ledger.begin(now, &token, print) == BeginResult::Run {
+        if ledger.begin(now, &token, print) == BeginResult::MayRun {
             ledger.end(
                 &token,
                 Recorded {
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -140,7 +140,7 @@
         .room
         .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
     let members = lock(&node.membership).present().count();
-    let tokens = lock(&node.ledger).outstanding();
+    let tokens = lock(&node.ledger).unexpired_count();
     let version = lock(&node.spread).in_force();
     for (metric, value) in [
         (&metrics::IN_FLIGHT, u64::from(in_flight)),
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -145,7 +145,7 @@
         let mut ledger = lock(&node.ledger);
         let fingerprint = fingerprint(context, "");
         match ledger.begin(node.now(), &token, fingerprint) {
-            BeginResult::Run => ledger.refuse(&token),
+            BeginResult::MayRun => ledger.refuse(&token),
             BeginResult::Closed | BeginResult::Refused => {}
             _ => return Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun),
         }
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -33,7 +33,7 @@
         let share = self.context.attempts;
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
-            BeginResult::Run => {}
+            BeginResult::MayRun => {}
             BeginResult::Recorded(outcome) => return unused(self.recorded(outcome), share),
             other => return unused(self.not_begun(&other), share),
         }
@@ -117,9 +117,9 @@
 
     fn not_begun(&self, begin: &BeginResult) -> Reply {
         let (refusal, verdict) = match begin {
-            BeginResult::Running => (Refusal::StillRunning, Verdict::MayHaveRun),
+            BeginResult::InProgress => (Refusal::StillRunning, Verdict::MayHaveRun),
             BeginResult::Refused => (Refusal::Tombstone, Verdict::NotRun),
-            BeginResult::Rejected => (Refusal::TokenRejected, Verdict::NotRun),
+            BeginResult::InvalidToken => (Refusal::TokenRejected, Verdict::NotRun),
             BeginResult::Closed => (Refusal::Leaving, Verdict::NotRun),
             _ => (Refusal::OutcomeUnknown, Verdict::MayHaveRun),
         };
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -113,7 +113,7 @@
     let own = Binding {
         token: token.to_string(),
         fingerprint: fingerprint(call).0,
-        attempt: fastrand::u64(..),
+        write_nonce: fastrand::u64(..),
     };
     let value = serde_json::to_string(&own).unwrap_or_default();
     match node.platform.put(&object, &value, expected).await {
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that are in progress or recently ended at an owner, for senders that miss a response.
+//! The attempts that are in progress or recently ended at this daemon. Senders that miss a response query their status.
 //! See `docs/design/silent-connections.md`.
 
 use sorrelturn_protocol::{AttemptId, AttemptStatus};
@@ -9,8 +9,8 @@
 
 type Now = Duration;
 
-/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this; a
-/// later query gets the answer that the attempt may have run.
+/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this. After
+/// an eviction, attempts that may have been sent before the evicted one ended are reported as [`AttemptStatus::Over`].
 const ENDED_RETENTION: Duration = Duration::from_secs(5);
 /// How long an attempt that was reported as never arrived is refused. Its connection is closed when that is reported,
 /// and packets delayed in the network arrive within seconds.
@@ -20,13 +20,13 @@
 
 /// Attempts in the order of their last insertion.
 #[derive(Debug, Default)]
-struct Recent {
+struct RecentAttempts {
     order: VecDeque<(Now, AttemptId)>,
     /// The time of each attempt's last insertion.
     inserted_at: HashMap<AttemptId, Now>,
 }
 
-impl Recent {
+impl RecentAttempts {
     fn insert(&mut self, now: Now, attempt: AttemptId) {
         self.inserted_at.insert(attempt, now);
         self.order.push_back((now, attempt));
@@ -36,11 +36,11 @@
         self.inserted_at.contains_key(&attempt)
     }
 
-    /// Removes the oldest insertion if it is older than `since`, with its attempt unless that was inserted again;
+    /// Removes the oldest insertion if it is older than `cutoff`, with its attempt unless that was inserted again;
     /// returns the time of the removed insertion.
-    fn evict_before(&mut self, since: Now) -> Option<Now> {
+    fn evict_oldest_before(&mut self, cutoff: Now) -> Option<Now> {
         let (at, attempt) = *self.order.front()?;
-        if at >= since {
+        if at >= cutoff {
             return None;
         }
         self.order.pop_front();
@@ -51,13 +51,13 @@
     }
 }
 
-/// The owner's register of attempts by other daemons.
+/// The attempts that other daemons made at this one.
 #[derive(Debug, Default)]
 pub struct AttemptRegister {
-    /// How many times each attempt is in progress: requests with the same token can arrive concurrently.
+    /// How many times each attempt is in progress: an attempt can arrive more than once, concurrently.
     in_progress: HashMap<AttemptId, u32>,
-    ended: Recent,
-    fenced: Recent,
+    ended: RecentAttempts,
+    fenced: RecentAttempts,
     /// The end time of the most recently evicted attempt.
     last_evicted_end: Option<Now>,
 }
@@ -95,7 +95,7 @@
         let earliest_sent = now.checked_sub(sent_ago + MAX_QUERY_DELAY);
         let may_have_been_evicted = self
             .last_evicted_end
-            .is_some_and(|until| earliest_sent.is_none_or(|earliest_sent| until >= earliest_sent));
+            .is_some_and(|ended| earliest_sent.is_none_or(|earliest_sent| ended >= earliest_sent));
         if may_have_been_evicted || self.ended.contains(attempt) {
             return AttemptStatus::Over;
         }
@@ -103,15 +103,15 @@
         AttemptStatus::NeverCame
     }
 
-    /// Each attempt adds one ended entry, so evicting two per call keeps up.
+    /// Evicts at most two ended attempts and one fenced attempt. Each attempt adds one ended entry, so two per call keep up.
     fn evict_expired(&mut self, now: Now) {
         for _ in 0..2 {
-            let since = now.saturating_sub(ENDED_RETENTION);
-            if let Some(ended) = self.ended.evict_before(since) {
+            let cutoff = now.saturating_sub(ENDED_RETENTION);
+            if let Some(ended) = self.ended.evict_oldest_before(cutoff) {
                 self.last_evicted_end = Some(ended);
             }
         }
         self.fenced
-            .evict_before(now.saturating_sub(FENCED_RETENTION));
+            .evict_oldest_before(now.saturating_sub(FENCED_RETENTION));
     }
 }
--- a/crates/sorrelturn-once/src/binding.rs
+++ b/crates/sorrelturn-once/src/binding.rs
@@ -1,4 +1,4 @@
-//! The one-step path: a conditional create in the store binds a caller's own key to a token.
+//! Binds a caller's idempotency key to a token by a conditional create in the store.
 //! See `docs/design/at-most-once.md`.
 
 use crate::Fingerprint;
@@ -16,8 +16,9 @@
     pub token: String,
     /// The fingerprint of the first request that used the key.
     pub fingerprint: u64,
-    /// A random number, so that two attempts never write the same value.
-    pub attempt: u64,
+    /// A random number, so that two writers never write the same value.
+    #[serde(rename = "attempt")]
+    pub write_nonce: u64,
 }
 
 /// Why a binding gives no token.
@@ -25,7 +26,7 @@
 pub enum BindingError {
     /// the key was used for another request
     Mismatch,
-    /// the binding can't be read
+    /// the token in the binding can't be parsed
     Unreadable,
 }
 
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -15,11 +15,11 @@
     pub ttl: Duration,
     /// The maximum number of unexpired tokens. At the limit no new tokens are issued, and none are evicted.
     pub capacity: usize,
-    /// The maximum number of response body bytes retained for repeats. Further outcomes are retained without bodies.
+    /// The maximum number of response body bytes retained for repeats. A body that exceeds it is not retained.
     pub max_retained_bytes: usize,
 }
 
-/// Identifies the request that a token was first used for: a hash over caller, kind and target.
+/// A hash of the request that a token was first used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
@@ -32,7 +32,7 @@
     pub status: u16,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// The whole body, or `None` if it was too large to retain.
+    /// The whole body, or `None` if it was not retained.
     pub body: Option<Vec<u8>>,
 }
 
@@ -45,25 +45,25 @@
 /// The result of [`Ledger::begin`]: whether a request may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeginResult {
-    /// The request may be forwarded, as the token's only execution.
-    Run,
+    /// The request may be forwarded. No other request with the token may.
+    MayRun,
     /// A request with the token is in progress.
-    Running,
+    InProgress,
     /// The request ended with this outcome.
     Recorded(Outcome),
-    /// The request was refused and stays refused.
+    /// The request was refused before it was forwarded, and stays refused.
     Refused,
     /// The token was not issued by this process, or was first used for another request.
-    Rejected,
+    InvalidToken,
     /// The token has expired.
     Expired,
-    /// The ledger is closed and the token was never executed.
+    /// The ledger is closed and no request with the token was forwarded.
     Closed,
 }
 
 #[derive(Clone, Debug)]
 enum TokenState {
-    Running,
+    InProgress,
     Refused,
     Ended(Outcome),
 }
@@ -74,34 +74,37 @@
     state: TokenState,
 }
 
-/// Issues tokens and ensures that each is forwarded at most once.
+/// Issues tokens and ensures that at most one request is forwarded per token.
 ///
-/// Capacity for a token is reserved when it is issued. Tokens are sealed with a key that only this process has, so
-/// forged tokens use no memory.
+/// Capacity for a token is reserved when it is issued. Tokens carry a message authentication code with a key
+/// that only this process has, so forged tokens use no memory.
 pub struct Ledger {
     owner: Incarnation,
     cfg: LedgerConfig,
-    seal_key: [u8; 32],
+    mac_key: [u8; 32],
     used: HashMap<u128, UsedToken>,
+    /// The issue times in milliseconds and the nonces of the used tokens.
     used_by_age: BTreeSet<(u64, u128)>,
-    unexpired: VecDeque<u64>,
+    /// The issue times of all unexpired tokens, used or not, oldest first.
+    unexpired_issued_ms: VecDeque<u64>,
     retained_bytes: usize,
     is_closed: bool,
     segments: BTreeMap<u64, OutcomeSegment>,
     unsaved_segments: BTreeSet<u64>,
+    /// The end of the last removed segment; see [`ClosingRecord`].
     complete_since_ms: u64,
 }
 
 impl Ledger {
-    /// Creates the ledger of a process that just started; `seal_key` must be secret and newly generated.
-    pub fn new(owner: Incarnation, cfg: LedgerConfig, seal_key: [u8; 32]) -> Self {
+    /// Creates the ledger of a process that just started; `mac_key` must be secret and newly generated.
+    pub fn new(owner: Incarnation, cfg: LedgerConfig, mac_key: [u8; 32]) -> Self {
         Self {
             owner,
             cfg,
-            seal_key,
+            mac_key,
             used: HashMap::new(),
             used_by_age: BTreeSet::new(),
-            unexpired: VecDeque::new(),
+            unexpired_issued_ms: VecDeque::new(),
             retained_bytes: 0,
             is_closed: false,
             segments: BTreeMap::new(),
@@ -110,19 +113,20 @@
         }
     }
 
-    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed.
+    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed. Like everywhere in the ledger,
+    /// `now` is the time since the process started.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
         self.evict_expired(now);
-        if self.is_closed || self.unexpired.len() >= self.cfg.capacity {
+        if self.is_closed || self.unexpired_issued_ms.len() >= self.cfg.capacity {
             return None;
         }
         let issued_ms = now.as_millis() as u64;
-        self.unexpired.push_back(issued_ms);
+        self.unexpired_issued_ms.push_back(issued_ms);
         let random = rng.u64(..);
         Some(ExecutionToken {
             owner: self.owner,
             issued_ms,
-            nonce: u128::from(random) << 64 | u128::from(self.seal(issued_ms, random)),
+            nonce: u128::from(random) << 64 | u128::from(self.mac(issued_ms, random)),
         })
     }
 
@@ -133,8 +137,8 @@
         token: &ExecutionToken,
         fingerprint: Fingerprint,
     ) -> BeginResult {
-        if token.owner != self.owner || !self.is_sealed(token) {
-            return BeginResult::Rejected;
+        if token.owner != self.owner || !self.has_valid_mac(token) {
+            return BeginResult::InvalidToken;
         }
         if let Some(used) = self.used.get(&token.nonce) {
             return repeat_result(used, fingerprint);
@@ -146,10 +150,10 @@
             return BeginResult::Closed;
         }
         self.used_by_age.insert((token.issued_ms, token.nonce));
-        let state = TokenState::Running;
+        let state = TokenState::InProgress;
         self.used
             .insert(token.nonce, UsedToken { fingerprint, state });
-        BeginResult::Run
+        BeginResult::MayRun
     }
 
     /// Records that a request was refused before any byte of it was forwarded.
@@ -183,7 +187,8 @@
         }
     }
 
-    /// Closes the ledger when the process stops: no token is issued and no unused token is executed afterwards.
+    /// Closes the ledger when the process stops: no token is issued and no request with an unused token is
+    /// forwarded afterwards.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
@@ -222,7 +227,7 @@
     /// The segments must be written to the store before the closing record.
     pub fn closing_record(&self) -> Option<ClosingRecord> {
         let is_complete =
-            self.is_closed && self.unsaved_segments.is_empty() && self.running_count() == 0;
+            self.is_closed && self.unsaved_segments.is_empty() && self.in_progress_count() == 0;
         is_complete.then_some(ClosingRecord {
             owner: self.owner,
             complete_since_ms: self.complete_since_ms,
@@ -230,10 +235,10 @@
     }
 
     /// Returns the number of requests in progress.
-    pub fn running_count(&self) -> usize {
+    pub fn in_progress_count(&self) -> usize {
         self.used
             .values()
-            .filter(|used| matches!(used.state, TokenState::Running))
+            .filter(|used| matches!(used.state, TokenState::InProgress))
             .count()
     }
 
@@ -243,28 +248,28 @@
     }
 
     /// Returns the number of issued tokens that have not expired.
-    pub fn outstanding(&self) -> usize {
-        self.unexpired.len()
+    pub fn unexpired_count(&self) -> usize {
+        self.unexpired_issued_ms.len()
     }
 
-    /// Evicts expired tokens and outcomes, but no request in progress.
+    /// Evicts expired tokens and their outcomes, oldest first, up to the first token with a request in progress.
     pub fn evict_expired(&mut self, now: Duration) {
         while self
-            .unexpired
+            .unexpired_issued_ms
             .front()
             .is_some_and(|issued_ms| self.is_expired(now, *issued_ms))
         {
-            self.unexpired.pop_front();
+            self.unexpired_issued_ms.pop_front();
         }
         while let Some((issued_ms, nonce)) = self.used_by_age.first().copied() {
-            let is_running = matches!(
+            let is_in_progress = matches!(
                 self.used.get(&nonce),
                 Some(UsedToken {
-                    state: TokenState::Running,
+                    state: TokenState::InProgress,
                     ..
                 })
             );
-            if is_running || !self.is_expired(now, issued_ms) {
+            if is_in_progress || !self.is_expired(now, issued_ms) {
                 break;
             }
             self.used_by_age.pop_first();
@@ -282,27 +287,27 @@
         now >= Duration::from_millis(issued_ms) + self.cfg.ttl
     }
 
-    fn is_sealed(&self, token: &ExecutionToken) -> bool {
+    fn has_valid_mac(&self, token: &ExecutionToken) -> bool {
         let random = (token.nonce >> 64) as u64;
-        self.seal(token.issued_ms, random) == token.nonce as u64
+        self.mac(token.issued_ms, random) == token.nonce as u64
     }
 
-    fn seal(&self, issued_ms: u64, random: u64) -> u64 {
-        let mut hasher = blake3::Hasher::new_keyed(&self.seal_key);
+    fn mac(&self, issued_ms: u64, random: u64) -> u64 {
+        let mut hasher = blake3::Hasher::new_keyed(&self.mac_key);
         hasher.update(&issued_ms.to_be_bytes());
         hasher.update(&random.to_be_bytes());
-        let mut seal = [0; 8];
-        hasher.finalize_xof().fill(&mut seal);
-        u64::from_be_bytes(seal)
+        let mut mac = [0; 8];
+        hasher.finalize_xof().fill(&mut mac);
+        u64::from_be_bytes(mac)
     }
 }
 
 fn repeat_result(used: &UsedToken, fingerprint: Fingerprint) -> BeginResult {
     if used.fingerprint != fingerprint {
-        return BeginResult::Rejected;
+        return BeginResult::InvalidToken;
     }
     match &used.state {
-        TokenState::Running => BeginResult::Running,
+        TokenState::InProgress => BeginResult::InProgress,
         TokenState::Refused => BeginResult::Refused,
         TokenState::Ended(outcome) => BeginResult::Recorded(outcome.clone()),
     }
--- a/crates/sorrelturn-once/src/record.rs
+++ b/crates/sorrelturn-once/src/record.rs
@@ -58,20 +58,20 @@
     }
 }
 
-/// The owner's final record: it executes no more tokens, and every outcome is in the store.
+/// The owner's final record: it forwards no more requests, and the outcomes of unexpired tokens are in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosingRecord {
     /// The incarnation that wrote the record.
     pub owner: Incarnation,
-    /// The time, in milliseconds of the owner's clock, before which segments are deleted.
+    /// The outcomes of all tokens issued from this time on are in the store. In milliseconds of the owner's clock.
     pub complete_since_ms: u64,
 }
 
 /// Returns the verdict on a token whose owner can't be queried.
 ///
 /// `closing` must have been read before `segment`, so that the segment is complete. A token without a recorded outcome
-/// is [`Verdict::NotRun`] only if there is a closing record: the owner writes it after its last execution and refuses
-/// every later token. Without it the verdict is [`Verdict::MayHaveRun`].
+/// is [`Verdict::NotRun`] only if a closing record covers its issue time: the owner writes the record after its last
+/// request ended and refuses all later ones. Otherwise the verdict is [`Verdict::MayHaveRun`].
 pub fn verdict_of_lost_owner(
     token: &ExecutionToken,
     closing: Option<&ClosingRecord>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the random half of the nonce; the other half is the seal, which is derived from it.
+/// Returns the random half of the nonce; the other half is the message authentication code.
 fn outcome_key(token: &ExecutionToken) -> String {
     let random = (token.nonce >> 64) as u64;
     format!("{random:016x}")
--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -35,10 +35,13 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(1), &token, FINGERPRINT),
+        BeginResult::MayRun
+    );
     assert_eq!(
         ledger.begin(ms(2), &token, FINGERPRINT),
-        BeginResult::Running
+        BeginResult::InProgress
     );
     ledger.end(&token, outcome(201));
     assert_eq!(
@@ -52,7 +55,10 @@
     let mut rng = fastrand::Rng::with_seed(2);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(1), &token, FINGERPRINT),
+        BeginResult::MayRun
+    );
     ledger.refuse(&token);
     assert_eq!(
         ledger.begin(ms(2), &token, FINGERPRINT),
@@ -66,7 +72,7 @@
     let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
     assert_eq!(
         ledger(2, 10).begin(ms(1), &token, FINGERPRINT),
-        BeginResult::Rejected
+        BeginResult::InvalidToken
     );
 }
 
@@ -85,16 +91,19 @@
     };
     assert_eq!(
         ledger.begin(ms(1), &forged, FINGERPRINT),
-        BeginResult::Rejected
+        BeginResult::InvalidToken
     );
     assert_eq!(
         ledger.begin(ms(1), &redated, FINGERPRINT),
-        BeginResult::Rejected
+        BeginResult::InvalidToken
+    );
+    assert_eq!(
+        ledger.begin(ms(1), &token, FINGERPRINT),
+        BeginResult::MayRun
     );
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
     assert_eq!(
         ledger.begin(ms(2), &token, Fingerprint(2)),
-        BeginResult::Rejected
+        BeginResult::InvalidToken
     );
 }
 
@@ -103,7 +112,10 @@
     let mut rng = fastrand::Rng::with_seed(5);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(1), &token, FINGERPRINT),
+        BeginResult::MayRun
+    );
     ledger.end(&token, outcome(200));
     ledger.evict_expired(TTL);
     assert_eq!(ledger.begin(TTL, &token, FINGERPRINT), BeginResult::Expired);
@@ -116,10 +128,19 @@
     let first = ledger.issue(ms(0), &mut rng).expect("token");
     let second = ledger.issue(ms(0), &mut rng).expect("token");
     assert_eq!(ledger.issue(ms(1), &mut rng), None);
-    assert_eq!(ledger.begin(ms(1), &first, FINGERPRINT), BeginResult::Run);
-    assert_eq!(ledger.begin(ms(1), &second, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(1), &first, FINGERPRINT),
+        BeginResult::MayRun
+    );
+    assert_eq!(
+        ledger.begin(ms(1), &second, FINGERPRINT),
+        BeginResult::MayRun
+    );
     assert!(ledger.issue(TTL, &mut rng).is_some());
-    assert_eq!(ledger.begin(TTL, &first, FINGERPRINT), BeginResult::Running);
+    assert_eq!(
+        ledger.begin(TTL, &first, FINGERPRINT),
+        BeginResult::InProgress
+    );
 }
 
 #[test]
@@ -133,7 +154,10 @@
     let tokens: Vec<_> = (0..30)
         .map(|_| {
             let token = ledger.issue(ms(0), &mut rng).expect("token");
-            assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+            assert_eq!(
+                ledger.begin(ms(1), &token, FINGERPRINT),
+                BeginResult::MayRun
+            );
             ledger.end(&token, large.clone());
             token
         })
@@ -166,7 +190,7 @@
     let mut ledger = ledger(1, 10);
     let used = ledger.issue(ms(0), &mut rng).expect("token");
     let unused = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), BeginResult::Run);
+    assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), BeginResult::MayRun);
     ledger.end(&used, outcome(200));
     assert_eq!(ledger.closing_record(), None);
     let segments_before_close = ledger.take_unsaved();
@@ -192,7 +216,10 @@
     let mut rng = fastrand::Rng::with_seed(8);
     let mut ledger = ledger(1, 10);
     let token = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(1), &token, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(1), &token, FINGERPRINT),
+        BeginResult::MayRun
+    );
     ledger.close();
     assert_eq!(ledger.closing_record(), None);
     ledger.end(&token, outcome(200));
@@ -209,7 +236,10 @@
     let mut rng = fastrand::Rng::with_seed(9);
     let mut ledger = ledger(1, 10);
     let expired = ledger.issue(ms(0), &mut rng).expect("token");
-    assert_eq!(ledger.begin(ms(0), &expired, FINGERPRINT), BeginResult::Run);
+    assert_eq!(
+        ledger.begin(ms(0), &expired, FINGERPRINT),
+        BeginResult::MayRun
+    );
     ledger.end(&expired, outcome(200));
     // The last token of the first segment expires one segment duration plus one TTL after the segment's start.
     let deleted = SEGMENT_DURATION + TTL;
@@ -242,7 +272,7 @@
         let now = Duration::from_secs(second);
         for _ in 0..RATE {
             let token = ledger.issue(now, &mut rng).expect("token");
-            assert_eq!(ledger.begin(now, &token, FINGERPRINT), BeginResult::Run);
+            assert_eq!(ledger.begin(now, &token, FINGERPRINT), BeginResult::MayRun);
             ledger.end(&token, outcome(200));
         }
         if second % WRITE_INTERVAL_S == 0 {
@@ -269,7 +299,7 @@
     let bound = Binding {
         token: token.to_string(),
         fingerprint: 5,
-        attempt: 1,
+        write_nonce: 1,
     };
     assert_eq!(bound.token_for(Fingerprint(5)), Ok(token));
     assert_eq!(bound.token_for(Fingerprint(6)), Err(BindingError::Mismatch));
@@ -336,21 +366,21 @@
                 Event::Issue => tokens.extend(current.issue(owner_now, &mut rng)),
                 Event::Deliver(at) if !tokens.is_empty() => {
                     let token: ExecutionToken = tokens[at.index(tokens.len())];
-                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run {
+                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::MayRun {
                         prop_assert!(!reported_not_run.contains(&token), "ran after a refusal");
                         *run_counts.entry(token).or_insert(0) += 1;
                     }
                 }
                 Event::End(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
-                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Running {
+                    if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::InProgress {
                         current.end(&token, outcome(200));
                     }
                 }
                 Event::Refuse(at) if !tokens.is_empty() => {
                     let token = tokens[at.index(tokens.len())];
                     if !run_counts.contains_key(&token)
-                        && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::Run
+                        && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::MayRun
                     {
                         current.refuse(&token);
                         reported_not_run.insert(token);
