--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -103,7 +103,8 @@
         AttemptStatus::NeverCame
     }
 
-    /// Evicts at most two ended attempts and one fenced attempt. Each attempt adds one ended entry, so two per call keep up.
+    /// Evicts at most two ended attempts and one fenced attempt. Each attempt adds one ended entry, so two per call
+    /// keep up.
     fn evict_expired(&mut self, now: Now) {
         for _ in 0..2 {
             let cutoff = now.saturating_sub(ENDED_RETENTION);
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed. Like everywhere in the ledger,
-    /// `now` is the time since the process started.
+    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed. Like everywhere in the
+    /// ledger, `now` is the time since the process started.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
         self.evict_expired(now);
         if self.is_closed || self.unexpired_issued_ms.len() >= self.cfg.capacity {
--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! Guards against a token that is executed twice, after delays, duplicates or restarts.
+//! Guards against two executions with one token, after delays, duplicates or restarts.
 
 use proptest::prelude::*;
 use sorrelturn_once::*;
@@ -34,7 +34,9 @@
 fn a_repeat_gets_the_first_answer_and_runs_nothing() {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut ledger = ledger(1, 10);
-    let token = ledger.issue(ms(0), &mut rng).expect("token");
+    let token = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger.begin(ms(1), &token, FINGERPRINT),
         BeginResult::MayRun
@@ -54,7 +56,9 @@
 fn a_delayed_copy_of_a_refused_request_stays_refused() {
     let mut rng = fastrand::Rng::with_seed(2);
     let mut ledger = ledger(1, 10);
-    let token = ledger.issue(ms(0), &mut rng).expect("token");
+    let token = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger.begin(ms(1), &token, FINGERPRINT),
         BeginResult::MayRun
@@ -69,7 +73,9 @@
 #[test]
 fn a_token_of_another_incarnation_of_the_same_instance_never_runs() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
+    let token = ledger(1, 10)
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger(2, 10).begin(ms(1), &token, FINGERPRINT),
         BeginResult::InvalidToken
@@ -80,12 +86,14 @@
 fn a_forged_token_or_one_used_for_another_request_is_rejected() {
     let mut rng = fastrand::Rng::with_seed(4);
     let mut ledger = ledger(1, 10);
-    let token = ledger.issue(ms(0), &mut rng).expect("token");
+    let token = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     let forged = ExecutionToken {
         nonce: token.nonce ^ 1 << 80,
         ..token
     };
-    let redated = ExecutionToken {
+    let with_changed_issue_time = ExecutionToken {
         issued_ms: 50,
         ..token
     };
@@ -94,7 +102,7 @@
         BeginResult::InvalidToken
     );
     assert_eq!(
-        ledger.begin(ms(1), &redated, FINGERPRINT),
+        ledger.begin(ms(1), &with_changed_issue_time, FINGERPRINT),
         BeginResult::InvalidToken
     );
     assert_eq!(
@@ -108,10 +116,12 @@
 }
 
 #[test]
-fn an_expired_token_is_refused_and_not_run_anew() {
+fn an_expired_token_does_not_run_again() {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut ledger = ledger(1, 10);
-    let token = ledger.issue(ms(0), &mut rng).expect("token");
+    let token = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger.begin(ms(1), &token, FINGERPRINT),
         BeginResult::MayRun
@@ -125,8 +135,12 @@
 fn at_the_limit_new_tokens_are_refused_and_none_evicted() {
     let mut rng = fastrand::Rng::with_seed(6);
     let mut ledger = ledger(1, 2);
-    let first = ledger.issue(ms(0), &mut rng).expect("token");
-    let second = ledger.issue(ms(0), &mut rng).expect("token");
+    let first = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
+    let second = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(ledger.issue(ms(1), &mut rng), None);
     assert_eq!(
         ledger.begin(ms(1), &first, FINGERPRINT),
@@ -153,7 +167,9 @@
     };
     let tokens: Vec<_> = (0..30)
         .map(|_| {
-            let token = ledger.issue(ms(0), &mut rng).expect("token");
+            let token = ledger
+                .issue(ms(0), &mut rng)
+                .expect("a token below the capacity limit");
             assert_eq!(
                 ledger.begin(ms(1), &token, FINGERPRINT),
                 BeginResult::MayRun
@@ -164,17 +180,17 @@
         .collect();
     assert!(ledger.retained_bytes() <= 1_000_000);
     let has_body = |begin| matches!(begin, BeginResult::Recorded(Outcome { body: Some(_), .. }));
-    let answers: Vec<BeginResult> = tokens
+    let results: Vec<BeginResult> = tokens
         .iter()
         .map(|token| ledger.begin(ms(2), token, FINGERPRINT))
         .collect();
     assert!(
-        answers
+        results
             .iter()
             .all(|begin| matches!(begin, BeginResult::Recorded(_)))
     );
     assert_eq!(
-        answers
+        results
             .into_iter()
             .filter(|begin| has_body(begin.clone()))
             .count(),
@@ -185,11 +201,15 @@
 }
 
 #[test]
-fn only_a_closing_record_makes_an_unlisted_token_not_run() {
+fn only_a_closing_record_makes_a_token_without_a_recorded_outcome_not_run() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut ledger = ledger(1, 10);
-    let used = ledger.issue(ms(0), &mut rng).expect("token");
-    let unused = ledger.issue(ms(0), &mut rng).expect("token");
+    let used = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
+    let unused = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(ledger.begin(ms(1), &used, FINGERPRINT), BeginResult::MayRun);
     ledger.end(&used, outcome(200));
     assert_eq!(ledger.closing_record(), None);
@@ -215,7 +235,9 @@
 fn there_is_no_closing_record_while_something_runs_or_is_unsaved() {
     let mut rng = fastrand::Rng::with_seed(8);
     let mut ledger = ledger(1, 10);
-    let token = ledger.issue(ms(0), &mut rng).expect("token");
+    let token = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger.begin(ms(1), &token, FINGERPRINT),
         BeginResult::MayRun
@@ -232,10 +254,12 @@
 }
 
 #[test]
-fn tokens_of_deleted_segments_are_not_called_not_run() {
+fn tokens_of_deleted_segments_may_have_run() {
     let mut rng = fastrand::Rng::with_seed(9);
     let mut ledger = ledger(1, 10);
-    let expired = ledger.issue(ms(0), &mut rng).expect("token");
+    let expired = ledger
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     assert_eq!(
         ledger.begin(ms(0), &expired, FINGERPRINT),
         BeginResult::MayRun
@@ -245,7 +269,9 @@
     let deleted = SEGMENT_DURATION + TTL;
     assert!(ledger.remove_expired_segments(deleted - ms(1)).is_empty());
     assert_eq!(ledger.remove_expired_segments(deleted), vec![0_u64]);
-    let newer = ledger.issue(deleted, &mut rng).expect("token");
+    let newer = ledger
+        .issue(deleted, &mut rng)
+        .expect("a token below the capacity limit");
     ledger.close();
     assert_eq!(ledger.take_unsaved(), []);
     let closing_record = ledger.closing_record().expect("no segment is unsaved");
@@ -257,7 +283,7 @@
 #[test]
 fn bytes_written_grow_with_the_rate_of_outcomes_and_not_with_their_number() {
     // The load and write interval of one daemon in a large fleet, see docs/CAPACITY.md.
-    const RATE: u64 = 28;
+    const OUTCOMES_PER_SECOND: u64 = 28;
     const WRITE_INTERVAL_S: u64 = 54;
     const MAX_BYTES_PER_SECOND: usize = 3_000;
     let mut rng = fastrand::Rng::with_seed(12);
@@ -270,16 +296,20 @@
     let mut written = Vec::new();
     for second in 0..3_600 {
         let now = Duration::from_secs(second);
-        for _ in 0..RATE {
-            let token = ledger.issue(now, &mut rng).expect("token");
+        for _ in 0..OUTCOMES_PER_SECOND {
+            let token = ledger
+                .issue(now, &mut rng)
+                .expect("a token below the capacity limit");
             assert_eq!(ledger.begin(now, &token, FINGERPRINT), BeginResult::MayRun);
             ledger.end(&token, outcome(200));
         }
         if second % WRITE_INTERVAL_S == 0 {
             let segments = ledger.take_unsaved();
-            let bytes = segments
-                .iter()
-                .map(|segment| serde_json::to_string(segment).expect("json").len());
+            let bytes = segments.iter().map(|segment| {
+                serde_json::to_string(segment)
+                    .expect("the segment serializes")
+                    .len()
+            });
             written.push(bytes.sum::<usize>() / WRITE_INTERVAL_S as usize);
             ledger.remove_expired_segments(now);
         }
@@ -295,7 +325,9 @@
 #[test]
 fn a_key_gives_its_token_to_the_request_that_it_was_bound_for_and_no_other() {
     let mut rng = fastrand::Rng::with_seed(10);
-    let token = ledger(1, 10).issue(ms(0), &mut rng).expect("token");
+    let token = ledger(1, 10)
+        .issue(ms(0), &mut rng)
+        .expect("a token below the capacity limit");
     let bound = Binding {
         token: token.to_string(),
         fingerprint: 5,
@@ -317,7 +349,11 @@
 fn a_repeated_nested_call_carries_the_token_of_the_first() {
     let mut rng = fastrand::Rng::with_seed(11);
     let mut owner = ledger(1, 10);
-    let mut issue = || owner.issue(ms(0), &mut rng).expect("token");
+    let mut issue = || {
+        owner
+            .issue(ms(0), &mut rng)
+            .expect("a token below the capacity limit")
+    };
     let (first, second) = (issue(), issue());
     let mut nested = NestedTokens::default();
     let key = CallKey("POST /bookings/3".to_owned());
@@ -335,7 +371,7 @@
     End(prop::sample::Index),
     Refuse(prop::sample::Index),
     Restart,
-    Pass(u64),
+    AdvanceMs(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -346,7 +382,7 @@
         any::<prop::sample::Index>().prop_map(Event::End),
         any::<prop::sample::Index>().prop_map(Event::Refuse),
         Just(Event::Restart),
-        (0u64..40_000).prop_map(Event::Pass),
+        (0u64..40_000).prop_map(Event::AdvanceMs),
     ]
 }
 
@@ -364,21 +400,21 @@
             let owner_now = now - owner_started;
             match event {
                 Event::Issue => tokens.extend(current.issue(owner_now, &mut rng)),
-                Event::Deliver(at) if !tokens.is_empty() => {
-                    let token: ExecutionToken = tokens[at.index(tokens.len())];
+                Event::Deliver(index) if !tokens.is_empty() => {
+                    let token: ExecutionToken = tokens[index.index(tokens.len())];
                     if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::MayRun {
                         prop_assert!(!reported_not_run.contains(&token), "ran after a refusal");
                         *run_counts.entry(token).or_insert(0) += 1;
                     }
                 }
-                Event::End(at) if !tokens.is_empty() => {
-                    let token = tokens[at.index(tokens.len())];
+                Event::End(index) if !tokens.is_empty() => {
+                    let token = tokens[index.index(tokens.len())];
                     if current.begin(owner_now, &token, FINGERPRINT) == BeginResult::InProgress {
                         current.end(&token, outcome(200));
                     }
                 }
-                Event::Refuse(at) if !tokens.is_empty() => {
-                    let token = tokens[at.index(tokens.len())];
+                Event::Refuse(index) if !tokens.is_empty() => {
+                    let token = tokens[index.index(tokens.len())];
                     if !run_counts.contains_key(&token)
                         && current.begin(owner_now, &token, FINGERPRINT) == BeginResult::MayRun
                     {
@@ -391,7 +427,7 @@
                     owner_started = now;
                     current = ledger(owner, 8);
                 }
-                Event::Pass(elapsed_ms) => now += ms(elapsed_ms),
+                Event::AdvanceMs(elapsed_ms) => now += ms(elapsed_ms),
                 _ => {}
             }
             current.evict_expired(now - owner_started);
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -13,7 +13,7 @@
     }
 }
 
-fn at(ms: u64) -> Duration {
+fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
@@ -21,36 +21,36 @@
 fn an_attempt_reported_as_never_arrived_is_refused_when_it_arrives_late() {
     let mut register = AttemptRegister::default();
     assert_eq!(
-        register.status(at(1_000), attempt(1), at(500)),
+        register.status(ms(1_000), attempt(1), ms(500)),
         AttemptStatus::NeverCame
     );
-    assert!(!register.begin(at(1_200), attempt(1)));
-    assert!(register.begin(at(1_200), attempt(2)));
+    assert!(!register.begin(ms(1_200), attempt(1)));
+    assert!(register.begin(ms(1_200), attempt(2)));
 }
 
 #[test]
 fn an_attempt_is_in_progress_until_it_ends_and_may_have_run_afterwards() {
     let mut register = AttemptRegister::default();
-    assert!(register.begin(at(1_000), attempt(1)));
+    assert!(register.begin(ms(1_000), attempt(1)));
     assert_eq!(
-        register.status(at(2_000), attempt(1), at(1_000)),
+        register.status(ms(2_000), attempt(1), ms(1_000)),
         AttemptStatus::AtWork
     );
-    register.end(at(2_100), attempt(1));
+    register.end(ms(2_100), attempt(1));
     assert_eq!(
-        register.status(at(2_200), attempt(1), at(1_200)),
+        register.status(ms(2_200), attempt(1), ms(1_200)),
         AttemptStatus::Over
     );
 }
 
 #[test]
-fn a_token_requested_twice_is_in_progress_until_both_requests_end() {
+fn an_attempt_that_arrives_twice_is_in_progress_until_both_end() {
     let mut register = AttemptRegister::default();
-    assert!(register.begin(at(0), attempt(1)));
-    assert!(register.begin(at(10), attempt(1)));
-    register.end(at(20), attempt(1));
+    assert!(register.begin(ms(0), attempt(1)));
+    assert!(register.begin(ms(10), attempt(1)));
+    register.end(ms(20), attempt(1));
     assert_eq!(
-        register.status(at(30), attempt(1), at(30)),
+        register.status(ms(30), attempt(1), ms(30)),
         AttemptStatus::AtWork
     );
 }
@@ -58,18 +58,18 @@
 #[test]
 fn an_attempt_may_have_run_if_its_status_is_queried_after_the_retention_time() {
     let mut register = AttemptRegister::default();
-    assert!(register.begin(at(0), attempt(1)));
-    register.end(at(100), attempt(1));
+    assert!(register.begin(ms(0), attempt(1)));
+    register.end(ms(100), attempt(1));
     for number in 2..50 {
-        assert!(register.begin(at(20_000), attempt(number)));
+        assert!(register.begin(ms(20_000), attempt(number)));
     }
     assert_eq!(
-        register.status(at(20_000), attempt(1), at(20_000)),
+        register.status(ms(20_000), attempt(1), ms(20_000)),
         AttemptStatus::Over
     );
     // The status is certain for attempts sent after the end of every evicted attempt.
     assert_eq!(
-        register.status(at(20_000), attempt(99), at(600)),
+        register.status(ms(20_000), attempt(99), ms(600)),
         AttemptStatus::NeverCame
     );
 }
@@ -78,12 +78,12 @@
 #[test]
 fn a_repeated_query_extends_the_fence_of_an_attempt() {
     let mut register = AttemptRegister::default();
-    for ms in [0, 30_000] {
-        let status = register.status(at(ms), attempt(1), at(ms));
+    for elapsed_ms in [0, 30_000] {
+        let status = register.status(ms(elapsed_ms), attempt(1), ms(elapsed_ms));
         assert_eq!(status, AttemptStatus::NeverCame);
     }
-    assert!(register.begin(at(61_000), attempt(2)));
-    assert!(!register.begin(at(89_000), attempt(1)));
+    assert!(register.begin(ms(61_000), attempt(2)));
+    assert!(!register.begin(ms(89_000), attempt(1)));
 }
 
 #[derive(Clone, Debug)]
@@ -108,18 +108,18 @@
     /// In every order of arrivals, ends and queries: an attempt that ran is never reported as never arrived, and an
     /// attempt reported as never arrived doesn't run within a minute.
     #[test]
-    fn never_came_is_true_before_and_after(steps in steps()) {
+    fn an_attempt_reported_as_never_arrived_did_not_run_and_does_not_run_later(steps in steps()) {
         let mut register = AttemptRegister::default();
-        let mut now = at(0);
+        let mut now = ms(0);
         let mut ran = HashMap::new();
         let mut fenced: HashMap<u64, Duration> = HashMap::new();
         let mut in_progress = std::collections::HashSet::new();
         for step in steps {
             match step {
-                Step::Passes(ms) => now += at(ms),
+                Step::Passes(elapsed_ms) => now += ms(elapsed_ms),
                 Step::Arrives(number) => {
                     if register.begin(now, attempt(number)) {
-                        let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > at(60_000));
+                        let fence_expired = fenced.get(&number).is_none_or(|since| now - *since > ms(60_000));
                         prop_assert!(fence_expired, "attempt {number} ran after it was fenced");
                         ran.insert(number, ());
                         if !in_progress.insert(number) {
--- a/crates/sorrelturn-quota/src/allocator.rs
+++ b/crates/sorrelturn-quota/src/allocator.rs
@@ -216,8 +216,8 @@
         if self.pools.len() < POOL_EVICTION_THRESHOLD {
             return;
         }
-        // An evicted pool is recreated full. A pool without requests for this many share-seconds has refilled if they earn
-        // at least its capacity.
+        // An evicted pool is recreated full. A pool without requests for this many share-seconds has refilled if they
+        // earn at least its capacity.
         let leased = self.leased_share_seconds;
         let is_idle = |workspace: &CallerId, pool: &Pool| {
             leased[Shard::of(*workspace).index()] - pool.credited_share_seconds
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -16,17 +16,17 @@
     pub window: Duration,
     /// The fraction by which the number of requests may exceed `rate * window + burst`.
     pub overage: f64,
-    /// The number of requests by which it may be exceeded in addition.
+    /// The number of requests that may be admitted beyond that.
     pub slack: f64,
 }
 
 impl Bound {
     /// Returns the token bucket that enforces the bound in every window, even if an allocator loses its state.
     ///
-    /// A workspace may use its burst again in each window, so the bucket refills at the rate plus one burst per window, or
-    /// more slowly if the bound would leave too little capacity. The capacity is the rest of the bound. A grant issued
-    /// before a window may be used in it, so the bucket refills over the window plus `grant_validity`, the time for which
-    /// an unused grant stays valid.
+    /// A workspace may use its burst again in each window, so the bucket refills at the rate plus one burst per window,
+    /// or more slowly if the bound would leave too little capacity. The capacity is the rest of the bound. A grant
+    /// issued before a window may be used in it, so the bucket refills over the window plus `grant_validity`, the time
+    /// for which an unused grant stays valid.
     pub fn token_bucket(&self, quota: Limit, grant_validity: Duration) -> Limit {
         let window = self.window.as_secs_f64();
         let max_without_slack = (quota.rate * window + quota.burst) * (1.0 + self.overage);
--- a/crates/sorrelturn-quota/src/client.rs
+++ b/crates/sorrelturn-quota/src/client.rs
@@ -124,15 +124,15 @@
         }
     }
 
-    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case no acquire request
-    /// is needed.
+    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case no acquire
+    /// request is needed.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Selects the allocator for an acquire request and the lease to send with it. From this call on the shares count as
-    /// leased.
+    /// Selects the allocator for an acquire request and the lease to send with it. From this call on the shares count
+    /// as leased.
     ///
     /// A share is leased to one allocator at a time. While a lease to an allocator other than the preferred one may be
     /// valid, the request goes to that allocator without a lease, unless it is unresponsive.
--- a/crates/sorrelturn-quota/src/messages.rs
+++ b/crates/sorrelturn-quota/src/messages.rs
@@ -8,7 +8,7 @@
 /// A reading of an allocator's clock.
 ///
 /// A lease counts from the reading, which precedes the message that carries it. A delayed message therefore can't
-/// extend a lease, and only the allocator's own clock matters.
+/// extend a lease, and the allocator needs only its own clock to determine the end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClockReading {
     /// The incarnation of the allocator.
@@ -20,7 +20,8 @@
 
 /// A lease of a quota client's shares to an allocator.
 ///
-/// A share is an equal fraction of every quota: each member of the fleet has one. It is leased separately for each shard.
+/// A share is an equal fraction of every quota: each member of the fleet has one. It is leased separately for each
+/// shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
     /// The allocator's own clock reading, from which the lease is counted.
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -4,10 +4,9 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number of shards, which is also the maximum number of allocators that a quota client
-/// usually sends requests to.
+/// The number of shards, which is also the maximum number of allocators that a quota client prefers at a time.
 ///
-/// More shards distribute the load over more allocators and cost each daemon more messages.
+/// More shards distribute the load over more allocators but cost each quota client more messages.
 pub const SHARD_COUNT: usize = 8;
 
 /// The number of a shard.
@@ -68,8 +67,8 @@
 
 /// Selects a shard's allocator by rendezvous hashing.
 ///
-/// Quota clients with the same member list select the same allocator. When a member joins or leaves, only its own shards
-/// move.
+/// Quota clients with the same member list select the same allocator. When a member joins or leaves, only its own
+/// shards move.
 pub fn preferred_allocator<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
--- a/crates/sorrelturn-quota/tests/allocator.rs
+++ b/crates/sorrelturn-quota/tests/allocator.rs
@@ -78,10 +78,10 @@
     for (lessors, fraction) in [(&[1u64, 2, 3, 4][..], 1.0), (&[1, 2], 0.5), (&[1], 0.25)] {
         let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
         let granted_count = acquire_in_steps(&mut allocator, lessors, 4, 0..5_000);
-        let requested = LIMIT.rate * 5.0 * fraction;
+        let expected = LIMIT.rate * 5.0 * fraction;
         assert!(
-            (f64::from(granted_count) - requested).abs() <= 0.02 * requested + 1.0,
-            "{granted_count} {requested}"
+            (f64::from(granted_count) - expected).abs() <= 0.02 * expected + 1.0,
+            "{granted_count} granted, expected {expected}"
         );
     }
 }
@@ -90,14 +90,14 @@
 fn the_share_of_a_departed_member_is_not_redistributed_before_its_lease_expires() {
     let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
     acquire_in_steps(&mut allocator, &[1, 2, 3], 3, 0..2_000);
-    // The third member has gone; the lease of its share ends at 2,990 ms.
+    // The third member has departed; the lease of its share ends at 2,990 ms.
     let granted_count = acquire_in_steps(&mut allocator, &[1, 2], 2, 2_000..3_000);
     assert!(
         f64::from(granted_count) <= LIMIT.rate * 1.0 + 1.0,
-        "{granted_count}"
+        "{granted_count} granted"
     );
     let later = acquire_in_steps(&mut allocator, &[1, 2], 2, 4_000..5_000);
-    assert!(f64::from(later) >= LIMIT.rate * 0.95, "{later}");
+    assert!(f64::from(later) >= LIMIT.rate * 0.95, "{later} granted");
 }
 
 #[test]
@@ -174,7 +174,7 @@
     }
     assert!(
         f64::from(granted_count) <= LIMIT.rate * 5.0 + 1.0,
-        "{granted_count}"
+        "{granted_count} granted"
     );
 }
 
--- a/crates/sorrelturn-quota/tests/bound.rs
+++ b/crates/sorrelturn-quota/tests/bound.rs
@@ -3,7 +3,7 @@
 use sorrelturn_quota::{Bound, Limit};
 use std::time::Duration;
 
-const GRANT: Duration = Duration::from_millis(150);
+const GRANT_VALIDITY: Duration = Duration::from_millis(150);
 
 #[test]
 fn no_window_admits_more_than_the_bound_allows() {
@@ -15,16 +15,20 @@
                 (1.0, 0.2, 0.0),
                 (60.0, 0.05, 5.0),
             ] {
-                let window_time = Duration::from_secs_f64(window);
+                let window_duration = Duration::from_secs_f64(window);
                 let bound = Bound {
-                    window: window_time,
+                    window: window_duration,
                     overage,
                     slack,
                 };
-                let bucket = bound.token_bucket(Limit { rate, burst }, GRANT);
-                let most = bucket.rate * (window_time + GRANT).as_secs_f64() + bucket.burst;
+                let bucket = bound.token_bucket(Limit { rate, burst }, GRANT_VALIDITY);
+                let max_admitted =
+                    bucket.rate * (window_duration + GRANT_VALIDITY).as_secs_f64() + bucket.burst;
                 let allowed = (rate * window + burst) * (1.0 + overage) + slack;
-                assert!(most <= allowed + 1e-6, "{most} {allowed} {bucket:?}");
+                assert!(
+                    max_admitted <= allowed + 1e-6,
+                    "{bucket:?} admits {max_admitted} in a window; {allowed} are allowed"
+                );
                 assert!(bucket.rate >= 0.0 && bucket.burst >= 0.0, "{bucket:?}");
             }
         }
@@ -43,7 +47,7 @@
             rate: 100.0,
             burst: 100.0,
         },
-        GRANT,
+        GRANT_VALIDITY,
     );
     assert_eq!(bucket.rate, 120.0);
     assert!(bucket.burst >= 25.0, "{bucket:?}");
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -1,5 +1,5 @@
 //! Simulates daemons that lease their shares to one allocator over a network with delays. Guards against shares that
-//! stay unleased long after a fleet restart, and against too many renewals.
+//! stay unleased long after a fleet starts, and against too many renewals.
 
 use sorrelturn_protocol::Incarnation;
 use sorrelturn_quota::{
@@ -19,8 +19,8 @@
 const STARTUP_DURATION: Duration = Duration::from_secs(4);
 const LEASE_DURATIONS_MS: [u64; 3] = [1_000, 500, 250];
 /// One-way network delays between neighbouring failure domains and between continents.
-const NEAR: Duration = Duration::from_millis(1);
-const FAR: Duration = Duration::from_millis(80);
+const NEAR_ONE_WAY_DELAY: Duration = Duration::from_millis(1);
+const FAR_ONE_WAY_DELAY: Duration = Duration::from_millis(80);
 
 /// The result of a simulation.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
     let (mut until_lent, mut fractions, mut renewals) = (None, Vec::new(), 0);
     let mut now = Now::ZERO;
     while now < SIMULATED_DURATION {
-        for (at, daemon) in daemons.iter_mut().enumerate() {
+        for (index, daemon) in daemons.iter_mut().enumerate() {
             if let Some((_, reply)) = daemon
                 .reply_in_transit
                 .take_if(|(arrives, _)| *arrives <= now)
@@ -68,7 +68,7 @@
                 daemon.client.record_reading(now, reply.clock_reading);
             }
             let is_waiting = daemon.reply_in_transit.is_some()
-                || in_transit.iter().any(|(_, sender, _)| *sender == at);
+                || in_transit.iter().any(|(_, sender, _)| *sender == index);
             let due = daemon.client.due_renewals(now);
             if !is_waiting && !due.is_empty() {
                 let target = daemon
@@ -76,13 +76,13 @@
                     .target(now, SHARD)
                     .expect("a preferred allocator");
                 let req = daemon.client.acquire_request(target, members, None);
-                in_transit.push((now + one_way_delay, at, req));
+                in_transit.push((now + one_way_delay, index, req));
                 renewals += 1;
             }
         }
-        for (_, at, req) in in_transit.extract_if(.., |(arrives, ..)| *arrives <= now) {
+        for (_, index, req) in in_transit.extract_if(.., |(arrives, ..)| *arrives <= now) {
             let reply = allocator.acquire(now, &req, None, members);
-            daemons[at].reply_in_transit = Some((now + one_way_delay, reply));
+            daemons[index].reply_in_transit = Some((now + one_way_delay, reply));
         }
         let fraction = allocator.leased_fraction(now, SHARD, members);
         if fraction > 0.95 {
@@ -99,7 +99,7 @@
         mean: fractions.iter().sum::<f64>() / fractions.len() as f64,
         renewals: f64::from(renewals) / f64::from(members) / SIMULATED_DURATION.as_secs_f64(),
     };
-    // For docs/design/quotas.md.
+    // Printed for docs/design/quotas.md.
     println!(
         "{members} daemons, lease duration {lease:?}, one-way delay {one_way_delay:?}: {simulated:?}"
     );
@@ -110,7 +110,7 @@
 fn shares_are_leased_soon_after_one_lease_duration_when_a_fleet_starts() {
     for lease_ms in LEASE_DURATIONS_MS {
         let lease = Duration::from_millis(lease_ms);
-        let simulated = simulate(DAEMONS, lease, NEAR);
+        let simulated = simulate(DAEMONS, lease, NEAR_ONE_WAY_DELAY);
         assert!(simulated.until_lent >= lease, "{simulated:?}");
         assert!(
             simulated.until_lent <= lease.mul_f64(1.5) + STEP,
@@ -123,18 +123,18 @@
 }
 
 #[test]
-fn shares_are_unused_if_a_lease_is_shorter_than_ten_round_trips() {
-    let long = simulate(DAEMONS, Duration::from_secs(2), FAR);
+fn shares_are_partly_unleased_if_a_lease_is_shorter_than_ten_round_trips() {
+    let long = simulate(DAEMONS, Duration::from_secs(2), FAR_ONE_WAY_DELAY);
     assert!(long.least > 0.99, "{long:?}");
-    let short = simulate(DAEMONS, Duration::from_secs(1), FAR);
+    let short = simulate(DAEMONS, Duration::from_secs(1), FAR_ONE_WAY_DELAY);
     assert!(short.mean < 0.9, "{short:?}");
 }
 
 /// The minimum lease duration depends on the fleet size, regardless of the settings.
 #[test]
 fn renewals_per_allocator_are_limited_regardless_of_the_fleet_size() {
-    let few = simulate(DAEMONS, Duration::from_millis(250), NEAR);
-    let many = simulate(MANY_DAEMONS, Duration::from_millis(250), NEAR);
+    let few = simulate(DAEMONS, Duration::from_millis(250), NEAR_ONE_WAY_DELAY);
+    let many = simulate(MANY_DAEMONS, Duration::from_millis(250), NEAR_ONE_WAY_DELAY);
     for (members, simulated) in [(DAEMONS, &few), (MANY_DAEMONS, &many)] {
         assert!(
             simulated.renewals * f64::from(members) < 900.0,
@@ -142,6 +142,6 @@
         );
         assert!(simulated.least > 0.99, "{members}: {simulated:?}");
     }
-    // The price: a large fleet needs longer after a start.
+    // A larger fleet takes longer to lease its shares after a start.
     assert!(many.until_lent > few.until_lent);
 }
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -1,6 +1,5 @@
-//! Checks all states of two daemons up to a bound, with faulty networks, a restart, a changed allocator and a lowered
-//! limit. Guards against excess leases and grants and against daemons that are stuck. Breadth-first search yields
-//! shortest traces.
+//! Searches the states of two daemons breadth-first, with faulty networks, a restart, a changed allocator and a lowered
+//! limit. Guards against excess leases and grants and against daemons that are stuck.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
@@ -27,13 +26,13 @@
     rate: 2.0,
     burst: 2.0,
 };
-/// The bound of the search. It must cover a start, a lease that expires and a lease to another allocator.
+/// The last tick of the search: enough for a lease to expire and for a lease to another allocator.
 const MAX_TICKS: u32 = FIRST_TICK + 2;
-/// The search starts in this tick; by then both daemons lease their shares to the first one.
+/// The tick in which the search starts. By then both daemons lease their shares to the first one.
 const FIRST_TICK: u32 = 8;
 const MAX_MESSAGES: usize = 2;
 const MAX_RESTARTS: u32 = 1;
-const MAX_SWITCHES: u32 = 1;
+const MAX_PREFERENCE_CHANGES: u32 = 1;
 
 /// A fault in the model, to verify that the search detects it.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -74,7 +73,7 @@
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
     restarts: u32,
-    switches: u32,
+    preference_changes: u32,
     is_lowered: bool,
     /// The ticks in which requests ran.
     ran: Vec<u32>,
@@ -94,21 +93,21 @@
 
 impl State {
     fn new(mutation: Mutation) -> Self {
-        let daemon = |at: usize| Daemon::new(at as u64 + 1, Now::ZERO, mutation);
+        let daemon = |index: usize| Daemon::new(index as u64 + 1, Now::ZERO, mutation);
         let mut state = Self {
             ticks: 0,
             daemons: (0..DAEMONS).map(daemon).collect(),
             messages: Vec::new(),
             restarts: 0,
-            switches: 0,
+            preference_changes: 0,
             is_lowered: false,
             ran: Vec::new(),
         };
         state.update_preferred();
         while state.ticks < FIRST_TICK {
             state.ticks += 1;
-            for at in 0..DAEMONS {
-                state.send_request(at, None);
+            for index in 0..DAEMONS {
+                state.send_request(index, None);
                 while let Some(message) = state.messages.pop() {
                     state.deliver(message);
                 }
@@ -152,16 +151,16 @@
         if self.messages.len() < MAX_MESSAGES {
             steps.extend((0..DAEMONS).map(Step::Ask));
         }
-        for (at, message) in self.messages.iter().enumerate() {
-            steps.extend([Step::Deliver(at), Step::Lose(at)]);
+        for (index, message) in self.messages.iter().enumerate() {
+            steps.extend([Step::Deliver(index), Step::Lose(index)]);
             let is_request = matches!(message, Message::Request { .. });
             if (is_request || mutation == Mutation::AcceptsReplyTwice)
                 && self.messages.len() < MAX_MESSAGES
             {
-                steps.push(Step::DeliverAndKeep(at));
+                steps.push(Step::DeliverAndKeep(index));
             }
         }
-        if self.switches < MAX_SWITCHES {
+        if self.preference_changes < MAX_PREFERENCE_CHANGES {
             steps.extend((0..DAEMONS).map(Step::Prefer));
         }
         if self.restarts < MAX_RESTARTS {
@@ -173,31 +172,31 @@
         steps
     }
 
-    fn after(&self, step: Step, mutation: Mutation) -> Self {
+    fn apply(&self, step: Step, mutation: Mutation) -> Self {
         let mut next = self.clone();
         match step {
             Step::Tick => next.ticks += 1,
-            Step::Ask(at) => next.request(at),
-            Step::Deliver(at) => {
-                let message = next.messages.remove(at);
+            Step::Ask(index) => next.request(index),
+            Step::Deliver(index) => {
+                let message = next.messages.remove(index);
                 next.deliver(message);
             }
-            Step::DeliverAndKeep(at) => {
-                let message = next.messages[at].clone();
+            Step::DeliverAndKeep(index) => {
+                let message = next.messages[index].clone();
                 next.deliver(message);
             }
-            Step::Lose(at) => drop(next.messages.remove(at)),
-            Step::Prefer(at) => {
-                next.switches += 1;
-                next.daemons[at].preferred = 1 - next.daemons[at].preferred;
+            Step::Lose(index) => drop(next.messages.remove(index)),
+            Step::Prefer(index) => {
+                next.preference_changes += 1;
+                next.daemons[index].preferred = 1 - next.daemons[index].preferred;
                 next.update_preferred();
             }
-            Step::Restart(at) => {
+            Step::Restart(index) => {
                 next.restarts += 1;
-                let incarnation = next.daemons[at].incarnation.0 + 10;
-                let preferred = next.daemons[at].preferred;
-                next.daemons[at] = Daemon::new(incarnation, next.now(), mutation);
-                next.daemons[at].preferred = preferred;
+                let incarnation = next.daemons[index].incarnation.0 + 10;
+                let preferred = next.daemons[index].preferred;
+                next.daemons[index] = Daemon::new(incarnation, next.now(), mutation);
+                next.daemons[index].preferred = preferred;
                 next.update_preferred();
             }
             Step::LowerLimit => next.is_lowered = true,
@@ -205,18 +204,18 @@
         next
     }
 
-    fn request(&mut self, at: usize) {
-        self.send_request(at, Some(WORKSPACE));
+    fn request(&mut self, index: usize) {
+        self.send_request(index, Some(WORKSPACE));
     }
 
-    fn send_request(&mut self, at: usize, workspace: Option<CallerId>) {
+    fn send_request(&mut self, index: usize, workspace: Option<CallerId>) {
         let now = self.now();
-        let client = &mut self.daemons[at].client;
+        let client = &mut self.daemons[index].client;
         let Some(target) = client.target(now, Shard(0)) else {
             return;
         };
         let req = client.acquire_request(target, DAEMONS as u32, workspace);
-        // An allocator whose incarnation has ended gets no request.
+        // A request to an incarnation that has ended is lost.
         if let Some(to) = self.index_of(target) {
             let sent = now;
             self.messages.push(Message::Request { to, sent, req });
@@ -284,9 +283,10 @@
         for from in 0..=self.ticks {
             let ran = self.ran.iter().filter(|tick| **tick >= from).count();
             let window = TICK * (self.ticks - from) + VALIDITY.grant_validity;
-            // Each fragment of the fleet can grant one request, however small its share of the burst is.
-            let fragments = DAEMONS as f64 - 1.0;
-            let allowed = LIMIT.rate * window.as_secs_f64() + LIMIT.burst + fragments;
+            // Each fragment of the fleet beyond the first can grant one request, however small its share of the burst
+            // is.
+            let extra_fragments = DAEMONS as f64 - 1.0;
+            let allowed = LIMIT.rate * window.as_secs_f64() + LIMIT.burst + extra_fragments;
             if ran as f64 > allowed {
                 return Some(format!(
                     "{ran} requests ran since tick {from}; at most {allowed} are allowed"
@@ -296,7 +296,7 @@
         None
     }
 
-    fn key(&self) -> u64 {
+    fn state_hash(&self) -> u64 {
         let mut text = String::new();
         for daemon in &self.daemons {
             write!(
@@ -304,28 +304,36 @@
                 "{:?}{:?}{}",
                 daemon.client, daemon.allocator, daemon.preferred
             )
-            .expect("text");
+            .expect("writing to a String succeeds");
         }
         let mut messages: Vec<String> = self.messages.iter().map(|m| format!("{m:?}")).collect();
         messages.sort();
         let mut hasher = DefaultHasher::new();
-        (text, messages, self.ticks, self.restarts, self.switches).hash(&mut hasher);
+        (
+            text,
+            messages,
+            self.ticks,
+            self.restarts,
+            self.preference_changes,
+        )
+            .hash(&mut hasher);
         (self.is_lowered, &self.ran).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Whether requests of both daemons run eventually if messages are delivered and nothing else happens.
+    /// Whether requests of both daemons run eventually after all pending messages are lost, if all later ones are
+    /// delivered and nothing else happens.
     fn makes_progress(&self) -> bool {
         const MAX_PROGRESS_TICKS: u32 = 12;
         let mut state = self.clone();
         state.messages.clear();
-        // Each daemon by itself, so that the other one uses no grants.
-        (0..DAEMONS).all(|at| {
+        // Checks each daemon by itself, so that the other one uses no grants.
+        (0..DAEMONS).all(|index| {
             let mut state = state.clone();
             let before = state.ran.len();
             (0..MAX_PROGRESS_TICKS).any(|_| {
                 state.ticks += 1;
-                state.request(at);
+                state.request(index);
                 while let Some(message) = state.messages.pop() {
                     state.deliver(message);
                 }
@@ -338,7 +346,7 @@
 impl Daemon {
     fn new(incarnation: u64, now: Now, mutation: Mutation) -> Self {
         let incarnation = Incarnation(incarnation);
-        let entry_started = match mutation {
+        let client_started = match mutation {
             Mutation::LeasesAtOnceAfterRestart => {
                 now.saturating_sub(2 * VALIDITY.min_lease_duration)
             }
@@ -346,7 +354,7 @@
         };
         Self {
             incarnation,
-            client: QuotaClient::new(incarnation, VALIDITY, entry_started),
+            client: QuotaClient::new(incarnation, VALIDITY, client_started),
             allocator: QuotaAllocator::new(incarnation, VALIDITY, now),
             preferred: 0,
         }
@@ -363,10 +371,10 @@
 fn search(mutation: Mutation, max_states: usize) -> SearchResult {
     let start = State::new(mutation);
     let mut predecessors: HashMap<u64, Option<(u64, Step)>> = HashMap::new();
-    predecessors.insert(start.key(), None);
+    predecessors.insert(start.state_hash(), None);
     let mut queue = VecDeque::from([start]);
     while let Some(state) = queue.pop_front() {
-        let key = state.key();
+        let key = state.state_hash();
         if let Some(violation) = state.violation() {
             let trace = Some((trace_to(key, &predecessors), violation));
             return SearchResult {
@@ -385,8 +393,10 @@
             continue;
         }
         for step in state.steps(mutation) {
-            let next = state.after(step, mutation);
-            if let std::collections::hash_map::Entry::Vacant(new) = predecessors.entry(next.key()) {
+            let next = state.apply(step, mutation);
+            if let std::collections::hash_map::Entry::Vacant(new) =
+                predecessors.entry(next.state_hash())
+            {
                 new.insert(Some((key, step)));
                 queue.push_back(next);
             }
@@ -400,19 +410,19 @@
 
 fn trace_to(mut key: u64, predecessors: &HashMap<u64, Option<(u64, Step)>>) -> Vec<Step> {
     let mut trace = Vec::new();
-    while let Some((before, step)) = predecessors[&key] {
+    while let Some((predecessor, step)) = predecessors[&key] {
         trace.push(step);
-        key = before;
+        key = predecessor;
     }
     trace.reverse();
     trace
 }
 
-/// The maximum number of states to visit, about ten seconds of work.
+/// The number of states from which on the search adds no successors.
 const MAX_STATES: usize = 150_000;
 
 #[test]
-fn model_check() {
+fn no_reachable_state_violates_an_invariant_or_is_stuck() {
     let result = search(Mutation::None, MAX_STATES);
     println!("{} states", result.states);
     assert!(result.trace.is_none(), "{:?}", result.trace);
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -1,5 +1,5 @@
 //! Long random schedules of three daemons with faulty networks, restarts and clock drift. Guards against leasing right
-//! after a restart and against leases without a clock margin; `model_check` covers short schedules exhaustively.
+//! after a restart and against leases without a clock margin; `model_check.rs` searches short schedules systematically.
 
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -22,22 +22,24 @@
 };
 /// The window in which accepted requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The rate of each daemon's clock in percent. The lease margin tolerates a difference of 5 between two clocks.
+/// The rate of each daemon's clock in percent. The clock margin tolerates a difference of 5 percent between
+/// two clocks.
 const CLOCK_RATE_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
-/// Steps of one schedule, about ten lease durations.
+/// The number of steps in a schedule.
 const STEPS: usize = 600;
 
 /// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
-    /// A daemon and the number of requests that arrive at once.
-    Ask(usize, usize),
+    AdvanceMs(u64),
+    /// The daemon and the number of requests that arrive at once.
+    Request(usize, usize),
     Renew(usize),
     Deliver(Index),
     DeliverTwice(Index),
     Lose(Index),
-    Prefer(usize, usize),
+    /// The daemon and the index of the daemon that it prefers from now on.
+    SetPreferred(usize, usize),
     Restart(usize),
 }
 
@@ -55,13 +57,13 @@
     fn transitions(_: &()) -> BoxedStrategy<Step> {
         let daemon = || 0..DAEMONS as usize;
         prop_oneof![
-            10 => (1..40u64).prop_map(Step::Pass),
-            6 => (daemon(), 1..6usize).prop_map(|(at, requests)| Step::Ask(at, requests)),
+            10 => (1..40u64).prop_map(Step::AdvanceMs),
+            6 => (daemon(), 1..6usize).prop_map(|(index, requests)| Step::Request(index, requests)),
             24 => daemon().prop_map(Step::Renew),
             80 => any::<Index>().prop_map(Step::Deliver),
             2 => any::<Index>().prop_map(Step::DeliverTwice),
             1 => any::<Index>().prop_map(Step::Lose),
-            1 => (daemon(), daemon()).prop_map(|(at, preferred)| Step::Prefer(at, preferred)),
+            1 => (daemon(), daemon()).prop_map(|(index, preferred)| Step::SetPreferred(index, preferred)),
             1 => daemon().prop_map(Step::Restart),
         ]
         .boxed()
@@ -143,8 +145,8 @@
         }
     }
 
-    fn request(&mut self, at: usize, workspace: Option<CallerId>) {
-        let daemon = &mut self.daemons[at];
+    fn request(&mut self, index: usize, workspace: Option<CallerId>) {
+        let daemon = &mut self.daemons[index];
         let sent = daemon.clock_time(self.now);
         if workspace.is_some() && daemon.client.use_grant(sent, WORKSPACE) {
             self.ran.push(self.now);
@@ -161,16 +163,20 @@
         match message {
             Message::Request { to, sent, req } => {
                 // An incarnation that has ended doesn't reply.
-                let Some(at) = self.index_of(to) else { return };
-                let daemon = &mut self.daemons[at];
+                let Some(index) = self.index_of(to) else {
+                    return;
+                };
+                let daemon = &mut self.daemons[index];
                 let now = daemon.clock_time(self.now);
                 let reply = daemon.allocator.acquire(now, &req, Some(LIMIT), DAEMONS);
                 let to = req.from;
                 self.messages.push(Message::Reply { to, sent, reply });
             }
             Message::Reply { to, sent, reply } => {
-                let Some(at) = self.index_of(to) else { return };
-                let daemon = &mut self.daemons[at];
+                let Some(index) = self.index_of(to) else {
+                    return;
+                };
+                let daemon = &mut self.daemons[index];
                 let now = daemon.clock_time(self.now);
                 if daemon.client.accept_reply(now, sent, WORKSPACE, &reply) {
                     self.ran.push(self.now);
@@ -206,40 +212,42 @@
 
     fn apply(mut fleet: Self, _: &(), step: Step) -> Self {
         match step {
-            Step::Pass(ms) => fleet.now += Duration::from_millis(ms),
-            Step::Ask(at, requests) => {
-                (0..requests).for_each(|_| fleet.request(at, Some(WORKSPACE)));
+            Step::AdvanceMs(ms) => fleet.now += Duration::from_millis(ms),
+            Step::Request(index, requests) => {
+                (0..requests).for_each(|_| fleet.request(index, Some(WORKSPACE)));
             }
-            Step::Renew(at) => fleet.request(at, None),
+            Step::Renew(index) => fleet.request(index, None),
             Step::Deliver(index) => {
-                if let Some(at) = fleet.any_message(&index) {
-                    let message = fleet.messages.remove(at);
+                if let Some(position) = fleet.any_message(&index) {
+                    let message = fleet.messages.remove(position);
                     fleet.deliver(message);
                 }
             }
-            // A reply is never duplicated, because connections between daemons are streams.
+            // Only requests are duplicated. A reply isn't, because connections between daemons are streams.
             Step::DeliverTwice(index) => {
-                let message = fleet.any_message(&index).map(|at| &fleet.messages[at]);
+                let message = fleet
+                    .any_message(&index)
+                    .map(|position| &fleet.messages[position]);
                 if let Some(message @ Message::Request { .. }) = message.cloned() {
                     fleet.deliver(message);
                 }
             }
             Step::Lose(index) => {
-                if let Some(at) = fleet.any_message(&index) {
-                    fleet.messages.remove(at);
+                if let Some(position) = fleet.any_message(&index) {
+                    fleet.messages.remove(position);
                 }
             }
-            Step::Prefer(at, preferred) => {
-                fleet.daemons[at].preferred = preferred;
+            Step::SetPreferred(index, preferred) => {
+                fleet.daemons[index].preferred = preferred;
                 fleet.update_preferred();
             }
-            Step::Restart(at) => {
+            Step::Restart(index) => {
                 fleet.last_incarnation += 1;
                 let (incarnation, before) =
-                    (Incarnation(fleet.last_incarnation), &fleet.daemons[at]);
+                    (Incarnation(fleet.last_incarnation), &fleet.daemons[index]);
                 let mut daemon = Daemon::new(incarnation, before.clock_rate_percent, fleet.now);
                 daemon.preferred = before.preferred;
-                fleet.daemons[at] = daemon;
+                fleet.daemons[index] = daemon;
                 fleet.update_preferred();
             }
         }
@@ -260,7 +268,7 @@
             f64::from(CLOCK_RATE_PERCENT.into_iter().max().unwrap_or(100)) / 100.0;
         let earned =
             LIMIT.rate * max_clock_factor * (WINDOW + VALIDITY.grant_validity).as_secs_f64();
-        // Each fragment of the fleet can grant one request, however small its share of the burst is.
+        // Each fragment of the fleet beyond the first can grant one request, however small its share of the burst is.
         let max_count = earned + LIMIT.burst + f64::from(DAEMONS - 1);
         assert!(
             in_window as f64 <= max_count,
--- a/crates/sorrelturn-quota/tests/schemes.rs
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -1,5 +1,5 @@
 //! Compares schemes that enforce a quota over a fleet: static shares, counting with reports, and leased shares. Guards
-//! against leased shares that exceed the bound or refuse requests within the limit. Messages are not simulated.
+//! against leased shares that exceed the bound or refuse requests within the limit. Messages are delivered at once.
 
 use sorrelturn_protocol::{CallerId, Incarnation};
 use sorrelturn_quota::{
@@ -8,12 +8,14 @@
 };
 use std::{collections::VecDeque, time::Duration};
 
-const ENTRIES: usize = 68;
+const DAEMONS: usize = 68;
 const WORKSPACES: usize = 76;
 /// The usual load of all workspaces, in requests per second.
 const USUAL_RATE: f64 = 2_100.0;
-const LIMIT_FACTOR: f64 = 1.6;
-const SECONDS: u64 = 16;
+/// The rate limit of a workspace as a multiple of its usual rate.
+const LIMIT_PER_USUAL_RATE: f64 = 1.6;
+/// The simulated time after the warm-up, in seconds.
+const MEASURED_SECONDS: u64 = 16;
 const STEP: Duration = Duration::from_millis(10);
 const VALIDITY: ValidityConfig = ValidityConfig {
     min_lease_duration: Duration::from_secs(1),
@@ -35,14 +37,14 @@
     Burst,
     /// The largest workspace sends 7.5 times its usual load.
     Hot,
-    /// Like `Hot`, while a third of the entries is partitioned from the rest.
+    /// Like `Hot`, while a third of the daemons is partitioned from the rest.
     HotAndPartitioned,
 }
 
-/// Decides whether a request of a workspace that arrives at an entry may run.
+/// Decides whether a request of a workspace that arrives at a daemon may run.
 trait QuotaScheme {
     fn advance(&mut self, now: Now, is_partitioned: bool);
-    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool;
+    fn try_accept(&mut self, now: Now, daemon: usize, workspace: usize) -> bool;
 }
 
 /// A token bucket.
@@ -50,7 +52,7 @@
 struct Bucket {
     limit: Limit,
     tokens: f64,
-    at: Now,
+    filled_at: Now,
 }
 
 impl Bucket {
@@ -58,14 +60,14 @@
         Self {
             limit,
             tokens: limit.burst,
-            at: Now::ZERO,
+            filled_at: Now::ZERO,
         }
     }
 
     fn fill(&mut self, now: Now) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.tokens = (self.tokens + self.limit.rate * passed).min(self.limit.burst);
-        self.at = now;
+        let elapsed = now.saturating_sub(self.filled_at).as_secs_f64();
+        self.tokens = (self.tokens + self.limit.rate * elapsed).min(self.limit.burst);
+        self.filled_at = now;
     }
 
     fn try_accept(&mut self, now: Now) -> bool {
@@ -83,7 +85,7 @@
 }
 
 fn limit(workspace: usize) -> Limit {
-    let rate = usual_rate(workspace) * LIMIT_FACTOR;
+    let rate = usual_rate(workspace) * LIMIT_PER_USUAL_RATE;
     Limit { rate, burst: rate }
 }
 
@@ -125,33 +127,33 @@
     }
 }
 
-/// Each entry has a fixed share of each limit.
+/// Each daemon has a fixed share of each limit.
 struct StaticShares(Vec<Vec<Bucket>>);
 
 impl StaticShares {
     fn new() -> Self {
-        let of_entry = |workspace| {
+        let of_daemon = |workspace| {
             let Limit { rate, burst } = bucket(workspace);
-            let divisor = ENTRIES as f64;
+            let divisor = DAEMONS as f64;
             Bucket::new(Limit {
                 rate: rate / divisor,
                 burst: (burst / divisor).max(1.0),
             })
         };
-        let entry: Vec<Bucket> = (0..WORKSPACES).map(of_entry).collect();
-        Self(vec![entry; ENTRIES])
+        let daemon_buckets: Vec<Bucket> = (0..WORKSPACES).map(of_daemon).collect();
+        Self(vec![daemon_buckets; DAEMONS])
     }
 }
 
 impl QuotaScheme for StaticShares {
     fn advance(&mut self, _: Now, _: bool) {}
 
-    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
-        self.0[entry][workspace].try_accept(now)
+    fn try_accept(&mut self, now: Now, daemon: usize, workspace: usize) -> bool {
+        self.0[daemon][workspace].try_accept(now)
     }
 }
 
-/// Entries accept what remains after the last report and report five times a second; each side of a partition counts
+/// Daemons accept what remains after the last report and report five times a second. Each side of a partition counts
 /// separately.
 struct ReportedCounts {
     buckets: [Vec<Bucket>; 2],
@@ -166,19 +168,21 @@
     const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
     fn new() -> Self {
-        let buckets: Vec<Bucket> = (0..WORKSPACES).map(|at| Bucket::new(bucket(at))).collect();
+        let buckets: Vec<Bucket> = (0..WORKSPACES)
+            .map(|workspace| Bucket::new(bucket(workspace)))
+            .collect();
         let remaining: Vec<f64> = buckets.iter().map(|bucket| bucket.tokens).collect();
         Self {
             buckets: [buckets.clone(), buckets],
             remaining: [remaining.clone(), remaining],
-            accepted_since_report: vec![vec![0.0; WORKSPACES]; ENTRIES],
+            accepted_since_report: vec![vec![0.0; WORKSPACES]; DAEMONS],
             reported_at: Now::ZERO,
             is_partitioned: false,
         }
     }
 
-    fn partition(&self, entry: usize) -> usize {
-        usize::from(self.is_partitioned && is_in_second_partition(entry))
+    fn partition(&self, daemon: usize) -> usize {
+        usize::from(self.is_partitioned && is_in_second_partition(daemon))
     }
 }
 
@@ -193,21 +197,21 @@
             for partition in 0..2 {
                 let bucket = &mut self.buckets[partition][workspace];
                 bucket.fill(now);
-                let of_side = |entry: &usize| {
-                    usize::from(is_partitioned && is_in_second_partition(*entry)) == partition
+                let is_in_partition = |daemon: &usize| {
+                    usize::from(is_partitioned && is_in_second_partition(*daemon)) == partition
                 };
-                for entry in (0..ENTRIES).filter(of_side) {
+                for daemon in (0..DAEMONS).filter(is_in_partition) {
                     bucket.tokens -=
-                        std::mem::take(&mut self.accepted_since_report[entry][workspace]);
+                        std::mem::take(&mut self.accepted_since_report[daemon][workspace]);
                 }
                 self.remaining[partition][workspace] = bucket.tokens;
             }
         }
     }
 
-    fn try_accept(&mut self, _: Now, entry: usize, workspace: usize) -> bool {
-        let remaining = self.remaining[self.partition(entry)][workspace];
-        let accepted_since_report = &mut self.accepted_since_report[entry][workspace];
+    fn try_accept(&mut self, _: Now, daemon: usize, workspace: usize) -> bool {
+        let remaining = self.remaining[self.partition(daemon)][workspace];
+        let accepted_since_report = &mut self.accepted_since_report[daemon][workspace];
         let accepted = remaining - *accepted_since_report >= 1.0;
         *accepted_since_report += f64::from(u8::from(accepted));
         accepted
@@ -216,7 +220,7 @@
 
 /// The scheme of this crate.
 struct LeasedShares {
-    entries: Vec<QuotaClient>,
+    clients: Vec<QuotaClient>,
     allocators: Vec<QuotaAllocator>,
     renewed_at: Now,
     is_partitioned: bool,
@@ -226,63 +230,63 @@
     const RENEW_INTERVAL: Duration = Duration::from_millis(400);
 
     fn new() -> Self {
-        let incarnation = |at: usize| Incarnation(at as u64);
+        let incarnation = |index: usize| Incarnation(index as u64);
         Self {
-            entries: (0..ENTRIES)
-                .map(|at| QuotaClient::new(incarnation(at), VALIDITY, Now::ZERO))
+            clients: (0..DAEMONS)
+                .map(|index| QuotaClient::new(incarnation(index), VALIDITY, Now::ZERO))
                 .collect(),
-            allocators: (0..ENTRIES)
-                .map(|at| QuotaAllocator::new(incarnation(at), VALIDITY, Now::ZERO))
+            allocators: (0..DAEMONS)
+                .map(|index| QuotaAllocator::new(incarnation(index), VALIDITY, Now::ZERO))
                 .collect(),
             renewed_at: Now::ZERO,
             is_partitioned: false,
         }
     }
 
-    fn is_reachable(&self, entry: usize, other: usize) -> bool {
-        !self.is_partitioned || is_in_second_partition(entry) == is_in_second_partition(other)
+    fn is_reachable(&self, daemon: usize, other: usize) -> bool {
+        !self.is_partitioned || is_in_second_partition(daemon) == is_in_second_partition(other)
     }
 
-    fn acquire(&mut self, now: Now, entry: usize, shard: Shard, workspace: Option<usize>) -> bool {
-        let Some(target) = self.entries[entry].target(now, shard) else {
+    fn acquire(&mut self, now: Now, daemon: usize, shard: Shard, workspace: Option<usize>) -> bool {
+        let Some(target) = self.clients[daemon].target(now, shard) else {
             return false;
         };
         let allocator = target.allocator.0 as usize;
-        if !self.is_reachable(entry, allocator) {
-            self.entries[entry].mark_unresponsive(now, target.allocator);
-            self.set_preferred(now, entry);
+        if !self.is_reachable(daemon, allocator) {
+            self.clients[daemon].mark_unresponsive(now, target.allocator);
+            self.set_preferred(now, daemon);
             return false;
         }
         let id = workspace.map(|workspace| CallerId(workspace as u64));
-        let request = self.entries[entry].acquire_request(target, ENTRIES as u32, id);
+        let request = self.clients[daemon].acquire_request(target, DAEMONS as u32, id);
         let reply = self.allocators[allocator].acquire(
             now,
             &request,
             workspace.map(bucket),
-            ENTRIES as u32,
+            DAEMONS as u32,
         );
         match id {
-            Some(id) => self.entries[entry].accept_reply(now, now, id, &reply),
+            Some(id) => self.clients[daemon].accept_reply(now, now, id, &reply),
             None => {
-                self.entries[entry].record_reading(now, reply.clock_reading);
+                self.clients[daemon].record_reading(now, reply.clock_reading);
                 reply.outcome != AcquireOutcome::NoQuota
             }
         }
     }
 
-    fn set_preferred(&mut self, now: Now, entry: usize) {
-        let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
-        let own_entry = &self.entries[entry];
+    fn set_preferred(&mut self, now: Now, daemon: usize) {
+        let names: Vec<String> = (0..DAEMONS).map(|index| format!("i-{index}")).collect();
+        let own_client = &self.clients[daemon];
         let of_shard = |shard| {
             let members = names.iter().enumerate();
-            let members = members.map(|(at, name)| (name.as_str(), Incarnation(at as u64)));
+            let members = members.map(|(index, name)| (name.as_str(), Incarnation(index as u64)));
             preferred_allocator(
                 shard,
-                members.filter(|(_, incarnation)| !own_entry.is_unresponsive(now, *incarnation)),
+                members.filter(|(_, incarnation)| !own_client.is_unresponsive(now, *incarnation)),
             )
         };
         let chosen: Vec<Option<Incarnation>> = Shard::all().map(of_shard).collect();
-        self.entries[entry].set_preferred(ENTRIES as u32, |shard| chosen[usize::from(shard.0)]);
+        self.clients[daemon].set_preferred(DAEMONS as u32, |shard| chosen[usize::from(shard.0)]);
     }
 }
 
@@ -293,37 +297,37 @@
             return;
         }
         self.renewed_at = now;
-        for entry in 0..ENTRIES {
-            self.set_preferred(now, entry);
-            for shard in self.entries[entry].due_renewals(now) {
-                self.acquire(now, entry, shard, None);
+        for daemon in 0..DAEMONS {
+            self.set_preferred(now, daemon);
+            for shard in self.clients[daemon].due_renewals(now) {
+                self.acquire(now, daemon, shard, None);
             }
         }
     }
 
-    fn try_accept(&mut self, now: Now, entry: usize, workspace: usize) -> bool {
+    fn try_accept(&mut self, now: Now, daemon: usize, workspace: usize) -> bool {
         let id = CallerId(workspace as u64);
-        if self.entries[entry].retry_after(now, id).is_some() {
+        if self.clients[daemon].retry_after(now, id).is_some() {
             return false;
         }
-        self.entries[entry].use_grant(now, id)
-            || self.acquire(now, entry, Shard::of(id), Some(workspace))
+        self.clients[daemon].use_grant(now, id)
+            || self.acquire(now, daemon, Shard::of(id), Some(workspace))
     }
 }
 
-fn is_in_second_partition(entry: usize) -> bool {
-    entry.is_multiple_of(3)
+fn is_in_second_partition(daemon: usize) -> bool {
+    daemon.is_multiple_of(3)
 }
 
 /// The result of a simulation.
-struct Result {
+struct SimulationResult {
     /// The fraction of requests within the limits that was refused.
     refused: f64,
     /// The maximum number of requests accepted in a window, as a fraction of the bound.
     peak_fraction: f64,
 }
 
-fn simulate(scheme: &mut dyn QuotaScheme, load: Load, seed: u64) -> Result {
+fn simulate(scheme: &mut dyn QuotaScheme, load: Load, seed: u64) -> SimulationResult {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut trackers: Vec<LimitTracker> = (0..WORKSPACES).map(LimitTracker::new).collect();
     let mut accepted_per_step: Vec<Vec<u32>> = vec![Vec::new(); WORKSPACES];
@@ -331,7 +335,7 @@
     // The first leases take some seconds to be established.
     let warmup_end = Duration::from_secs(4);
     let mut now = Now::ZERO;
-    while now < warmup_end + Duration::from_secs(SECONDS) {
+    while now < warmup_end + Duration::from_secs(MEASURED_SECONDS) {
         now += STEP;
         let under_load = now >= warmup_end + Duration::from_secs(3);
         scheme.advance(now, under_load && load == Load::HotAndPartitioned);
@@ -350,7 +354,7 @@
             let mut accepted_count = 0;
             for _ in 0..arrivals {
                 let is_within_limit = trackers[workspace].try_accept();
-                let accepted = scheme.try_accept(now, rng.usize(..ENTRIES), workspace);
+                let accepted = scheme.try_accept(now, rng.usize(..DAEMONS), workspace);
                 accepted_count += u32::from(accepted);
                 within_limit_count += u32::from(is_within_limit);
                 refused += u32::from(is_within_limit && !accepted);
@@ -370,17 +374,17 @@
                 .max();
             f64::from(max_count.unwrap_or(0)) / allowed
         });
-    Result {
+    SimulationResult {
         refused: f64::from(refused) / f64::from(within_limit_count),
         peak_fraction: peak_fraction.fold(0.0, f64::max),
     }
 }
 
-fn simulate_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> Result {
-    let results: Vec<Result> = (1..=3)
+fn simulate_seeds(new: impl Fn() -> Box<dyn QuotaScheme>, load: Load) -> SimulationResult {
+    let results: Vec<SimulationResult> = (1..=3)
         .map(|seed| simulate(&mut *new(), load, seed))
         .collect();
-    Result {
+    SimulationResult {
         refused: results.iter().map(|result| result.refused).sum::<f64>() / results.len() as f64,
         peak_fraction: results
             .iter()
@@ -392,7 +396,7 @@
 #[test]
 fn leased_shares_keep_the_bound_and_refuse_little_within_the_limit() {
     println!(
-        "load: refused fraction and peak window per bound, for static shares, reported counts, leased shares"
+        "load: refused fraction and maximum requests per window as a fraction of the bound, for static shares, reported counts, leased shares"
     );
     for (name, load) in [
         ("calm", Load::Calm),
@@ -400,44 +404,44 @@
         ("hot", Load::Hot),
         ("hot and partitioned", Load::HotAndPartitioned),
     ] {
-        let fixed = simulate_seeds(|| Box::new(StaticShares::new()), load);
-        let counting = simulate_seeds(|| Box::new(ReportedCounts::new()), load);
-        let leased = simulate_seeds(|| Box::new(LeasedShares::new()), load);
+        let static_shares = simulate_seeds(|| Box::new(StaticShares::new()), load);
+        let reported_counts = simulate_seeds(|| Box::new(ReportedCounts::new()), load);
+        let leased_shares = simulate_seeds(|| Box::new(LeasedShares::new()), load);
         println!(
             "{name}: {:.3} {:.2}, {:.3} {:.2}, {:.3} {:.2}",
-            fixed.refused,
-            fixed.peak_fraction,
-            counting.refused,
-            counting.peak_fraction,
-            leased.refused,
-            leased.peak_fraction
+            static_shares.refused,
+            static_shares.peak_fraction,
+            reported_counts.refused,
+            reported_counts.peak_fraction,
+            leased_shares.refused,
+            leased_shares.peak_fraction
         );
         assert!(
-            leased.peak_fraction <= 1.0,
+            leased_shares.peak_fraction <= 1.0,
             "{name}: {:.2} of the bound",
-            leased.peak_fraction
+            leased_shares.peak_fraction
         );
         assert!(
-            leased.refused < fixed.refused,
+            leased_shares.refused < static_shares.refused,
             "{name}: static shares refuse less than leased shares"
         );
         // The objective at usual load: fewer than one in 200.
         assert!(
-            load != Load::Calm || leased.refused < 0.005,
+            load != Load::Calm || leased_shares.refused < 0.005,
             "{:.4}",
-            leased.refused
+            leased_shares.refused
         );
     }
 }
 
 #[test]
 fn all_shards_are_spread_over_many_allocators() {
-    let names: Vec<String> = (0..ENTRIES).map(|at| format!("i-{at}")).collect();
+    let names: Vec<String> = (0..DAEMONS).map(|index| format!("i-{index}")).collect();
     let chosen = Shard::all().filter_map(|shard| {
         let members = names.iter().enumerate();
         preferred_allocator(
             shard,
-            members.map(|(at, name)| (name.as_str(), Incarnation(at as u64))),
+            members.map(|(index, name)| (name.as_str(), Incarnation(index as u64))),
         )
     });
     let distinct: std::collections::HashSet<Incarnation> = chosen.collect();
