--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -163,20 +163,16 @@
         match message {
             Message::Request { to, sent, req } => {
                 // An incarnation that has ended doesn't reply.
-                let Some(index) = self.index_of(to) else {
-                    return;
-                };
-                let daemon = &mut self.daemons[index];
+                let Some(i) = self.index_of(to) else { return };
+                let daemon = &mut self.daemons[i];
                 let now = daemon.clock_time(self.now);
                 let reply = daemon.allocator.acquire(now, &req, Some(LIMIT), DAEMONS);
                 let to = req.from;
                 self.messages.push(Message::Reply { to, sent, reply });
             }
             Message::Reply { to, sent, reply } => {
-                let Some(index) = self.index_of(to) else {
-                    return;
-                };
-                let daemon = &mut self.daemons[index];
+                let Some(i) = self.index_of(to) else { return };
+                let daemon = &mut self.daemons[i];
                 let now = daemon.clock_time(self.now);
                 if daemon.client.accept_reply(now, sent, WORKSPACE, &reply) {
                     self.ran.push(self.now);
