--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -136,7 +136,7 @@
 pub(crate) fn heard_slots(node: &Node, routed: &Routed, slots: u32) {
     if slots > 0 && routed.slots.swap(slots, Ordering::Relaxed) != slots {
         let cfg = routed.gate_config();
-        node.room.with_gate(|gate, _| gate.reconfigure(cfg));
+        node.admission.with_gate(|gate, _| gate.reconfigure(cfg));
     }
 }
 
@@ -219,7 +219,7 @@
 fn takes_work(node: &Arc<Node>, routed: &Routed) {
     routed.saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
-    node.room.with_gate(|gate, _| gate.reset_tuning());
+    node.admission.with_gate(|gate, _| gate.reset_tuning());
     node.backend.forget_idle();
     let no_longer_leaving = node.stop_leaving(LeavingCause::Backend);
     // A daemon that leaves for another reason tells so already.
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -12,7 +12,7 @@
     request::headers,
     request::nested,
     request::owner,
-    request::routed::{self, Arrives},
+    request::routed::{self, ConnectionPhase},
 };
 use hyper::{
     HeaderMap, Request, Response, StatusCode, body::Incoming, server::conn::http1,
@@ -158,10 +158,11 @@
 pub(crate) async fn routed(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     if closing.is_closed() {
         let serve =
-            async |node: &Arc<Node>, req| routed::serve(node, req, Arrives::WhileEnding).await;
+            async |node: &Arc<Node>, req| routed::serve(node, req, ConnectionPhase::Draining).await;
         return plain(node, accepted, ENDING_HEAD_TIME, closing, serve).await;
     }
-    let serve = async |node: &Arc<Node>, req| routed::serve(node, req, Arrives::BeforeEnd).await;
+    let serve =
+        async |node: &Arc<Node>, req| routed::serve(node, req, ConnectionPhase::Accepting).await;
     plain(node, accepted, ROUTED_IDLE_TIME, closing, serve).await;
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -17,8 +17,8 @@
     net::stream::FleetKeys,
     net::timers::Timers,
     operators::metrics_page::MetricsPage,
+    request::admission::Admission,
     request::parents::Parents,
-    request::room::Room,
     store::outcomes::SegmentVersions,
 };
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -66,7 +66,7 @@
     pub(crate) suspects: Suspects,
     /// Present where kinds are told by routes and the backend server announces itself.
     pub(crate) routed: Option<Routed>,
-    pub(crate) room: Arc<Room>,
+    pub(crate) admission: Arc<Admission>,
     pub(crate) parents: Arc<Parents>,
     pub(crate) in_force: ArcSwapOption<InForce>,
     /// How old the knowledge of the route table is.
@@ -228,7 +228,8 @@
                 Some(routed) => routed.gate_config(),
                 None => gate_config(service),
             };
-            self.room.with_gate(|room, _| room.reconfigure(gate));
+            self.admission
+                .with_gate(|current, _| current.reconfigure(gate));
             self.backend.reconfigure(service.connections);
         }
         if let Some(routed) = &self.routed {
@@ -265,7 +266,8 @@
         match (was_lost, reached) {
             (false, false) => self.note(&events::BACKEND_LOST, Vec::new()),
             (true, true) => {
-                self.room.with_gate(|gate, now| gate.backend_restarted(now));
+                self.admission
+                    .with_gate(|gate, now| gate.backend_restarted(now));
                 self.note(&events::BACKEND_BACK, Vec::new());
             }
             _ => {}
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -57,7 +57,7 @@
 
 fn report(node: &Node) -> StatusReport {
     let (in_flight, waiting, limit) = node
-        .room
+        .admission
         .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
     StatusReport {
         record: (**node.own_record.load()).clone(),
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -102,7 +102,7 @@
 }
 
 fn note_limit(node: &Node, last: &mut Option<u32>) {
-    let limit = node.room.with_gate(|gate, now| gate.steady_limit(now));
+    let limit = node.admission.with_gate(|gate, now| gate.steady_limit(now));
     if let Some(before) = last.replace(limit)
         && before != limit
     {
@@ -112,7 +112,7 @@
 }
 
 fn note_load(node: &Node) {
-    let (in_flight, waiting, limit, threshold) = node.room.with_gate(|gate, now| {
+    let (in_flight, waiting, limit, threshold) = node.admission.with_gate(|gate, now| {
         let threshold = gate.threshold(now);
         (
             gate.in_flight(),
@@ -137,7 +137,7 @@
         return;
     }
     let (in_flight, waiting, limit) = node
-        .room
+        .admission
         .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
     let members = lock(&node.membership).present().count();
     let tokens = lock(&node.ledger).outstanding();
--- a/crates/sorrelturn-daemon/src/request/room.rs
+++ b/crates/sorrelturn-daemon/src/request/admission.rs
@@ -25,7 +25,7 @@
 }
 
 /// The gate before the backend server, shared by all requests.
-pub(crate) struct Room {
+pub(crate) struct Admission {
     clock: Clock,
     timers: Timers,
     inner: Mutex<Inner>,
@@ -39,7 +39,7 @@
 
 /// A slot at the backend server; given back when it is dropped.
 pub(crate) struct Slot {
-    room: Arc<Room>,
+    admission: Arc<Admission>,
     since: Now,
     began: TuningSample,
     /// The kind of a request that calls nothing, by a hash of its name.
@@ -49,7 +49,7 @@
 
 impl Slot {
     /// The request calls nothing, so that its time is the backend server's own.
-    pub(crate) fn is_of_leaf(&mut self, kind: &str) {
+    pub(crate) fn set_leaf_kind(&mut self, kind: &str) {
         let mut hasher = DefaultHasher::new();
         kind.hash(&mut hasher);
         self.leaf = Some(hasher.finish());
@@ -63,13 +63,13 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let took = self.room.clock.now().saturating_sub(self.since);
+        let took = self.admission.clock.now().saturating_sub(self.since);
         let leaf = self.leaf.filter(|_| self.outcome == Outcome::Answered);
-        self.room.finish(self.began, leaf, self.outcome, took);
+        self.admission.finish(self.began, leaf, self.outcome, took);
     }
 }
 
-impl Room {
+impl Admission {
     pub(crate) fn new(clock: Clock, timers: Timers, gate: Gate) -> Self {
         let inner = Inner {
             gate,
@@ -84,7 +84,7 @@
     }
 
     /// Waits for a slot; the refusal is final and comes as soon as it is known.
-    pub(crate) async fn enter(
+    pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: Priority,
         holds_work: bool,
@@ -99,7 +99,7 @@
             Arrived::Waits(rx, longest) => {
                 let until = deadline.min(now + longest);
                 let waiting = Waiting {
-                    room: self,
+                    admission: self,
                     arrival,
                     rx,
                     over: false,
@@ -150,7 +150,7 @@
 
     fn slot(self: &Arc<Self>, began: TuningSample) -> Slot {
         Slot {
-            room: Arc::clone(self),
+            admission: Arc::clone(self),
             since: self.clock.now(),
             began,
             leaf: None,
@@ -202,7 +202,7 @@
 
 /// A request that waits; leaves the queue when it is dropped.
 struct Waiting<'a> {
-    room: &'a Arc<Room>,
+    admission: &'a Arc<Admission>,
     arrival: Arrival,
     rx: Receiver<Word>,
     over: bool,
@@ -211,14 +211,14 @@
 impl Waiting<'_> {
     async fn word(mut self, until: Now) -> Result<Slot, Refusal> {
         let timer = async {
-            self.room.timers.at(until).await;
+            self.admission.timers.at(until).await;
             None
         };
         let word = async { self.rx.recv().await.ok() };
         match word.or(timer).await {
             Some(Ok(began)) => {
                 self.over = true;
-                Ok(self.room.slot(began))
+                Ok(self.admission.slot(began))
             }
             Some(Err(refusal)) => {
                 self.over = true;
@@ -231,7 +231,7 @@
     /// The word may have come in the same instant; then it counts.
     fn time_is_up(&mut self, until: Now) -> Result<Slot, Refusal> {
         self.over = true;
-        let mut inner = self.room.lock();
+        let mut inner = self.admission.lock();
         inner.waiters.remove(&self.arrival.id);
         if inner.gate.remove_queued(&self.arrival, true) {
             return Err(if until == self.arrival.deadline {
@@ -244,7 +244,7 @@
         self.rx
             .try_recv()
             .unwrap_or(Err(Refusal::Overload))
-            .map(|began| self.room.slot(began))
+            .map(|began| self.admission.slot(began))
     }
 }
 
@@ -253,13 +253,14 @@
         if self.over {
             return;
         }
-        let mut inner = self.room.lock();
+        let mut inner = self.admission.lock();
         inner.waiters.remove(&self.arrival.id);
         let waited = inner.gate.remove_queued(&self.arrival, false);
         drop(inner);
         if !waited && let Ok(Ok(began)) = self.rx.try_recv() {
             let unused = Duration::ZERO;
-            self.room.finish(began, None, Outcome::Cancelled, unused);
+            self.admission
+                .finish(began, None, Outcome::Cancelled, unused);
         }
     }
 }
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -167,7 +167,7 @@
     path: &str,
     req_headers: &HeaderMap,
 ) -> Result<Root, Reply> {
-    let come_back = || owner::come_back(node);
+    let come_back = || owner::retry_after(node);
     let in_force = node
         .in_force
         .load_full()
@@ -240,7 +240,7 @@
             Field::new("threshold", threshold.0),
         ],
     );
-    Err(Reply::not_run(Refusal::Overload).come_back(owner::come_back(node)))
+    Err(Reply::not_run(Refusal::Overload).come_back(owner::retry_after(node)))
 }
 
 /// Path and query alone: where a request goes is for the kind to say.
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -40,10 +40,12 @@
             Self::Full | Self::NotSent | Self::NeverCame if unknown => {
                 Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun)
             }
-            Self::Full => owner::unused(Reply::not_run(Refusal::Overload), context.attempts),
+            Self::Full => {
+                owner::refund_attempts(Reply::not_run(Refusal::Overload), context.attempts)
+            }
             Self::NotSent | Self::NeverCame => {
                 let reply = Reply::not_run(Refusal::BackendUnreachable);
-                owner::unused(reply, context.attempts)
+                owner::refund_attempts(reply, context.attempts)
             }
             Self::Broke | Self::AnswerLost => {
                 Reply::refused(Refusal::PeerBroke, Verdict::MayHaveRun)
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -71,12 +71,12 @@
 /// Forwards a call until there is a final answer.
 pub(crate) async fn call(node: &Arc<Node>, call: &mut Call) -> Reply {
     if ends_before(node, call) {
-        let refused = Reply::not_run(Refusal::Leaving).come_back(owner::come_back(node));
-        return owner::unused(refused, call.context.attempts);
+        let refused = Reply::not_run(Refusal::Leaving).come_back(owner::retry_after(node));
+        return owner::refund_attempts(refused, call.context.attempts);
     }
     if let Some(held_for) = held_for(node, call) {
         let refused = Reply::not_run(Refusal::Quarantined).come_back(held_for);
-        return owner::unused(refused, call.context.attempts);
+        return owner::refund_attempts(refused, call.context.attempts);
     }
     let kind_state = call.in_force.kind_state(&call.kind);
     let span = SpanId::random(&mut fastrand::Rng::new());
@@ -427,7 +427,7 @@
 async fn without_instance(node: &Arc<Node>, call: &Call) -> Reply {
     match call.context.token {
         Some(token) => tokens::of_lost_owner(node, &token).await,
-        None => Reply::not_run(Refusal::NoInstance).come_back(owner::come_back(node)),
+        None => Reply::not_run(Refusal::NoInstance).come_back(owner::retry_after(node)),
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -10,12 +10,12 @@
     net::pool::{Lease, SendError},
     node::{Carried, Node, lock},
     operators::export,
+    request::admission::Slot,
     request::answer::Reply,
     request::body::{self, Body},
     request::headers,
-    request::owner::unused,
+    request::owner::refund_attempts,
     request::parents::{Parent, ParentGuard},
-    request::room::Slot,
 };
 use bytes::Bytes;
 use hyper::{
@@ -57,22 +57,22 @@
     pub(crate) started: Now,
     pub(crate) _carried: Carried,
     /// The id by which the sender named this attempt, where routes tell kinds.
-    pub(crate) asked: Option<HeaderValue>,
+    pub(crate) attempt_id: Option<HeaderValue>,
 }
 
 impl Hop {
     /// A call that may be repeated.
-    pub(crate) async fn plain(self, req: Request<Body>) -> Reply {
+    pub(crate) async fn run_repeatable(self, req: Request<Body>) -> Reply {
         let share = self.context.attempts;
         if self.node.is_leaving() {
-            return unused(self.refused(Refusal::Leaving), share);
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         }
         if self.lacks_service() {
-            return unused(self.refused(Refusal::NoInstanceBelow), share);
+            return refund_attempts(self.refusal_reply(Refusal::NoInstanceBelow), share);
         }
-        match self.enter().await {
+        match self.acquire_slot().await {
             Ok(slot) => self.forward(slot, req).await,
-            Err(refusal) => unused(self.refused(refusal), share),
+            Err(refusal) => refund_attempts(self.refusal_reply(refusal), share),
         }
     }
 
@@ -100,12 +100,12 @@
         held_for.is_some()
     }
 
-    pub(crate) async fn enter(&self) -> Result<Slot, Refusal> {
+    pub(crate) async fn acquire_slot(&self) -> Result<Slot, Refusal> {
         let priority = self.context.priority();
         let holds_work = self.context.depth > 0;
-        let room = &self.node.room;
+        let room = &self.node.admission;
         let mut slot = room
-            .enter(priority, holds_work, self.deadline, self.context.level)
+            .acquire_slot(priority, holds_work, self.deadline, self.context.level)
             .await?;
         // What it waited for may have told of it meanwhile.
         if self.is_held() {
@@ -114,7 +114,7 @@
         }
         let graph = self.node.routed.as_ref().map(|routed| &routed.graph);
         if graph.is_some_and(|graph| lock(graph).is_leaf(&self.kind.name)) {
-            slot.is_of_leaf(&self.kind.name);
+            slot.set_leaf_kind(&self.kind.name);
         }
         Ok(slot)
     }
@@ -135,7 +135,7 @@
         let Some(req) = req else {
             slot.release(Outcome::Cancelled);
             let share = self.context.attempts;
-            return unused(self.refused(Refusal::Leaving), share);
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         };
         let node = Arc::clone(&self.node);
         let at_work = AtWork::new(&node, self.context.names);
@@ -157,14 +157,14 @@
                 at_work.ended();
                 slot.release(Outcome::Cancelled);
                 let share = self.context.attempts;
-                unused(self.refused(Refusal::Overload), share)
+                refund_attempts(self.refusal_reply(Refusal::Overload), share)
             }
             Some(Err(SendError::NotSent)) => {
                 at_work.ended();
                 node.backend_reached(false);
                 slot.release(Outcome::Failed);
                 let share = self.context.attempts;
-                unused(self.refused(Refusal::BackendUnreachable), share)
+                refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), share)
             }
             Some(Err(SendError::Broke)) => {
                 at_work.ended();
@@ -173,15 +173,15 @@
                     true => Refusal::BackendCrashed,
                     false => Refusal::BackendBroke,
                 };
-                self.failed(&guard, refusal)
+                self.failure_reply(&guard, refusal)
             }
             Some(Err(SendError::NeverCame | SendError::AnswerLost)) => {
                 slot.release(Outcome::Failed);
-                self.failed(&guard, Refusal::BackendBroke)
+                self.failure_reply(&guard, Refusal::BackendBroke)
             }
             None => {
                 slot.release(Outcome::Overloaded);
-                self.failed(&guard, Refusal::Deadline)
+                self.failure_reply(&guard, Refusal::Deadline)
             }
         }
     }
@@ -209,7 +209,7 @@
         let state = self.in_force.kind_state(&self.kind);
         let paid = lock(&state.retries).take(self.node.now());
         if paid {
-            self.note(
+            self.record_event(
                 &events::SENT_AGAIN,
                 vec![Field::new("kind", &self.kind.name)],
             );
@@ -272,7 +272,7 @@
         let status = res.status().as_u16();
         let service = self.in_force.bundle.service(&self.kind.service);
         let word = self.node.routed.as_ref().map(|routed| {
-            let word = routed.judge(self.asked.as_ref(), res.status(), res.headers());
+            let word = routed.judge(self.attempt_id.as_ref(), res.status(), res.headers());
             if word == Word::NotRun {
                 state::answered_by(&self.node, routed, res.headers());
             }
@@ -285,7 +285,7 @@
         if word == Some(Word::NotOurs) {
             at_work.ended();
             slot.release(Outcome::Failed);
-            return self.failed(&guard, Refusal::BackendBroke);
+            return self.failure_reply(&guard, Refusal::BackendBroke);
         }
         let by_status = service.is_some_and(|service| service.refused_statuses.contains(&status));
         let refused = by_status || word == Some(Word::NotRun);
@@ -303,10 +303,10 @@
             slot.release(Outcome::Overloaded);
             if sent_twice {
                 // The other sending may have run.
-                return self.failed(&guard, Refusal::BackendBroke);
+                return self.failure_reply(&guard, Refusal::BackendBroke);
             }
             let share = self.context.attempts;
-            return unused(self.refused(Refusal::BackendRefused), share);
+            return refund_attempts(self.refusal_reply(Refusal::BackendRefused), share);
         }
         let failed = res.status().is_server_error();
         let parent = guard.parent();
@@ -317,7 +317,7 @@
             threshold: self.threshold_below(),
             ..AnswerContext::default()
         };
-        self.note(
+        self.record_event(
             &events::HOP_SERVED,
             vec![
                 Field::new("kind", &self.kind.name),
@@ -342,7 +342,7 @@
     /// no parent, any that failed meanwhile counts.
     fn a_call_failed(&self, parent: &Parent) -> bool {
         match &self.node.routed {
-            None => parent.failed_below.load(Ordering::Relaxed),
+            None => parent.nested_call_failed.load(Ordering::Relaxed),
             Some(routed) => routed.call_failed.is_after(self.started),
         }
     }
@@ -405,22 +405,22 @@
     }
 
     /// The exchange with the backend server failed after it may have begun.
-    fn failed(&self, guard: &ParentGuard, refusal: Refusal) -> Reply {
+    fn failure_reply(&self, guard: &ParentGuard, refusal: Refusal) -> Reply {
         let parent = guard.parent();
-        let mut reply = self.refused(refusal);
+        let mut reply = self.refusal_reply(refusal);
         reply.context.verdict = Verdict::MayHaveRun;
         reply.context.attempts_left = lock(&parent.attempts).close();
-        reply.context.already_retried = parent.failed_below.load(Ordering::Relaxed);
+        reply.context.already_retried = parent.nested_call_failed.load(Ordering::Relaxed);
         self.span(true, refusal.status());
         reply
     }
 
-    pub(crate) fn refused(&self, refusal: Refusal) -> Reply {
+    pub(crate) fn refusal_reply(&self, refusal: Refusal) -> Reply {
         let (load, threshold) = self
             .node
-            .room
+            .admission
             .with_gate(|gate, now| (gate.load_percent(now), gate.threshold(now)));
-        self.note(
+        self.record_event(
             &events::REFUSED,
             vec![
                 Field::new("kind", &self.kind.name),
@@ -443,7 +443,7 @@
         Reply::not_run(refusal)
     }
 
-    pub(crate) fn note(&self, kind: &'static EventKind, fields: Vec<Field>) {
+    pub(crate) fn record_event(&self, kind: &'static EventKind, fields: Vec<Field>) {
         self.node
             .events
             .record(kind, Some(self.context.request), fields);
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -40,7 +40,7 @@
     let later = || Reply::not_run(Refusal::StaleKnowledge).come_back(JUDGED_LATER);
     loop {
         let in_force = node.in_force.load_full();
-        let no_bundle = || Reply::not_run(Refusal::NoBundle).come_back(owner::come_back(node));
+        let no_bundle = || Reply::not_run(Refusal::NoBundle).come_back(owner::retry_after(node));
         let in_force = in_force.ok_or_else(no_bundle)?;
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
--- a/crates/sorrelturn-daemon/src/request/mod.rs
+++ b/crates/sorrelturn-daemon/src/request/mod.rs
@@ -1,5 +1,6 @@
 //! The way of a request: entries, forwarding, the owner, the hop to the backend server.
 
+pub(crate) mod admission;
 pub(crate) mod answer;
 pub(crate) mod body;
 pub(crate) mod dialect;
@@ -15,6 +16,5 @@
 pub(crate) mod owner_once;
 pub(crate) mod parents;
 pub(crate) mod payload;
-pub(crate) mod room;
 pub(crate) mod routed;
 pub(crate) mod tokens;
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -36,7 +36,7 @@
     let reply = match &parent {
         Some(parent) => {
             let over = async {
-                parent.over().await;
+                parent.ended().await;
                 Reply::refused(Refusal::Deadline, Verdict::MayHaveRun)
             };
             answer(node, Some(parent), request, req).or(over).await
@@ -63,7 +63,7 @@
     req: Request<Incoming>,
 ) -> Reply {
     let Some(in_force) = node.in_force.load_full() else {
-        return Reply::not_run(Refusal::NoBundle).come_back(owner::come_back(node));
+        return Reply::not_run(Refusal::NoBundle).come_back(owner::retry_after(node));
     };
     let kind = in_force
         .bundle
@@ -83,14 +83,14 @@
         } else {
             Verdict::NotRun
         };
-        return Reply::refused(Refusal::AttemptsSpent, verdict).come_back(owner::come_back(node));
+        return Reply::refused(Refusal::AttemptsSpent, verdict).come_back(owner::retry_after(node));
     };
     let context = context(node, parent.map(Arc::as_ref), request, &kind, share);
     let reply = carry(node, parent, &in_force, kind, context, req).await;
     if let Some(parent) = parent {
         lock(&parent.attempts).give_back(reply.context.attempts_left);
         if failed(&reply) {
-            parent.note_failure();
+            parent.record_failure();
         }
     }
     reply
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -19,17 +19,17 @@
 
 /// Runs a call at this daemon's backend server, or refuses it.
 pub(crate) async fn serve(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
-    let asked = node
+    let routed_kind = node
         .routed
         .as_ref()
         .map(|routed| (routed, context.kind.clone()));
     let mut reply = if req.uri().path() == tokens::ISSUE_PATH {
-        unused(tokens::issue(node), context.attempts)
+        refund_attempts(tokens::issue(node), context.attempts)
     } else {
         admit(node, context, req).await
     };
     let answer = &mut reply.context;
-    if let Some((routed, kind)) = asked {
+    if let Some((routed, kind)) = routed_kind {
         answer.is_call = is_call(node, routed, &kind);
     }
     // Read before the version, which may only rise meanwhile.
@@ -37,7 +37,7 @@
     answer.bundle_version = node.bundle_version();
     answer.incarnation = node.incarnation;
     answer.leaving = node.is_leaving();
-    node.room.with_gate(|gate, now| {
+    node.admission.with_gate(|gate, now| {
         answer.load = gate.load_percent(now);
         answer.threshold = answer.threshold.max(gate.threshold(now));
     });
@@ -45,40 +45,42 @@
         && answer.retry_after_ms == 0
         && !matches!(refusal, Refusal::TokenRejected | Refusal::UnknownKind)
     {
-        answer.retry_after_ms = come_back(node).as_millis() as u32;
+        answer.retry_after_ms = retry_after(node).as_millis() as u32;
     }
     reply
 }
 
 /// A request that can't be passed on any more because this run of the daemon is over.
-pub(crate) async fn refused_at_the_end(node: &Node) -> Reply {
+pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
     node.ending.over().await;
-    Reply::not_run(Refusal::Leaving).come_back(come_back(node))
+    Reply::not_run(Refusal::Leaving).come_back(retry_after(node))
 }
 
 /// When a refused caller should come back, from how long the pressure here has lasted.
-pub(crate) fn come_back(node: &Node) -> Duration {
-    let lasting = node.room.with_gate(|gate, now| gate.pressure_duration(now));
+pub(crate) fn retry_after(node: &Node) -> Duration {
+    let lasting = node
+        .admission
+        .with_gate(|gate, now| gate.pressure_duration(now));
     RetryAfter::compute(lasting, &mut fastrand::Rng::new())
 }
 
 async fn admit(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
     let share = context.attempts;
     if context.service != node.settings.service {
-        return unused(refuse_token(node, &context, Refusal::OtherService), share);
+        return refund_attempts(refuse_token(node, &context, Refusal::OtherService), share);
     }
     let Some(in_force) = node.in_force.load_full() else {
-        return unused(refuse_token(node, &context, Refusal::NoBundle), share);
+        return refund_attempts(refuse_token(node, &context, Refusal::NoBundle), share);
     };
     let known = in_force.bundle.kind(&context.kind).cloned();
     let Some(kind) = known.or_else(|| kind_of_another_version(node, &context)) else {
-        return unused(refuse_token(node, &context, Refusal::UnknownKind), share);
+        return refund_attempts(refuse_token(node, &context, Refusal::UnknownKind), share);
     };
     let mut context = context;
-    let mut asked = None;
+    let mut attempt_id = None;
     if let Some(routed) = &node.routed {
         let names = &routed.dialect.headers;
-        asked = req.headers().get(&names.request_id).cloned();
+        attempt_id = req.headers().get(&names.request_id).cloned();
         let from = headers::text(req.headers(), names.caller_service.as_str());
         lock(&routed.origins).record(&context.kind, from.unwrap_or_default());
         context.depth = u8::from(is_call(node, routed, &context.kind));
@@ -95,11 +97,11 @@
         deadline,
         started_ns: unix_ns(),
         started: node.now(),
-        asked,
+        attempt_id,
     };
     match hop.context.token {
-        Some(token) => hop.once(token, req).await,
-        None => hop.plain(req).await,
+        Some(token) => hop.run_at_most_once(token, req).await,
+        None => hop.run_repeatable(req).await,
     }
 }
 
@@ -134,7 +136,7 @@
 }
 
 /// Hands the whole share of a call that cost no execution back.
-pub(crate) fn unused(mut reply: Reply, share: u32) -> Reply {
+pub(crate) fn refund_attempts(mut reply: Reply, share: u32) -> Reply {
     reply.context.attempts_left = share;
     reply
 }
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -6,7 +6,7 @@
     request::body::{self, Body},
     request::headers,
     request::hop::Hop,
-    request::owner::{fingerprint, unused},
+    request::owner::{fingerprint, refund_attempts},
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -23,7 +23,7 @@
 impl Hop {
     /// A call that runs at most once. It goes on when its caller goes away, so that its outcome
     /// is known.
-    pub(crate) async fn once(self, token: ExecutionToken, req: Request<Body>) -> Reply {
+    pub(crate) async fn run_at_most_once(self, token: ExecutionToken, req: Request<Body>) -> Reply {
         let target = req
             .uri()
             .path_and_query()
@@ -34,8 +34,10 @@
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
             BeginResult::Run => {}
-            BeginResult::Recorded(outcome) => return unused(self.recorded(outcome), share),
-            other => return unused(self.not_begun(&other), share),
+            BeginResult::Recorded(outcome) => {
+                return refund_attempts(self.recorded(outcome), share);
+            }
+            other => return refund_attempts(self.not_begun(&other), share),
         }
         let spent = SpentToken {
             node: Arc::clone(&node),
@@ -58,13 +60,13 @@
         let share = self.context.attempts;
         if self.node.is_leaving() {
             spent.refuse();
-            return unused(self.refused(Refusal::Leaving), share);
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         }
-        let slot = match self.enter().await {
+        let slot = match self.acquire_slot().await {
             Ok(slot) => slot,
             Err(refusal) => {
                 spent.refuse();
-                return unused(self.refused(refusal), share);
+                return refund_attempts(self.refusal_reply(refusal), share);
             }
         };
         spent.forwarded = true;
@@ -101,7 +103,7 @@
     }
 
     fn recorded(&self, outcome: OnceOutcome) -> Reply {
-        self.note(&events::RECORDED_ANSWER, Vec::new());
+        self.record_event(&events::RECORDED_ANSWER, Vec::new());
         let Some(body) = outcome.body else {
             return Reply::refused(Refusal::OutcomeUnknown, outcome.verdict);
         };
@@ -123,7 +125,7 @@
             BeginResult::Closed => (Refusal::Leaving, Verdict::NotRun),
             _ => (Refusal::OutcomeUnknown, Verdict::MayHaveRun),
         };
-        let mut reply = self.refused(refusal);
+        let mut reply = self.refusal_reply(refusal);
         reply.context.verdict = verdict;
         reply
     }
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -15,7 +15,7 @@
 };
 
 /// Deadlines travel in whole milliseconds, so the same one may seem this much apart.
-const END_TOLERANCE: Duration = Duration::from_millis(4);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
 /// One request at the backend server.
 pub(crate) struct Parent {
@@ -30,19 +30,19 @@
     /// The tokens of its nested calls.
     pub(crate) tokens: Mutex<NestedTokens>,
     /// Whether a nested call failed for good, so that a failure of the parent is not retried.
-    pub(crate) failed_below: AtomicBool,
+    pub(crate) nested_call_failed: AtomicBool,
     cancelled: Receiver<()>,
 }
 
 impl Parent {
     /// Waits until the parent is over; its nested calls are of no more use then.
-    pub(crate) async fn over(&self) {
+    pub(crate) async fn ended(&self) {
         let _ = self.cancelled.recv().await;
     }
 
     /// Notes a nested call that failed for good.
-    pub(crate) fn note_failure(&self) {
-        self.failed_below.store(true, Ordering::Relaxed);
+    pub(crate) fn record_failure(&self) {
+        self.nested_call_failed.store(true, Ordering::Relaxed);
     }
 }
 
@@ -56,7 +56,7 @@
 struct Inner {
     by_span: HashMap<SpanId, Arc<Parent>>,
     by_kind: Vec<OfKind>,
-    sums: InProgressRequests,
+    totals: InProgressRequests,
 }
 
 /// When the requests of one kind end. Each call of the backend server looks at all that it works on, a hundred and
@@ -69,7 +69,7 @@
 impl Inner {
     fn begin(&mut self, parent: &Arc<Parent>) {
         let context = &parent.context;
-        self.sums.begin(context.level, context.repeated);
+        self.totals.begin(context.level, context.repeated);
         let end = (parent.span, parent.deadline);
         let known = self.by_kind.iter_mut().find(|of| of.kind == context.kind);
         match known {
@@ -84,7 +84,7 @@
 
     fn end(&mut self, parent: &Parent) {
         let context = &parent.context;
-        self.sums.end(context.level, context.repeated);
+        self.totals.end(context.level, context.repeated);
         let place = self.by_kind.iter().position(|of| of.kind == context.kind);
         if let Some(place) = place {
             let ends = &mut self.by_kind[place].ends;
@@ -102,11 +102,11 @@
 
 impl OfKind {
     /// Those that may have made a call that ends at `end`: the ones that end with it, and the ones that end later.
-    fn may_call_until(&self, end: Now) -> impl Iterator<Item = Candidate> {
+    fn candidate_parents(&self, end: Now) -> impl Iterator<Item = Candidate> {
         let (mut with_it, mut later) = (0, 0);
         for (_, own_end) in &self.ends {
-            with_it += u32::from(own_end.abs_diff(end) <= END_TOLERANCE);
-            later += u32::from(*own_end > end + END_TOLERANCE);
+            with_it += u32::from(own_end.abs_diff(end) <= DEADLINE_TOLERANCE);
+            later += u32::from(*own_end > end + DEADLINE_TOLERANCE);
         }
         let groups = [(true, with_it), (false, later)].into_iter();
         let groups = groups.filter(|(_, count)| *count > 0);
@@ -138,7 +138,7 @@
         let parent = Arc::new(Parent {
             attempts: Mutex::new(AttemptPool::new(context.attempts, need)),
             tokens: Mutex::default(),
-            failed_below: AtomicBool::new(false),
+            nested_call_failed: AtomicBool::new(false),
             context,
             span,
             deadline,
@@ -183,14 +183,17 @@
     }
 
     /// What is known of all together.
-    pub(crate) fn sums(&self) -> InProgressRequests {
-        lock(&self.inner).sums
+    pub(crate) fn totals(&self) -> InProgressRequests {
+        lock(&self.inner).totals
     }
 
     /// The requests that may have made a call that ends at `end`, in groups.
-    pub(crate) fn may_call_until(&self, end: Now) -> Vec<Candidate> {
+    pub(crate) fn candidate_parents(&self, end: Now) -> Vec<Candidate> {
         let inner = lock(&self.inner);
-        let groups = inner.by_kind.iter().flat_map(|of| of.may_call_until(end));
+        let groups = inner
+            .by_kind
+            .iter()
+            .flat_map(|of| of.candidate_parents(end));
         groups.collect()
     }
 }
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -35,12 +35,12 @@
 
 /// When the connection of a request was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Arrives {
+pub(crate) enum ConnectionPhase {
     /// While the daemon takes callers' requests.
-    BeforeEnd,
+    Accepting,
     /// While connections of callers end, since the daemon stops: only calls of the own backend server are
     /// taken. Callers were told by the readiness and by the end of their open connections.
-    WhileEnding,
+    Draining,
 }
 
 /// A request before it is forwarded.
@@ -64,7 +64,7 @@
 pub(crate) async fn serve(
     node: &Arc<Node>,
     req: Request<Incoming>,
-    arrives: Arrives,
+    arrives: ConnectionPhase,
 ) -> Response<Body> {
     let Some(routed) = &node.routed else {
         return crate::net::serve::status(StatusCode::NOT_FOUND);
@@ -121,7 +121,7 @@
     req: &Request<Incoming>,
     request: RequestId,
     arrived: Now,
-    arrives: Arrives,
+    arrives: ConnectionPhase,
 ) -> Result<Asked, Reply> {
     let headers = req.headers();
     if ambiguous(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
@@ -174,15 +174,15 @@
     routed: &Routed,
     asked: &Asked,
     state: &KindState,
-    arrives: Arrives,
+    arrives: ConnectionPhase,
 ) -> Result<(), Reply> {
     if asked.is_call {
-        let groups = node.parents.may_call_until(asked.deadline);
+        let groups = node.parents.candidate_parents(asked.deadline);
         lock(&routed.graph).record_call(&asked.kind.name, &groups);
         return Ok(());
     }
-    if arrives == Arrives::WhileEnding {
-        return Err(Reply::not_run(Refusal::Leaving).come_back(owner::come_back(node)));
+    if arrives == ConnectionPhase::Draining {
+        return Err(Reply::not_run(Refusal::Leaving).come_back(owner::retry_after(node)));
     }
     let was_tried = asked
         .left_ms
@@ -219,7 +219,7 @@
 async fn carry(node: &Arc<Node>, routed: &Routed, asked: Asked, req: Request<Incoming>) -> Reply {
     let (mut parts, incoming) = req.into_parts();
     let read = Payload::read(&node.timers, incoming);
-    let ends = async { Err(owner::refused_at_the_end(node).await) };
+    let ends = async { Err(owner::refuse_at_shutdown(node).await) };
     let payload = match read.or(ends).await {
         Ok(payload) => payload,
         Err(refused) => return refused,
@@ -231,7 +231,7 @@
         .as_ref()
         .map_or(CallerId::default(), |workspace| workspace.id);
     let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
-    let worked_on = node.parents.sums();
+    let worked_on = node.parents.totals();
     let (level, for_repeat) = match asked.is_call {
         true => (worked_on.mean_level(), worked_on.repeated_fraction()),
         false => (asked.level, 0.0),
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -37,7 +37,7 @@
             let res = Response::new(body::full(token.to_string()));
             Reply::answered(Verdict::NotRun, res)
         }
-        None => Reply::not_run(Refusal::Overload).come_back(owner::come_back(node)),
+        None => Reply::not_run(Refusal::Overload).come_back(owner::retry_after(node)),
     }
 }
 
@@ -66,7 +66,7 @@
         refused.context.retry_after_ms = context.retry_after_ms;
         return Err(refused);
     };
-    let unreadable = || Reply::not_run(Refusal::PeerBroke).come_back(owner::come_back(node));
+    let unreadable = || Reply::not_run(Refusal::PeerBroke).come_back(owner::retry_after(node));
     let body = res.into_body().collect().await.map_err(|_| unreadable())?;
     std::str::from_utf8(&body.to_bytes())
         .ok()
@@ -129,7 +129,7 @@
 /// Whoever was first, the token that lies in the store is the only one that the key may use.
 fn settle(node: &Node, call: &Call, found: Option<&Object>) -> Result<Bound, Reply> {
     let unavailable =
-        || Reply::not_run(Refusal::StoreUnavailable).come_back(owner::come_back(node));
+        || Reply::not_run(Refusal::StoreUnavailable).come_back(owner::retry_after(node));
     let found = found.ok_or_else(unavailable)?;
     let binding: Binding = serde_json::from_str(&found.value).map_err(|_| unavailable())?;
     match binding.token_for(fingerprint(call)) {
@@ -159,7 +159,7 @@
         Verdict::NotRun => Refusal::Tombstone,
         _ => Refusal::OutcomeUnknown,
     };
-    Reply::refused(refusal, verdict).come_back(owner::come_back(node))
+    Reply::refused(refusal, verdict).come_back(owner::retry_after(node))
 }
 
 /// The order of the two reads matters: once the closing record is there, the segment is whole.
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -24,9 +24,9 @@
     node::{Counts, Node, lock},
     operators::export,
     operators::metrics_page::MetricsPage,
+    request::admission::Admission,
     request::dialect::Dialect,
     request::parents::Parents,
-    request::room::Room,
     store::{member_record, outcomes, quarantine},
 };
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -338,7 +338,7 @@
         backend: Backend::new(settings.backend.address, connect_time, clock),
         crashes: Crashes::default(),
         suspects: Suspects::default(),
-        room: Arc::new(Room::new(
+        admission: Arc::new(Admission::new(
             clock,
             timers.clone(),
             Gate::new(GATE_BEFORE_BUNDLE, clock.now()),
@@ -393,7 +393,7 @@
             // The runtime's timers stand still while the VM is suspended; what is due by now isn't due by them.
             node.timers.look_now();
         }
-        node.room.with_gate(|gate, _| gate.report_lag(paused));
+        node.admission.with_gate(|gate, _| gate.report_lag(paused));
         if paused >= PAUSE {
             let fields = vec![Field::new("paused_ms", paused.as_millis())];
             node.note(&events::PAUSE_NOTICED, fields);
