--- a/crates/sorrelturn-daemon/src/request/admission.rs
+++ b/crates/sorrelturn-daemon/src/request/admission.rs
@@ -1,4 +1,4 @@
-//! The gate with the tasks that wait at it.
+//! Admission to the backend server: the gate, and the tasks that are queued for a slot.
 
 use crate::{clock::Clock, net::timers::Timers, node::lock};
 use smol::{
@@ -14,14 +14,14 @@
     time::Duration,
 };
 
-type Word = Result<TuningSample, Refusal>;
+type AdmissionResult = Result<TuningSample, Refusal>;
 
-/// What becomes of an arrival; only one that waits needs to hear a word.
-enum Arrived {
+/// The gate's decision about an arrival. Only a queued request receives a later result.
+enum ArrivalDecision {
     Admitted(TuningSample),
     Refused(Refusal),
-    /// It waits for a word, and no longer than this.
-    Waits(Receiver<Word>, Duration),
+    /// The request is queued: the channel of its result, and the queue timeout.
+    Queued(Receiver<AdmissionResult>, Duration),
 }
 
 /// The gate before the backend server, shared by all requests.
@@ -33,29 +33,29 @@
 
 struct Inner {
     gate: Gate,
-    waiters: HashMap<u64, Sender<Word>>,
+    waiters: HashMap<u64, Sender<AdmissionResult>>,
     next_id: u64,
 }
 
-/// A slot at the backend server; given back when it is dropped.
+/// A slot at the backend server; released when it is dropped.
 pub(crate) struct Slot {
     admission: Arc<Admission>,
-    since: Now,
-    began: TuningSample,
-    /// The kind of a request that calls nothing, by a hash of its name.
+    started: Now,
+    sample: TuningSample,
+    /// The hash of the request's kind, if requests of this kind make no calls.
     leaf: Option<u64>,
     outcome: Outcome,
 }
 
 impl Slot {
-    /// The request calls nothing, so that its time is the backend server's own.
+    /// Marks the request as one that makes no calls, so that its duration is the backend server's own.
     pub(crate) fn set_leaf_kind(&mut self, kind: &str) {
         let mut hasher = DefaultHasher::new();
         kind.hash(&mut hasher);
         self.leaf = Some(hasher.finish());
     }
 
-    /// Gives the slot back with what was learnt.
+    /// Releases the slot and reports the outcome to the gate.
     pub(crate) fn release(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -63,9 +63,9 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let took = self.admission.clock.now().saturating_sub(self.since);
+        let took = self.admission.clock.now().saturating_sub(self.started);
         let leaf = self.leaf.filter(|_| self.outcome == Outcome::Answered);
-        self.admission.finish(self.began, leaf, self.outcome, took);
+        self.admission.finish(self.sample, leaf, self.outcome, took);
     }
 }
 
@@ -83,33 +83,33 @@
         }
     }
 
-    /// Waits for a slot; the refusal is final and comes as soon as it is known.
+    /// Waits for a slot. A refusal is final and returned as soon as it is known.
     pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: Priority,
-        holds_work: bool,
+        is_nested: bool,
         deadline: Now,
-        level: u16,
+        shedding_level: u16,
     ) -> Result<Slot, Refusal> {
         let now = self.clock.now();
-        let (arrival, decision) = self.arrive(now, priority, holds_work, deadline, level);
+        let (arrival, decision) = self.arrive(now, priority, is_nested, deadline, shedding_level);
         match decision {
-            Arrived::Admitted(began) => Ok(self.slot(began)),
-            Arrived::Refused(refusal) => Err(refusal),
-            Arrived::Waits(rx, longest) => {
-                let until = deadline.min(now + longest);
-                let waiting = Waiting {
+            ArrivalDecision::Admitted(sample) => Ok(self.slot(sample)),
+            ArrivalDecision::Refused(refusal) => Err(refusal),
+            ArrivalDecision::Queued(rx, queue_timeout) => {
+                let until = deadline.min(now + queue_timeout);
+                let queued = QueuedRequest {
                     admission: self,
                     arrival,
                     rx,
-                    over: false,
+                    done: false,
                 };
-                waiting.word(until).await
+                queued.result(until).await
             }
         }
     }
 
-    /// Runs `f` on the gate.
+    /// Calls `f` with the locked gate and the current time.
     pub(crate) fn with_gate<T>(&self, f: impl FnOnce(&mut Gate, Now) -> T) -> T {
         let now = self.clock.now();
         f(&mut self.lock().gate, now)
@@ -119,58 +119,58 @@
         &self,
         now: Now,
         priority: Priority,
-        holds_work: bool,
+        is_nested: bool,
         deadline: Now,
-        level: u16,
-    ) -> (Arrival, Arrived) {
+        shedding_level: u16,
+    ) -> (Arrival, ArrivalDecision) {
         let mut inner = self.lock();
         inner.next_id += 1;
         let arrival = Arrival {
             id: inner.next_id,
             priority,
-            is_nested_call: holds_work,
+            is_nested_call: is_nested,
             deadline,
-            level,
+            level: shedding_level,
         };
-        let (decision, pushed_out) = inner.gate.arrive(now, &arrival);
-        if let Some(tx) = pushed_out.and_then(|id| inner.waiters.remove(&id)) {
+        let (decision, displaced) = inner.gate.arrive(now, &arrival);
+        if let Some(tx) = displaced.and_then(|id| inner.waiters.remove(&id)) {
             let _ = tx.try_send(Err(Refusal::Overload));
         }
-        let arrived = match decision {
-            Decision::Admit => Arrived::Admitted(inner.gate.last_sample()),
-            Decision::Refuse(refusal) => Arrived::Refused(refusal),
+        let outcome = match decision {
+            Decision::Admit => ArrivalDecision::Admitted(inner.gate.last_sample()),
+            Decision::Refuse(refusal) => ArrivalDecision::Refused(refusal),
             Decision::Queue => {
                 let (tx, rx) = channel::bounded(1);
                 inner.waiters.insert(arrival.id, tx);
-                Arrived::Waits(rx, inner.gate.queue_timeout(&arrival))
+                ArrivalDecision::Queued(rx, inner.gate.queue_timeout(&arrival))
             }
         };
-        (arrival, arrived)
+        (arrival, outcome)
     }
 
-    fn slot(self: &Arc<Self>, began: TuningSample) -> Slot {
+    fn slot(self: &Arc<Self>, sample: TuningSample) -> Slot {
         Slot {
             admission: Arc::clone(self),
-            since: self.clock.now(),
-            began,
+            started: self.clock.now(),
+            sample,
             leaf: None,
             outcome: Outcome::Cancelled,
         }
     }
 
-    fn finish(&self, began: TuningSample, leaf: Option<u64>, outcome: Outcome, took: Duration) {
+    fn finish(&self, sample: TuningSample, leaf: Option<u64>, outcome: Outcome, took: Duration) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.gate.end_sample(now, began, leaf, took);
+        inner.gate.end_sample(now, sample, leaf, took);
         let mut released = inner.gate.finish(now, outcome, took);
-        while let Some(unclaimed) = inner.pass_on(&released) {
+        while let Some(unclaimed) = inner.notify_waiters(&released) {
             released = Released::default();
-            for began in unclaimed {
-                inner.gate.end_sample(now, began, None, Duration::ZERO);
-                let more = inner.gate.finish(now, Outcome::Cancelled, Duration::ZERO);
-                released.admitted.extend(more.admitted);
-                released.samples.extend(more.samples);
-                released.refused.extend(more.refused);
+            for sample in unclaimed {
+                inner.gate.end_sample(now, sample, None, Duration::ZERO);
+                let next = inner.gate.finish(now, Outcome::Cancelled, Duration::ZERO);
+                released.admitted.extend(next.admitted);
+                released.samples.extend(next.samples);
+                released.refused.extend(next.refused);
             }
         }
     }
@@ -181,8 +181,8 @@
 }
 
 impl Inner {
-    /// Tells those that wait; returns how those began whose waiters are gone, if any are.
-    fn pass_on(&mut self, released: &Released) -> Option<Vec<TuningSample>> {
+    /// Notifies queued requests. Returns the samples of admitted requests whose waiters are gone, if there are any.
+    fn notify_waiters(&mut self, released: &Released) -> Option<Vec<TuningSample>> {
         for (id, refusal) in &released.refused {
             if let Some(tx) = self.waiters.remove(id) {
                 let _ = tx.try_send(Err(*refusal));
@@ -190,47 +190,47 @@
         }
         let admitted = released.admitted.iter().zip(&released.samples);
         let unclaimed: Vec<TuningSample> = admitted
-            .filter(|(id, began)| {
+            .filter(|(id, sample)| {
                 let tx = self.waiters.remove(id);
-                tx.is_none_or(|tx| tx.try_send(Ok(**began)).is_err())
+                tx.is_none_or(|tx| tx.try_send(Ok(**sample)).is_err())
             })
-            .map(|(_, began)| *began)
+            .map(|(_, sample)| *sample)
             .collect();
         (!unclaimed.is_empty()).then_some(unclaimed)
     }
 }
 
-/// A request that waits; leaves the queue when it is dropped.
-struct Waiting<'a> {
+/// A queued request; leaves the queue when it is dropped.
+struct QueuedRequest<'a> {
     admission: &'a Arc<Admission>,
     arrival: Arrival,
-    rx: Receiver<Word>,
-    over: bool,
+    rx: Receiver<AdmissionResult>,
+    done: bool,
 }
 
-impl Waiting<'_> {
-    async fn word(mut self, until: Now) -> Result<Slot, Refusal> {
+impl QueuedRequest<'_> {
+    async fn result(mut self, until: Now) -> Result<Slot, Refusal> {
         let timer = async {
             self.admission.timers.at(until).await;
             None
         };
-        let word = async { self.rx.recv().await.ok() };
-        match word.or(timer).await {
-            Some(Ok(began)) => {
-                self.over = true;
-                Ok(self.admission.slot(began))
+        let result = async { self.rx.recv().await.ok() };
+        match result.or(timer).await {
+            Some(Ok(sample)) => {
+                self.done = true;
+                Ok(self.admission.slot(sample))
             }
             Some(Err(refusal)) => {
-                self.over = true;
+                self.done = true;
                 Err(refusal)
             }
-            None => self.time_is_up(until),
+            None => self.handle_timeout(until),
         }
     }
 
-    /// The word may have come in the same instant; then it counts.
-    fn time_is_up(&mut self, until: Now) -> Result<Slot, Refusal> {
-        self.over = true;
+    /// Leaves the queue after the timeout. A result that arrived in the meantime still counts.
+    fn handle_timeout(&mut self, until: Now) -> Result<Slot, Refusal> {
+        self.done = true;
         let mut inner = self.admission.lock();
         inner.waiters.remove(&self.arrival.id);
         if inner.gate.remove_queued(&self.arrival, true) {
@@ -244,23 +244,23 @@
         self.rx
             .try_recv()
             .unwrap_or(Err(Refusal::Overload))
-            .map(|began| self.admission.slot(began))
+            .map(|sample| self.admission.slot(sample))
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        if self.over {
+        if self.done {
             return;
         }
         let mut inner = self.admission.lock();
         inner.waiters.remove(&self.arrival.id);
-        let waited = inner.gate.remove_queued(&self.arrival, false);
+        let was_queued = inner.gate.remove_queued(&self.arrival, false);
         drop(inner);
-        if !waited && let Ok(Ok(began)) = self.rx.try_recv() {
-            let unused = Duration::ZERO;
+        if !was_queued && let Ok(Ok(sample)) = self.rx.try_recv() {
+            let unused_time = Duration::ZERO;
             self.admission
-                .finish(began, None, Outcome::Cancelled, unused);
+                .finish(sample, None, Outcome::Cancelled, unused_time);
         }
     }
 }
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -1,4 +1,4 @@
-//! One call at its owner: the exchange with the backend server, and what follows from it.
+//! Runs one call at its owner: the exchange with the backend server and the handling of its result.
 
 use crate::{
     backend::crash::{self, AtWork},
@@ -36,14 +36,13 @@
     time::Duration,
 };
 
-/// An answer up to this size counts as one piece of work: its slot is held to the last byte.
-/// A larger one waits for its reader most of the time, so its slot is free after the head; only
-/// the connection is held. See `docs/design/streaming.md`.
-const ONE_PIECE_BYTES: u64 = 64 << 10;
+/// A response up to this size holds its slot until the last byte. A larger one mostly waits for its
+/// reader, so its slot is released after the head and only the connection stays in use. See
+/// `docs/design/streaming.md`.
+const MAX_SLOT_HOLDING_BYTES: u64 = 64 << 10;
 
-/// A backend server that stops at the deadline that it was told says so in this time; without it, half of such
-/// answers were given up in the moment in which they came.
-const LAST_WORD: Duration = Duration::from_millis(50);
+/// Extra time after the deadline in which a backend server that stops at the deadline can report it.
+const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 /// One call at its owner.
 pub(crate) struct Hop {
@@ -56,18 +55,18 @@
     pub(crate) started_ns: u64,
     pub(crate) started: Now,
     pub(crate) _carried: Carried,
-    /// The id by which the sender named this attempt, where routes tell kinds.
+    /// The sender's id of this attempt, if kinds are determined by routes.
     pub(crate) attempt_id: Option<HeaderValue>,
 }
 
 impl Hop {
-    /// A call that may be repeated.
+    /// Runs a call that may be repeated.
     pub(crate) async fn run_repeatable(self, req: Request<Body>) -> Reply {
         let share = self.context.attempts;
         if self.node.is_leaving() {
             return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         }
-        if self.lacks_service() {
+        if self.depends_on_missing_service() {
             return refund_attempts(self.refusal_reply(Refusal::NoInstanceBelow), share);
         }
         match self.acquire_slot().await {
@@ -76,9 +75,9 @@
         }
     }
 
-    /// Whether a service without any instance is needed for it, here or further down. What would be run in
-    /// vain can still be refused as not run, so that its caller may come back.
-    fn lacks_service(&self) -> bool {
+    /// Whether the call depends, directly or indirectly, on a service without any instance. Such a call can be
+    /// refused before it runs, so that its caller can retry it.
+    fn depends_on_missing_service(&self) -> bool {
         let Some(routed) = &self.node.routed else {
             return false;
         };
@@ -93,22 +92,22 @@
         })
     }
 
-    /// Whether it is kept from backend servers, since it crashes them.
-    fn is_held(&self) -> bool {
+    /// Whether the request is quarantined because it crashes backend servers.
+    fn is_quarantined(&self) -> bool {
         let suspects = &self.node.suspects;
-        let held_for = suspects.held_for(self.node.now(), self.context.names);
-        held_for.is_some()
+        let remaining = suspects.held_for(self.node.now(), self.context.names);
+        remaining.is_some()
     }
 
     pub(crate) async fn acquire_slot(&self) -> Result<Slot, Refusal> {
         let priority = self.context.priority();
-        let holds_work = self.context.depth > 0;
-        let room = &self.node.admission;
-        let mut slot = room
-            .acquire_slot(priority, holds_work, self.deadline, self.context.level)
+        let is_nested = self.context.depth > 0;
+        let admission = &self.node.admission;
+        let mut slot = admission
+            .acquire_slot(priority, is_nested, self.deadline, self.context.level)
             .await?;
-        // What it waited for may have told of it meanwhile.
-        if self.is_held() {
+        // The request may have been quarantined while it was queued.
+        if self.is_quarantined() {
             slot.release(Outcome::Cancelled);
             return Err(Refusal::Quarantined);
         }
@@ -119,7 +118,7 @@
         Ok(slot)
     }
 
-    /// Sends the call to the backend server. From here on it may have run.
+    /// Sends the call to the backend server. From here on the call may have run.
     pub(crate) async fn forward(self, slot: Slot, req: Request<Body>) -> Reply {
         let guard = ParentGuard::register(
             &self.node.parents,
@@ -138,36 +137,38 @@
             return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         };
         let node = Arc::clone(&self.node);
-        let at_work = AtWork::new(&node, self.context.names);
-        let again = |req: &Request<Body>| self.copy(req);
-        let pays = || self.pays_second_sending();
-        let sent = node.backend.send(&node.ex, &node.timers, req, again, pays);
+        let in_progress = AtWork::new(&node, self.context.names);
+        let copy_request = |req: &Request<Body>| self.copy_request(req);
+        let take_retry = || self.take_retry_for_resend();
+        let sent = node
+            .backend
+            .send(&node.ex, &node.timers, req, copy_request, take_retry);
         let exchange = async { Some(sent.await) };
-        let too_late = async {
-            let deadline = node.timers.at(self.deadline + LAST_WORD);
+        let timeout = async {
+            let deadline = node.timers.at(self.deadline + DEADLINE_GRACE);
             deadline.or(node.ending.over()).await;
             None
         };
-        match exchange.or(too_late).await {
+        match exchange.or(timeout).await {
             Some(Ok(answered)) => {
                 node.backend_reached(true);
-                self.answered(slot, guard, answered, at_work)
+                self.handle_response(slot, guard, answered, in_progress)
             }
             Some(Err(SendError::Full)) => {
-                at_work.ended();
+                in_progress.ended();
                 slot.release(Outcome::Cancelled);
                 let share = self.context.attempts;
                 refund_attempts(self.refusal_reply(Refusal::Overload), share)
             }
             Some(Err(SendError::NotSent)) => {
-                at_work.ended();
+                in_progress.ended();
                 node.backend_reached(false);
                 slot.release(Outcome::Failed);
                 let share = self.context.attempts;
                 refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), share)
             }
             Some(Err(SendError::Broke)) => {
-                at_work.ended();
+                in_progress.ended();
                 slot.release(Outcome::Failed);
                 let refusal = match crash::broke_off(&node, self.context.names).await {
                     true => Refusal::BackendCrashed,
@@ -186,8 +187,8 @@
         }
     }
 
-    /// A copy of a request that may run twice, for a connection that turns out to be silent.
-    fn copy(&self, req: &Request<Body>) -> Option<Request<Body>> {
+    /// Copies a request that may run twice, so that it can be sent again if a connection doesn't respond.
+    fn copy_request(&self, req: &Request<Body>) -> Option<Request<Body>> {
         if self.kind.at_most_once() || !req.body().is_end_stream() {
             return None;
         }
@@ -198,17 +199,17 @@
         Some(copy)
     }
 
-    /// A second sending may run as a retry does, and is paid for as one. A backend server that has announced that it
-    /// leaves gets none: its acknowledgement says that nothing new reaches it, and the first may be overdue by seconds.
-    fn pays_second_sending(&self) -> bool {
+    /// Takes a second sending from the retry budget, since it may run as a retry does. A backend server that has
+    /// announced its shutdown gets none: it relies on receiving no new requests.
+    fn take_retry_for_resend(&self) -> bool {
         let routed = self.node.routed.as_ref();
-        let takes_none = routed.is_some_and(|routed| routed.serving().is_none());
-        if takes_none || self.is_held() {
+        let accepts_no_requests = routed.is_some_and(|routed| routed.serving().is_none());
+        if accepts_no_requests || self.is_quarantined() {
             return false;
         }
         let state = self.in_force.kind_state(&self.kind);
-        let paid = lock(&state.retries).take(self.node.now());
-        if paid {
+        let taken = lock(&state.retries).take(self.node.now());
+        if taken {
             self.record_event(
                 &events::SENT_AGAIN,
                 vec![Field::new("kind", &self.kind.name)],
@@ -216,10 +217,10 @@
             let labels = [("kind", self.kind.name.as_str())];
             export::count(&self.node, &metrics::RETRIES, &labels);
         }
-        paid
+        taken
     }
 
-    /// The request for the backend server that takes work now; `None` if there is none.
+    /// The request for the backend server that accepts requests now; `None` if there is none.
     fn routed_request(&self, routed: &Routed, mut req: Request<Body>) -> Option<Request<Body>> {
         let names = &routed.dialect.headers;
         let left = self.deadline.saturating_sub(self.node.now()).as_millis();
@@ -251,13 +252,13 @@
         req
     }
 
-    /// The head of an answer is here.
-    fn answered(
+    /// Handles a response whose head has arrived.
+    fn handle_response(
         self,
         slot: Slot,
         guard: ParentGuard,
         answered: Answered,
-        at_work: AtWork,
+        in_progress: AtWork,
     ) -> Reply {
         let Answered {
             mut res,
@@ -267,28 +268,29 @@
         if let Some(keep_alive) = headers::text(res.headers(), "keep-alive") {
             self.node.backend.heard_keep_alive(keep_alive);
         }
-        // Our own headers are ours to say: a backend server can't tell a caller a verdict.
+        // Only daemons set internal headers: a backend server must not send a verdict to a caller.
         headers::strip_internal(res.headers_mut());
         let status = res.status().as_u16();
         let service = self.in_force.bundle.service(&self.kind.service);
-        let word = self.node.routed.as_ref().map(|routed| {
-            let word = routed.judge(self.attempt_id.as_ref(), res.status(), res.headers());
-            if word == Word::NotRun {
+        let response_class = self.node.routed.as_ref().map(|routed| {
+            let response_class =
+                routed.judge(self.attempt_id.as_ref(), res.status(), res.headers());
+            if response_class == Word::NotRun {
                 state::answered_by(&self.node, routed, res.headers());
             }
-            word
+            response_class
         });
         if let Some(routed) = &self.node.routed {
-            // What a backend server says of its load is for its own daemon only.
+            // The reported load is meant only for the backend server's own daemon.
             res.headers_mut().remove(&routed.dialect.headers.load);
         }
-        if word == Some(Word::NotOurs) {
-            at_work.ended();
+        if response_class == Some(Word::NotOurs) {
+            in_progress.ended();
             slot.release(Outcome::Failed);
             return self.failure_reply(&guard, Refusal::BackendBroke);
         }
         let by_status = service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = by_status || word == Some(Word::NotRun);
+        let refused = by_status || response_class == Some(Word::NotRun);
         let drains = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
@@ -296,13 +298,13 @@
             gossip::leave(&self.node, LeavingCause::Backend);
         }
         if refused {
-            at_work.ended();
+            in_progress.ended();
             if res.body().is_end_stream() {
                 lease.give_back();
             }
             slot.release(Outcome::Overloaded);
             if sent_twice {
-                // The other sending may have run.
+                // The other copy may have run.
                 return self.failure_reply(&guard, Refusal::BackendBroke);
             }
             let share = self.context.attempts;
@@ -313,8 +315,8 @@
         let context = AnswerContext {
             verdict: Verdict::Ran,
             attempts_left: lock(&parent.attempts).close(),
-            already_retried: failed && self.a_call_failed(parent),
-            threshold: self.threshold_below(),
+            already_retried: failed && self.has_failed_call(parent),
+            threshold: self.threshold_of_calls(),
             ..AnswerContext::default()
         };
         self.record_event(
@@ -326,29 +328,29 @@
                 Field::new("took_ms", (self.node.now() - self.started).as_millis()),
             ],
         );
-        self.span(failed, status);
-        // Most of the time of a request that was sent twice is that of a silent connection.
+        self.record_span(failed, status);
+        // The duration of a request that was sent twice is mostly that of an unresponsive connection.
         let outcome = if sent_twice {
             Outcome::Cancelled
         } else {
             Outcome::Answered
         };
-        let res = self.stream(slot, outcome, guard, res, (lease, at_work));
+        let res = self.stream(slot, outcome, guard, res, (lease, in_progress));
         let res = Some(Box::new(res));
         Reply { context, res }
     }
 
-    /// Whether a call below failed, so that this failure was retried there already. Where calls name
-    /// no parent, any that failed meanwhile counts.
-    fn a_call_failed(&self, parent: &Parent) -> bool {
+    /// Whether a nested call failed, so that this failure was already retried there. If calls don't name
+    /// their parent, any call that failed since the request started counts.
+    fn has_failed_call(&self, parent: &Parent) -> bool {
         match &self.node.routed {
             None => parent.nested_call_failed.load(Ordering::Relaxed),
             Some(routed) => routed.call_failed.is_after(self.started),
         }
     }
 
-    /// The threshold over everything that this kind calls, as far as it is known here.
-    fn threshold_below(&self) -> Priority {
+    /// The highest known threshold of the kinds that this kind calls.
+    fn threshold_of_calls(&self) -> Priority {
         let now = self.node.now();
         let Some(routed) = &self.node.routed else {
             return self.in_force.threshold_below(&self.kind, now);
@@ -366,21 +368,21 @@
             .threshold_of(calls.iter().map(String::as_str), now)
     }
 
-    /// Passes the body on while it comes; slot, connection and registration end with it.
+    /// Streams the body to the caller; releases slot, connection and registration when it ends.
     fn stream(
         self,
         slot: Slot,
         outcome: Outcome,
         guard: ParentGuard,
         res: Response<Incoming>,
-        (lease, at_work): (Lease, AtWork),
+        (lease, in_progress): (Lease, AtWork),
     ) -> Response<Body> {
-        let one_piece = res
+        let holds_slot = res
             .body()
             .size_hint()
             .exact()
-            .is_some_and(|len| len <= ONE_PIECE_BYTES);
-        let slot = if one_piece {
+            .is_some_and(|len| len <= MAX_SLOT_HOLDING_BYTES);
+        let slot = if holds_slot {
             Some(slot)
         } else {
             slot.release(outcome);
@@ -390,28 +392,32 @@
         let deadline = self.deadline;
         let hop = self;
         res.map(|incoming| {
-            body::guarded_answer(&timers, incoming, deadline, move |whole| {
-                if whole {
+            body::guarded_answer(&timers, incoming, deadline, move |is_complete| {
+                if is_complete {
                     lease.give_back();
-                    at_work.ended();
+                    in_progress.ended();
                     suspects::ran_whole(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
-                    slot.release(if whole { outcome } else { Outcome::Cancelled });
+                    slot.release(if is_complete {
+                        outcome
+                    } else {
+                        Outcome::Cancelled
+                    });
                 }
                 drop((guard, hop));
             })
         })
     }
 
-    /// The exchange with the backend server failed after it may have begun.
+    /// The reply to a call that may have begun before the exchange with the backend server failed.
     fn failure_reply(&self, guard: &ParentGuard, refusal: Refusal) -> Reply {
         let parent = guard.parent();
         let mut reply = self.refusal_reply(refusal);
         reply.context.verdict = Verdict::MayHaveRun;
         reply.context.attempts_left = lock(&parent.attempts).close();
         reply.context.already_retried = parent.nested_call_failed.load(Ordering::Relaxed);
-        self.span(true, refusal.status());
+        self.record_span(true, refusal.status());
         reply
     }
 
@@ -449,7 +455,7 @@
             .record(kind, Some(self.context.request), fields);
     }
 
-    fn span(&self, failed: bool, status: u16) {
+    fn record_span(&self, failed: bool, status: u16) {
         if !self.node.spans.is_enabled() {
             return;
         }
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that the own backend server makes while it works on a request.
+//! Calls that this daemon's backend server makes while it processes a request.
 
 use crate::{
     config::in_force::InForce,
@@ -25,7 +25,7 @@
 use sorrelturn_telemetry::TraceContext;
 use std::{sync::Arc, time::Duration};
 
-/// Answers one call of the own backend server.
+/// Handles one call from this daemon's backend server.
 pub(crate) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let carried = Carried::new(node);
     let parent = find_parent(node, &req);
@@ -35,11 +35,13 @@
     );
     let reply = match &parent {
         Some(parent) => {
-            let over = async {
+            let parent_ended = async {
                 parent.ended().await;
                 Reply::refused(Refusal::Deadline, Verdict::MayHaveRun)
             };
-            answer(node, Some(parent), request, req).or(over).await
+            answer(node, Some(parent), request, req)
+                .or(parent_ended)
+                .await
         }
         None => answer(node, None, request, req).await,
     };
@@ -77,7 +79,7 @@
         None => Some(kind.kind.attempts),
     };
     let Some(share) = share else {
-        // An earlier call with the same token may have run, and only its owner knows.
+        // An earlier call with the same token may have run; only its owner knows.
         let verdict = if kind.at_most_once() {
             Verdict::MayHaveRun
         } else {
@@ -86,10 +88,10 @@
         return Reply::refused(Refusal::AttemptsSpent, verdict).come_back(owner::retry_after(node));
     };
     let context = context(node, parent.map(Arc::as_ref), request, &kind, share);
-    let reply = carry(node, parent, &in_force, kind, context, req).await;
+    let reply = forward_call(node, parent, &in_force, kind, context, req).await;
     if let Some(parent) = parent {
         lock(&parent.attempts).give_back(reply.context.attempts_left);
-        if failed(&reply) {
+        if has_failed(&reply) {
             parent.record_failure();
         }
     }
@@ -106,7 +108,7 @@
 ) -> CallContext {
     let own_deadline = node.now() + Duration::from_millis(kind.kind.deadline_ms.into());
     let deadline = parent.map_or(own_deadline, |parent| parent.deadline.min(own_deadline));
-    let left = deadline.saturating_sub(node.now());
+    let time_left = deadline.saturating_sub(node.now());
     CallContext {
         request,
         trace: parent.map_or(request.0, |parent| parent.context.trace),
@@ -115,7 +117,7 @@
         service: kind.service.clone(),
         importance: parent.map_or(kind.importance(), |parent| parent.context.importance),
         depth: parent.map_or(0, |parent| parent.context.depth.saturating_add(1)),
-        deadline_ms: left.as_millis() as u32,
+        deadline_ms: time_left.as_millis() as u32,
         attempts,
         token: None,
         caller: parent.map_or(CallerId::default(), |parent| parent.context.caller),
@@ -125,7 +127,7 @@
     }
 }
 
-async fn carry(
+async fn forward_call(
     node: &Arc<Node>,
     parent: Option<&Arc<Parent>>,
     in_force: &Arc<InForce>,
@@ -175,15 +177,15 @@
     reply
 }
 
-/// The token of a nested call: the first one's, if the backend server repeats it.
+/// The token of a nested call. If the backend server repeats a call, it keeps the token of the first one.
 async fn token(
     node: &Arc<Node>,
     parent: Option<&Arc<Parent>>,
     call: &Call,
     key: &CallKey,
 ) -> Result<ExecutionToken, Reply> {
-    let known = parent.and_then(|parent| lock(&parent.tokens).get(key));
-    if let Some(token) = known {
+    let existing = parent.and_then(|parent| lock(&parent.tokens).get(key));
+    if let Some(token) = existing {
         return Ok(token);
     }
     let fresh = tokens::obtain(node, call).await?;
@@ -194,11 +196,13 @@
 }
 
 fn call_key(req: &Request<Incoming>) -> CallKey {
-    let own = headers::text(req.headers(), IDEMPOTENCY_KEY);
-    CallKey(own.map_or_else(|| format!("{} {}", req.method(), req.uri()), str::to_owned))
+    let idempotency_key = headers::text(req.headers(), IDEMPOTENCY_KEY);
+    CallKey(
+        idempotency_key.map_or_else(|| format!("{} {}", req.method(), req.uri()), str::to_owned),
+    )
 }
 
-fn failed(reply: &Reply) -> bool {
+fn has_failed(reply: &Reply) -> bool {
     reply
         .res
         .as_ref()
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a call: what is refused before anything else, and which way the rest goes.
+//! The owner's side of a call: early refusals, and the choice between repeatable and at-most-once execution.
 
 use crate::{
     backend::state::Routed,
@@ -32,7 +32,7 @@
     if let Some((routed, kind)) = routed_kind {
         answer.is_call = is_call(node, routed, &kind);
     }
-    // Read before the version, which may only rise meanwhile.
+    // Read before the version, which can only increase in between.
     answer.knowledge_age_ms = node.knowledge_age_ms();
     answer.bundle_version = node.bundle_version();
     answer.incarnation = node.incarnation;
@@ -50,18 +50,18 @@
     reply
 }
 
-/// A request that can't be passed on any more because this run of the daemon is over.
+/// Waits until this incarnation of the daemon shuts down, then refuses a request that can't be forwarded any more.
 pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
     node.ending.over().await;
     Reply::not_run(Refusal::Leaving).come_back(retry_after(node))
 }
 
-/// When a refused caller should come back, from how long the pressure here has lasted.
+/// The Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
 pub(crate) fn retry_after(node: &Node) -> Duration {
-    let lasting = node
+    let pressure_duration = node
         .admission
         .with_gate(|gate, now| gate.pressure_duration(now));
-    RetryAfter::compute(lasting, &mut fastrand::Rng::new())
+    RetryAfter::compute(pressure_duration, &mut fastrand::Rng::new())
 }
 
 async fn admit(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
@@ -72,8 +72,8 @@
     let Some(in_force) = node.in_force.load_full() else {
         return refund_attempts(refuse_token(node, &context, Refusal::NoBundle), share);
     };
-    let known = in_force.bundle.kind(&context.kind).cloned();
-    let Some(kind) = known.or_else(|| kind_of_another_version(node, &context)) else {
+    let local_kind = in_force.bundle.kind(&context.kind).cloned();
+    let Some(kind) = local_kind.or_else(|| kind_from_context(node, &context)) else {
         return refund_attempts(refuse_token(node, &context, Refusal::UnknownKind), share);
     };
     let mut context = context;
@@ -81,8 +81,8 @@
     if let Some(routed) = &node.routed {
         let names = &routed.dialect.headers;
         attempt_id = req.headers().get(&names.request_id).cloned();
-        let from = headers::text(req.headers(), names.caller_service.as_str());
-        lock(&routed.origins).record(&context.kind, from.unwrap_or_default());
+        let caller_service = headers::text(req.headers(), names.caller_service.as_str());
+        lock(&routed.origins).record(&context.kind, caller_service.unwrap_or_default());
         context.depth = u8::from(is_call(node, routed, &context.kind));
     }
     let deadline = node.now() + Duration::from_millis(context.deadline_ms.into());
@@ -105,16 +105,16 @@
     }
 }
 
-/// Whether requests of a kind are calls of backend servers.
+/// Whether requests of a kind are calls from backend servers.
 fn is_call(node: &Node, routed: &Routed, kind: &str) -> bool {
     let routes = node.routes.load();
     let share_of = |service: &str| routes.share_of(service);
     lock(&routed.origins).are_calls(kind, routes.services(), share_of)
 }
 
-/// A route that isn't in force here may be in force where the request began, which decides that;
-/// all that is needed of it comes with the call.
-fn kind_of_another_version(node: &Node, context: &CallContext) -> Option<Arc<KindEntry>> {
+/// Builds an entry for a kind that this daemon's route table lacks. The daemon where the request entered
+/// decides which routes are in force, and the call's context has everything that is needed of the route.
+fn kind_from_context(node: &Node, context: &CallContext) -> Option<Arc<KindEntry>> {
     node.routed.as_ref()?;
     let kind = Kind {
         method: String::new(),
@@ -135,13 +135,13 @@
     )))
 }
 
-/// Hands the whole share of a call that cost no execution back.
+/// Returns all attempts of a call that wasn't executed to its caller.
 pub(crate) fn refund_attempts(mut reply: Reply, share: u32) -> Reply {
     reply.context.attempts_left = share;
     reply
 }
 
-/// A refusal before anything else: the token, if there is one, is spent first.
+/// Refuses a call before it runs. Its token, if it has one, is used up first, so that it can't run later.
 fn refuse_token(node: &Node, context: &CallContext, refusal: Refusal) -> Reply {
     if let Some(token) = context.token {
         let mut ledger = lock(&node.ledger);
@@ -155,14 +155,14 @@
     Reply::not_run(refusal)
 }
 
-/// What a token is bound to: the caller, the kind and the target.
+/// The fingerprint that a token is bound to: a hash of the caller, the kind and the target.
 pub(crate) fn fingerprint(context: &CallContext, target: &str) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&context.caller.0.to_be_bytes());
     hasher.update(context.kind.as_bytes());
     hasher.update(&[0]);
     hasher.update(target.as_bytes());
-    let mut print = [0; 8];
-    hasher.finalize_xof().fill(&mut print);
-    Fingerprint(u64::from_be_bytes(print))
+    let mut bytes = [0; 8];
+    hasher.finalize_xof().fill(&mut bytes);
+    Fingerprint(u64::from_be_bytes(bytes))
 }
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -17,12 +17,12 @@
 use sorrelturn_telemetry::events;
 use std::sync::Arc;
 
-/// The largest answer of an at-most-once request that is kept for repeats.
-const KEPT_ANSWER_BYTES: usize = 64 << 10;
+/// The largest response body of an at-most-once request that is recorded for repeats.
+const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
 impl Hop {
-    /// A call that runs at most once. It goes on when its caller goes away, so that its outcome
-    /// is known.
+    /// Runs a call at most once. The call continues if its caller disconnects, so that its outcome
+    /// is recorded.
     pub(crate) async fn run_at_most_once(self, token: ExecutionToken, req: Request<Body>) -> Reply {
         let target = req
             .uri()
@@ -34,49 +34,47 @@
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
             BeginResult::Run => {}
-            BeginResult::Recorded(outcome) => {
-                return refund_attempts(self.recorded(outcome), share);
-            }
-            other => return refund_attempts(self.not_begun(&other), share),
+            BeginResult::Recorded(outcome) => return refund_attempts(self.replay(outcome), share),
+            other => return refund_attempts(self.not_begun_reply(&other), share),
         }
-        let spent = SpentToken {
+        let execution = TokenExecution {
             node: Arc::clone(&node),
             token,
             forwarded: false,
             ended: false,
         };
         let (tx, rx) = channel::bounded(1);
-        let run = async move {
-            // Nobody listens any more when the caller has gone; the outcome is noted all the same.
-            let _ = tx.send(self.run_once(spent, req).await).await;
+        let task = async move {
+            // Sending fails if the caller has disconnected; the outcome is recorded anyway.
+            let _ = tx.send(self.execute(execution, req).await).await;
         };
-        node.ex.spawn(run).detach();
+        node.ex.spawn(task).detach();
         rx.recv()
             .await
             .unwrap_or_else(|_| Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun))
     }
 
-    async fn run_once(self, mut spent: SpentToken, req: Request<Body>) -> Reply {
+    async fn execute(self, mut execution: TokenExecution, req: Request<Body>) -> Reply {
         let share = self.context.attempts;
         if self.node.is_leaving() {
-            spent.refuse();
+            execution.refuse();
             return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         }
         let slot = match self.acquire_slot().await {
             Ok(slot) => slot,
             Err(refusal) => {
-                spent.refuse();
+                execution.refuse();
                 return refund_attempts(self.refusal_reply(refusal), share);
             }
         };
-        spent.forwarded = true;
+        execution.forwarded = true;
         let mut reply = self.forward(slot, req).await;
         if reply.context.verdict == Verdict::NotRun {
-            spent.refuse();
+            execution.refuse();
             return reply;
         }
         let Some(res) = reply.res.take() else {
-            spent.end(reply.context.verdict, 502, None, None);
+            execution.end(reply.context.verdict, 502, None, None);
             return reply;
         };
         let (head, body) = res.into_parts();
@@ -84,25 +82,25 @@
         let status = head.status.as_u16();
         let body = match collect(body).await {
             Collected::Whole(bytes) => {
-                spent.end(Verdict::Ran, status, content_type, Some(bytes.to_vec()));
+                execution.end(Verdict::Ran, status, content_type, Some(bytes.to_vec()));
                 body::full(bytes)
             }
             Collected::TooLarge(body) => {
-                spent.end(Verdict::Ran, status, content_type, None);
+                execution.end(Verdict::Ran, status, content_type, None);
                 body
             }
-            Collected::Broke => {
-                spent.end(Verdict::MayHaveRun, 502, None, None);
-                let mut broke = Reply::refused(Refusal::BackendBroke, Verdict::MayHaveRun);
-                broke.context.attempts_left = reply.context.attempts_left;
-                return broke;
+            Collected::Failed => {
+                execution.end(Verdict::MayHaveRun, 502, None, None);
+                let mut failure = Reply::refused(Refusal::BackendBroke, Verdict::MayHaveRun);
+                failure.context.attempts_left = reply.context.attempts_left;
+                return failure;
             }
         };
         reply.res = Some(Box::new(Response::from_parts(head, body)));
         reply
     }
 
-    fn recorded(&self, outcome: OnceOutcome) -> Reply {
+    fn replay(&self, outcome: OnceOutcome) -> Reply {
         self.record_event(&events::RECORDED_ANSWER, Vec::new());
         let Some(body) = outcome.body else {
             return Reply::refused(Refusal::OutcomeUnknown, outcome.verdict);
@@ -117,7 +115,7 @@
         Reply::answered(outcome.verdict, res)
     }
 
-    fn not_begun(&self, begin: &BeginResult) -> Reply {
+    fn not_begun_reply(&self, begin: &BeginResult) -> Reply {
         let (refusal, verdict) = match begin {
             BeginResult::Running => (Refusal::StillRunning, Verdict::MayHaveRun),
             BeginResult::Refused => (Refusal::Tombstone, Verdict::NotRun),
@@ -131,15 +129,15 @@
     }
 }
 
-/// A token whose one execution is under way; whatever happens, its end is noted.
-struct SpentToken {
+/// A token whose only execution is in progress. Its outcome is recorded when it ends or is dropped.
+struct TokenExecution {
     node: Arc<Node>,
     token: ExecutionToken,
     forwarded: bool,
     ended: bool,
 }
 
-impl SpentToken {
+impl TokenExecution {
     fn refuse(&mut self) {
         self.ended = true;
         lock(&self.node.ledger).refuse(&self.token);
@@ -163,7 +161,7 @@
     }
 }
 
-impl Drop for SpentToken {
+impl Drop for TokenExecution {
     fn drop(&mut self) {
         if self.ended {
             return;
@@ -179,20 +177,20 @@
 enum Collected {
     Whole(Bytes),
     TooLarge(Body),
-    Broke,
+    Failed,
 }
 
-/// Reads a body up to the size that is kept; a larger one streams on behind what was read.
+/// Reads a body up to `MAX_RECORDED_BODY_BYTES`. A larger one continues as a stream after the bytes already read.
 async fn collect(mut body: Body) -> Collected {
     let mut read = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return Collected::Broke;
+            return Collected::Failed;
         };
         if let Ok(data) = frame.into_data() {
             read.extend_from_slice(&data);
         }
-        if read.len() > KEPT_ANSWER_BYTES {
+        if read.len() > MAX_RECORDED_BODY_BYTES {
             return Collected::TooLarge(body::prefixed(read, body));
         }
     }
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -1,4 +1,4 @@
-//! The requests that this VM's backend server works on, by which its nested calls are recognised.
+//! The requests in progress at this VM's backend server, used to find the parents of its nested calls.
 
 use crate::node::lock;
 use smol::channel::{self, Receiver, Sender};
@@ -14,39 +14,39 @@
     time::Duration,
 };
 
-/// Deadlines travel in whole milliseconds, so the same one may seem this much apart.
+/// Deadlines are sent in whole milliseconds, so two readings of one deadline may differ by this much.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
-/// One request at the backend server.
+/// One request in progress at the backend server.
 pub(crate) struct Parent {
-    /// The call that brought it.
+    /// The context of the call that carried the request.
     pub(crate) context: CallContext,
     /// The span of this hop.
     pub(crate) span: SpanId,
-    /// When its answer is of no more use.
+    /// After this time nobody waits for the response.
     pub(crate) deadline: Now,
-    /// The attempts left for its nested calls.
+    /// The attempts that remain for its nested calls.
     pub(crate) attempts: Mutex<AttemptPool>,
     /// The tokens of its nested calls.
     pub(crate) tokens: Mutex<NestedTokens>,
-    /// Whether a nested call failed for good, so that a failure of the parent is not retried.
+    /// Whether a nested call has failed after its retries; a failure of the parent is not retried then.
     pub(crate) nested_call_failed: AtomicBool,
     cancelled: Receiver<()>,
 }
 
 impl Parent {
-    /// Waits until the parent is over; its nested calls are of no more use then.
+    /// Waits until the parent ends; its nested calls are cancelled then.
     pub(crate) async fn ended(&self) {
         let _ = self.cancelled.recv().await;
     }
 
-    /// Notes a nested call that failed for good.
+    /// Records that a nested call has failed after its retries.
     pub(crate) fn record_failure(&self) {
         self.nested_call_failed.store(true, Ordering::Relaxed);
     }
 }
 
-/// All requests at the backend server.
+/// All requests in progress at the backend server.
 #[derive(Default)]
 pub(crate) struct Parents {
     inner: Mutex<Inner>,
@@ -55,28 +55,31 @@
 #[derive(Default)]
 struct Inner {
     by_span: HashMap<SpanId, Arc<Parent>>,
-    by_kind: Vec<OfKind>,
+    by_kind: Vec<KindDeadlines>,
     totals: InProgressRequests,
 }
 
-/// When the requests of one kind end. Each call of the backend server looks at all that it works on, a hundred and
-/// more at a busy one, so they lie side by side.
-struct OfKind {
+/// The deadlines of the requests of one kind, stored contiguously: each call from the backend server scans all
+/// requests in progress.
+struct KindDeadlines {
     kind: String,
-    ends: Vec<(SpanId, Now)>,
+    deadlines: Vec<(SpanId, Now)>,
 }
 
 impl Inner {
     fn begin(&mut self, parent: &Arc<Parent>) {
         let context = &parent.context;
         self.totals.begin(context.level, context.repeated);
-        let end = (parent.span, parent.deadline);
-        let known = self.by_kind.iter_mut().find(|of| of.kind == context.kind);
-        match known {
-            Some(of) => of.ends.push(end),
-            None => self.by_kind.push(OfKind {
+        let entry = (parent.span, parent.deadline);
+        let group = self
+            .by_kind
+            .iter_mut()
+            .find(|group| group.kind == context.kind);
+        match group {
+            Some(group) => group.deadlines.push(entry),
+            None => self.by_kind.push(KindDeadlines {
                 kind: context.kind.clone(),
-                ends: vec![end],
+                deadlines: vec![entry],
             }),
         }
         self.by_span.insert(parent.span, Arc::clone(parent));
@@ -85,34 +88,37 @@
     fn end(&mut self, parent: &Parent) {
         let context = &parent.context;
         self.totals.end(context.level, context.repeated);
-        let place = self.by_kind.iter().position(|of| of.kind == context.kind);
-        if let Some(place) = place {
-            let ends = &mut self.by_kind[place].ends;
-            let gone = ends.iter().position(|(span, _)| *span == parent.span);
-            if let Some(at) = gone {
-                ends.swap_remove(at);
+        let group_index = self
+            .by_kind
+            .iter()
+            .position(|group| group.kind == context.kind);
+        if let Some(group_index) = group_index {
+            let deadlines = &mut self.by_kind[group_index].deadlines;
+            let index = deadlines.iter().position(|(span, _)| *span == parent.span);
+            if let Some(at) = index {
+                deadlines.swap_remove(at);
             }
-            if ends.is_empty() {
-                self.by_kind.swap_remove(place);
+            if deadlines.is_empty() {
+                self.by_kind.swap_remove(group_index);
             }
         }
         self.by_span.remove(&parent.span);
     }
 }
 
-impl OfKind {
-    /// Those that may have made a call that ends at `end`: the ones that end with it, and the ones that end later.
-    fn candidate_parents(&self, end: Now) -> impl Iterator<Item = Candidate> {
-        let (mut with_it, mut later) = (0, 0);
-        for (_, own_end) in &self.ends {
-            with_it += u32::from(own_end.abs_diff(end) <= DEADLINE_TOLERANCE);
-            later += u32::from(*own_end > end + DEADLINE_TOLERANCE);
+impl KindDeadlines {
+    /// The requests that may have made a call with this deadline: those with the same deadline and those with a later one.
+    fn candidate_parents(&self, call_deadline: Now) -> impl Iterator<Item = Candidate> {
+        let (mut same_deadline, mut later) = (0, 0);
+        for (_, deadline) in &self.deadlines {
+            same_deadline += u32::from(deadline.abs_diff(call_deadline) <= DEADLINE_TOLERANCE);
+            later += u32::from(*deadline > call_deadline + DEADLINE_TOLERANCE);
         }
-        let groups = [(true, with_it), (false, later)].into_iter();
+        let groups = [(true, same_deadline), (false, later)].into_iter();
         let groups = groups.filter(|(_, count)| *count > 0);
-        groups.map(|(same_end, count)| Candidate {
+        groups.map(|(is_same, count)| Candidate {
             kind: self.kind.clone(),
-            has_same_deadline: same_end,
+            has_same_deadline: is_same,
             count,
         })
     }
@@ -132,11 +138,11 @@
         context: CallContext,
         span: SpanId,
         deadline: Now,
-        need: u32,
+        min_executions: u32,
     ) -> Self {
         let (cancel, cancelled) = channel::bounded(1);
         let parent = Arc::new(Parent {
-            attempts: Mutex::new(AttemptPool::new(context.attempts, need)),
+            attempts: Mutex::new(AttemptPool::new(context.attempts, min_executions)),
             tokens: Mutex::default(),
             nested_call_failed: AtomicBool::new(false),
             context,
@@ -152,7 +158,7 @@
         }
     }
 
-    /// The request.
+    /// The registered request.
     pub(crate) fn parent(&self) -> &Parent {
         &self.parent
     }
@@ -165,9 +171,9 @@
 }
 
 impl Parents {
-    /// The request that a nested call belongs to: by its span, else by its trace if only one
-    /// request of that trace is here. Backend servers that make spans of their own pass only the
-    /// trace on.
+    /// Finds the request that a nested call belongs to: by its span, or else by its trace if only one
+    /// request of that trace is in progress. Backend servers that create their own spans forward only
+    /// the trace.
     pub(crate) fn find(&self, span: Option<SpanId>, trace: Option<u128>) -> Option<Arc<Parent>> {
         let inner = lock(&self.inner);
         if let Some(parent) = span.and_then(|span| inner.by_span.get(&span)) {
@@ -182,18 +188,18 @@
         of_trace.next().is_none().then(|| Arc::clone(only))
     }
 
-    /// What is known of all together.
+    /// Counts over all requests in progress.
     pub(crate) fn totals(&self) -> InProgressRequests {
         lock(&self.inner).totals
     }
 
-    /// The requests that may have made a call that ends at `end`, in groups.
-    pub(crate) fn candidate_parents(&self, end: Now) -> Vec<Candidate> {
+    /// The requests that may have made a call with this deadline, grouped by kind.
+    pub(crate) fn candidate_parents(&self, call_deadline: Now) -> Vec<Candidate> {
         let inner = lock(&self.inner);
         let groups = inner
             .by_kind
             .iter()
-            .flat_map(|of| of.candidate_parents(end));
+            .flat_map(|group| group.candidate_parents(call_deadline));
         groups.collect()
     }
 }
