--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -44,7 +44,7 @@
 /// Extra time after the deadline in which a backend server that stops at the deadline can report it.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// One call at its owner.
+/// One call at the daemon that owns it, with everything its execution needs.
 pub(crate) struct Hop {
     pub(crate) node: Arc<Node>,
     pub(crate) in_force: Arc<InForce>,
@@ -223,15 +223,15 @@
     /// The request for the backend server that accepts requests now; `None` if there is none.
     fn routed_request(&self, routed: &Routed, mut req: Request<Body>) -> Option<Request<Body>> {
         let names = &routed.dialect.headers;
-        let left = self.deadline.saturating_sub(self.node.now()).as_millis();
+        let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let headers = req.headers_mut();
         headers.insert(names.expected_backend.clone(), routed.serving()?);
-        headers.insert(names.time_left_ms.clone(), (left as u64).into());
+        headers.insert(names.time_left_ms.clone(), (time_left as u64).into());
         Some(req)
     }
 
     fn backend_request(&self, mut req: Request<Body>) -> Request<Body> {
-        let left = self.deadline.saturating_sub(self.node.now()).as_millis();
+        let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let trace = TraceContext {
             trace: self.context.trace,
             parent: self.span,
@@ -244,10 +244,10 @@
         headers::set(headers, REQUEST_ID, &self.context.request.to_string());
         headers::set(headers, PARENT, &self.span.to_string());
         headers::set(headers, IMPORTANCE, self.context.importance.name());
-        headers::set(headers, DEADLINE_MS, &left.to_string());
+        headers::set(headers, DEADLINE_MS, &time_left.to_string());
         headers::set(headers, TRACEPARENT, &trace.to_string());
         if let Some(Ok(name)) = deadline_header.map(str::parse::<hyper::header::HeaderName>) {
-            headers.insert(name, (left as u64).into());
+            headers.insert(name, (time_left as u64).into());
         }
         req
     }
@@ -289,12 +289,13 @@
             slot.release(Outcome::Failed);
             return self.failure_reply(&guard, Refusal::BackendBroke);
         }
-        let by_status = service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = by_status || response_class == Some(Word::NotRun);
-        let drains = service
+        let is_refused_status =
+            service.is_some_and(|service| service.refused_statuses.contains(&status));
+        let refused = is_refused_status || response_class == Some(Word::NotRun);
+        let is_draining = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
-        if drains {
+        if is_draining {
             gossip::leave(&self.node, LeavingCause::Backend);
         }
         if refused {
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -1,4 +1,4 @@
-//! Who asks: the credential that a request shows, and the workspace that holds it.
+//! Identifies callers: the credential of a request and the workspace that it belongs to.
 
 use crate::{
     backend::state::Routed, config::in_force::InForce, config::knowledge, node::Node,
@@ -11,40 +11,40 @@
 use sorrelturn_telemetry::{Field, events};
 use std::{sync::Arc, time::Duration};
 
-/// Somebody whose credential can't be judged now is told to come back after this: reads follow one another sooner.
-const JUDGED_LATER: Duration = Duration::from_millis(1_000);
-/// How often unknown credentials are noted, however many come.
-const NOTE_EVERY: Duration = Duration::from_secs(1);
+/// The Retry-After time if a credential can't be checked now; longer than the interval between reads of the table.
+const CREDENTIAL_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// The shortest time between two events about unknown credentials.
+const UNKNOWN_CREDENTIAL_EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a request asks for, and in whose name.
+/// The route of a request and the workspace that sent it.
 pub(crate) struct Identified {
     pub(crate) in_force: Arc<InForce>,
     pub(crate) route: Arc<RouteEntry>,
-    /// Absent on open routes, and where there are no workspaces.
+    /// `None` on open routes without a credential, and if there are no workspaces.
     pub(crate) workspace: Option<Arc<WorkspaceEntry>>,
 }
 
 /// Finds the route and the workspace of a request.
 ///
-/// "Unknown" ends a caller's tries for good, so it is said only if the table that doesn't know the credential was
-/// the newest one when the request arrived; until that is known the answer is to come back.
+/// A caller doesn't retry after `UnknownCaller`, so this refusal is sent only if the table without the credential
+/// was the newest one when the request arrived. Until that is known, the caller is told to retry later.
 pub(crate) async fn identify(
     node: &Arc<Node>,
     routed: &Routed,
     headers: &HeaderMap,
-    place: (&str, &str),
-    arrived: Now,
+    host_and_path: (&str, &str),
+    arrived_at: Now,
 ) -> Result<Identified, Reply> {
-    let (host, path) = place;
-    let shown = shown(headers, routed)?;
-    let later = || Reply::not_run(Refusal::StaleKnowledge).come_back(JUDGED_LATER);
+    let (host, path) = host_and_path;
+    let presented = presented_credential(headers, routed)?;
+    let retry_later = || Reply::not_run(Refusal::StaleKnowledge).come_back(CREDENTIAL_RETRY_AFTER);
     loop {
         let in_force = node.in_force.load_full();
         let no_bundle = || Reply::not_run(Refusal::NoBundle).come_back(owner::retry_after(node));
         let in_force = in_force.ok_or_else(no_bundle)?;
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
-        match who_asks(&in_force.bundle, &route, shown.as_ref()) {
+        match requesting_workspace(&in_force.bundle, &route, presented.as_ref()) {
             Some(workspace) if workspace.is_none() || knowledge::is_valid(node, node.now()) => {
                 if workspace.is_some() {
                     knowledge::refresh(node);
@@ -57,29 +57,29 @@
             }
             Some(_) => {
                 if !knowledge::wait_until(node, || knowledge::is_valid(node, node.now())).await {
-                    return Err(later());
+                    return Err(retry_later());
                 }
             }
-            None if is_unknown(node, shown, arrived) => {
-                note_unknown(node, routed, shown.as_ref());
+            None if is_unknown(node, presented, arrived_at) => {
+                record_unknown_credential(node, routed, presented.as_ref());
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
             None => {
-                let may_prove = node.knowledge.may_prove(node.now());
-                if !may_prove
-                    || !knowledge::wait_until(node, || node.knowledge.covers(arrived)).await
+                let may_read = node.knowledge.may_prove(node.now());
+                if !may_read
+                    || !knowledge::wait_until(node, || node.knowledge.covers(arrived_at)).await
                 {
-                    return Err(later());
+                    return Err(retry_later());
                 }
             }
         }
     }
 }
 
-/// Whether it is certain that no table holds the credential that a request shows.
-fn is_unknown(node: &Node, shown: Option<CredentialHash>, arrived: Now) -> bool {
-    let covers = node.knowledge.covers(arrived);
-    match shown {
+/// Whether it is certain that no table contains the credential of a request.
+fn is_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
+    let covers = node.knowledge.covers(arrived_at);
+    match presented {
         Some(credential) if covers => node.knowledge.note_unknown(credential),
         Some(credential) => {
             let is_valid = knowledge::is_valid(node, node.now());
@@ -90,38 +90,41 @@
     covers
 }
 
-/// The workspace in whose name a request comes, if it needs one; `None` if it shows no credential that is valid.
-fn who_asks(
+/// The workspace that sent a request, if it needs one; `None` if the request has no valid credential.
+fn requesting_workspace(
     bundle: &Bundle,
     route: &RouteEntry,
-    shown: Option<&CredentialHash>,
+    presented: Option<&CredentialHash>,
 ) -> Option<Option<Arc<WorkspaceEntry>>> {
     if !bundle.has_workspaces() {
         return Some(None);
     }
-    match shown {
+    match presented {
         Some(credential) => bundle.workspace_of(credential).cloned().map(Some),
         None => route.open.then_some(None),
     }
 }
 
-/// The hash of the credential that a request shows. Two of them leave open in whose name it comes.
-fn shown(headers: &HeaderMap, routed: &Routed) -> Result<Option<CredentialHash>, Reply> {
-    let mut shown = headers.get_all(&routed.dialect.headers.credential).iter();
-    match (shown.next(), shown.next()) {
+/// The hash of a request's credential. A request with two credentials is malformed, since its sender is ambiguous.
+fn presented_credential(
+    headers: &HeaderMap,
+    routed: &Routed,
+) -> Result<Option<CredentialHash>, Reply> {
+    let mut credentials = headers.get_all(&routed.dialect.headers.credential).iter();
+    match (credentials.next(), credentials.next()) {
         (Some(_), Some(_)) => Err(Reply::not_run(Refusal::Malformed)),
         (Some(credential), None) => Ok(Some(CredentialHash::of(credential.as_bytes()))),
         _ => Ok(None),
     }
 }
 
-fn note_unknown(node: &Node, routed: &Routed, shown: Option<&CredentialHash>) {
+fn record_unknown_credential(node: &Node, routed: &Routed, presented: Option<&CredentialHash>) {
     let now = node.now();
-    if routed.noted_unknown.elapsed_since(now) < NOTE_EVERY {
+    if routed.noted_unknown.elapsed_since(now) < UNKNOWN_CREDENTIAL_EVENT_INTERVAL {
         return;
     }
     routed.noted_unknown.set(now);
-    let credential = shown.map_or_else(|| "none".to_owned(), CredentialHash::short);
+    let credential = presented.map_or_else(|| "none".to_owned(), CredentialHash::short);
     node.note(
         &events::CREDENTIAL_UNKNOWN,
         vec![Field::new("credential", credential)],
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -1,5 +1,5 @@
-//! The entry for requests whose kind is told by host and path prefix: those of callers on this VM
-//! and those of the own backend server.
+//! The entry for requests whose kind is determined by host and path prefix, from callers on this VM
+//! and from this daemon's backend server.
 
 use crate::{
     backend::state::Routed,
@@ -33,30 +33,30 @@
     time::Duration,
 };
 
-/// When the connection of a request was opened.
+/// Whether the connection of a request was opened before or after the daemon started to shut down.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionPhase {
-    /// While the daemon takes callers' requests.
+    /// The daemon accepts requests from callers.
     Accepting,
-    /// While connections of callers end, since the daemon stops: only calls of the own backend server are
-    /// taken. Callers were told by the readiness and by the end of their open connections.
+    /// The daemon shuts down and accepts only calls from its own backend server. Callers are notified by the
+    /// readiness check and by the closing of their open connections.
     Draining,
 }
 
-/// A request before it is forwarded.
-struct Asked {
+/// A request whose route and caller are known, before it is forwarded.
+struct ResolvedRequest {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
-    /// In whose name it comes, where a credential stands behind it.
+    /// The workspace that the credential belongs to, if the request has one.
     workspace: Option<Arc<WorkspaceEntry>>,
     request: RequestId,
-    /// The level of load that was learnt from all who answer requests of this kind, with all that
+    /// The shedding level learned from the responses to requests of this kind; it covers everything that
     /// they call.
     level: u16,
-    /// Whether it is a call of the own backend server.
+    /// Whether the request is a call from this daemon's backend server.
     is_call: bool,
-    /// What the caller says that it will still wait.
-    left_ms: Option<u32>,
+    /// The remaining time that the caller sent.
+    remaining_ms: Option<u32>,
     deadline: Now,
 }
 
@@ -64,21 +64,21 @@
 pub(crate) async fn serve(
     node: &Arc<Node>,
     req: Request<Incoming>,
-    arrives: ConnectionPhase,
+    phase: ConnectionPhase,
 ) -> Response<Body> {
     let Some(routed) = &node.routed else {
         return crate::net::serve::status(StatusCode::NOT_FOUND);
     };
     let carried = Carried::new(node);
-    let arrived = node.now();
+    let arrived_at = node.now();
     let id = req.headers().get(&routed.dialect.headers.request_id);
     let id = id.cloned();
     let request = request_id(id.as_ref());
-    let asked = ask(node, routed, &req, request, arrived, arrives).await;
-    let (importance, kind, reply) = match asked {
-        Ok(asked) => {
-            let (importance, kind) = (asked.kind.importance(), Arc::clone(&asked.kind));
-            let reply = carry(node, routed, asked, req).await;
+    let resolved = resolve(node, routed, &req, request, arrived_at, phase).await;
+    let (importance, kind, reply) = match resolved {
+        Ok(resolved) => {
+            let (importance, kind) = (resolved.kind.importance(), Arc::clone(&resolved.kind));
+            let reply = forward_request(node, routed, resolved, req).await;
             (importance.name(), Some(kind), reply)
         }
         Err(reply) => ("none", None, reply),
@@ -90,20 +90,20 @@
             &[("reason", refusal.name())],
         );
     }
-    // Whoever sends unknown credentials gets no line each; one a second tells of them.
+    // Unknown credentials are recorded at most once per second, not once per request.
     if reply.context.refusal != Some(Refusal::UnknownCaller) {
-        note(node, request, kind.as_deref(), arrived, &reply);
+        record_request_done(node, request, kind.as_deref(), arrived_at, &reply);
     }
     export::request_done(
         node,
         importance,
         reply.context.verdict,
-        node.now() - arrived,
+        node.now() - arrived_at,
     );
     into_response(routed, id, reply, carried)
 }
 
-/// The id for events: what the caller sent where it is a number in hexadecimal, else its hash.
+/// The id for events: the caller's id if it is a hexadecimal number, else its hash.
 fn request_id(id: Option<&HeaderValue>) -> RequestId {
     let text = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
     text.parse().unwrap_or_else(|_| {
@@ -114,23 +114,23 @@
     })
 }
 
-/// Finds what the request asks for.
-async fn ask(
+/// Finds the route, the kind and the workspace of a request, and admits it or refuses it.
+async fn resolve(
     node: &Arc<Node>,
     routed: &Routed,
     req: &Request<Incoming>,
     request: RequestId,
-    arrived: Now,
-    arrives: ConnectionPhase,
-) -> Result<Asked, Reply> {
+    arrived_at: Now,
+    phase: ConnectionPhase,
+) -> Result<ResolvedRequest, Reply> {
     let headers = req.headers();
     if ambiguous(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
         return Err(Reply::not_run(Refusal::Malformed));
     }
     let host = headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or(req.uri().host()).unwrap_or_default();
-    let place = (host, req.uri().path());
-    let identified = identity::identify(node, routed, headers, place, arrived).await?;
+    let host_and_path = (host, req.uri().path());
+    let identified = identity::identify(node, routed, headers, host_and_path, arrived_at).await?;
     let Identified {
         in_force,
         route,
@@ -144,108 +144,117 @@
     if body_bytes > in_force.bundle.limits().body_bytes {
         return Err(Reply::not_run(Refusal::TooLarge));
     }
-    let left_ms = headers::text(headers, routed.dialect.headers.time_left_ms.as_str())
+    let remaining_ms = headers::text(headers, routed.dialect.headers.time_left_ms.as_str())
         .and_then(|text| text.trim().parse::<u32>().ok());
-    let wait_ms = left_ms.unwrap_or(u32::MAX).min(kind.kind.deadline_ms);
+    let deadline_ms = remaining_ms.unwrap_or(u32::MAX).min(kind.kind.deadline_ms);
     let state = in_force.kind_state(&kind);
-    let asked = Asked {
+    let resolved = ResolvedRequest {
         level: state.threshold.current(node.now()).0,
         in_force,
         kind,
         request,
         is_call: workspace.is_none() && state.is_call.load(Ordering::Relaxed),
-        left_ms,
-        deadline: arrived + Duration::from_millis(wait_ms.into()),
+        remaining_ms,
+        deadline: arrived_at + Duration::from_millis(deadline_ms.into()),
         workspace,
     };
-    admit(node, routed, &asked, &state, arrives)?;
-    // Only what runs counts against a quota, so it is taken last: else a workspace that presses would pay for what is
-    // refused for lack of room as well, and get next to nothing.
-    if let Some(workspace) = &asked.workspace {
+    admit(node, routed, &resolved, &state, phase)?;
+    // The quota comes last, so that requests refused by load shedding don't count against it.
+    if let Some(workspace) = &resolved.workspace {
         quota::take(node, workspace, request).await?;
     }
-    Ok(asked)
+    Ok(resolved)
 }
 
-/// Refuses here what would be refused deeper after work was done for it. A call of the own backend
-/// server holds such work already and is let through.
+/// Refuses a request that would be refused further down after work was done for it. A call from this daemon's
+/// backend server belongs to work in progress and is always admitted.
 fn admit(
     node: &Node,
     routed: &Routed,
-    asked: &Asked,
+    resolved: &ResolvedRequest,
     state: &KindState,
-    arrives: ConnectionPhase,
+    phase: ConnectionPhase,
 ) -> Result<(), Reply> {
-    if asked.is_call {
-        let groups = node.parents.candidate_parents(asked.deadline);
-        lock(&routed.graph).record_call(&asked.kind.name, &groups);
+    if resolved.is_call {
+        let groups = node.parents.candidate_parents(resolved.deadline);
+        lock(&routed.graph).record_call(&resolved.kind.name, &groups);
         return Ok(());
     }
-    if arrives == ConnectionPhase::Draining {
+    if phase == ConnectionPhase::Draining {
         return Err(Reply::not_run(Refusal::Leaving).come_back(owner::retry_after(node)));
     }
-    let was_tried = asked
-        .left_ms
-        .is_some_and(|left_ms| lock(&state.first_tries).observe(left_ms));
-    let (rank_of_kind, ranks) = asked.in_force.rank_of_root(asked.kind.importance());
-    // A workspace that matters more goes before what its requests' kinds say among the others.
-    let rank = rank_of_kind + asked.in_force.steps_above(asked.workspace.as_deref());
-    let mut bucket = asked.request.shedding_bucket();
-    if asked.in_force.is_once_among_repeatable(&asked.kind) {
+    let is_retry = resolved
+        .remaining_ms
+        .is_some_and(|remaining_ms| lock(&state.first_tries).observe(remaining_ms));
+    let (kind_rank, ranks) = resolved.in_force.rank_of_root(resolved.kind.importance());
+    // A workspace of higher importance raises the rank of its requests.
+    let rank = kind_rank + resolved.in_force.steps_above(resolved.workspace.as_deref());
+    let mut bucket = resolved.request.shedding_bucket();
+    if resolved.in_force.is_once_among_repeatable(&resolved.kind) {
         bucket = bucket_for_at_most_once(bucket);
     }
-    if was_tried {
+    if is_retry {
         bucket = bucket_for_retry(bucket, rank);
     }
-    if !refuses(asked.level, rank, ranks, bucket) {
+    if !refuses(resolved.level, rank, ranks, bucket) {
         return Ok(());
     }
     node.events.record(
         &events::REFUSED,
-        Some(asked.request),
+        Some(resolved.request),
         vec![
-            Field::new("kind", &asked.kind.name),
+            Field::new("kind", &resolved.kind.name),
             Field::new("reason", Refusal::Overload.name()),
-            Field::new("level", asked.level),
+            Field::new("level", resolved.level),
             Field::new("rank", rank),
             Field::new("bucket", bucket),
-            Field::new("was_tried", was_tried),
+            Field::new("was_tried", is_retry),
         ],
     );
-    let come_back = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
-    Err(Reply::not_run(Refusal::Overload).come_back(come_back))
+    let retry_after = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
+    Err(Reply::not_run(Refusal::Overload).come_back(retry_after))
 }
 
-async fn carry(node: &Arc<Node>, routed: &Routed, asked: Asked, req: Request<Incoming>) -> Reply {
+async fn forward_request(
+    node: &Arc<Node>,
+    routed: &Routed,
+    resolved: ResolvedRequest,
+    req: Request<Incoming>,
+) -> Reply {
     let (mut parts, incoming) = req.into_parts();
     let read = Payload::read(&node.timers, incoming);
-    let ends = async { Err(owner::refuse_at_shutdown(node).await) };
-    let payload = match read.or(ends).await {
+    let shutdown = async { Err(owner::refuse_at_shutdown(node).await) };
+    let payload = match read.or(shutdown).await {
         Ok(payload) => payload,
         Err(refused) => return refused,
     };
-    prepare_headers(node, routed, asked.workspace.as_deref(), &mut parts.headers);
+    prepare_headers(
+        node,
+        routed,
+        resolved.workspace.as_deref(),
+        &mut parts.headers,
+    );
     let target = target(&parts.uri);
-    let caller = asked
+    let caller = resolved
         .workspace
         .as_ref()
         .map_or(CallerId::default(), |workspace| workspace.id);
     let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
-    let worked_on = node.parents.totals();
-    let (level, for_repeat) = match asked.is_call {
-        true => (worked_on.mean_level(), worked_on.repeated_fraction()),
-        false => (asked.level, 0.0),
+    let in_progress = node.parents.totals();
+    let (level, for_repeat) = match resolved.is_call {
+        true => (in_progress.mean_level(), in_progress.repeated_fraction()),
+        false => (resolved.level, 0.0),
     };
     let context = CallContext {
-        request: asked.request,
-        trace: asked.request.0,
+        request: resolved.request,
+        trace: resolved.request.0,
         parent: SpanId::default(),
-        kind: asked.kind.name.clone(),
-        service: asked.kind.service.clone(),
-        importance: asked.kind.importance(),
+        kind: resolved.kind.name.clone(),
+        service: resolved.kind.service.clone(),
+        importance: resolved.kind.importance(),
         depth: 0,
-        deadline_ms: asked.kind.kind.deadline_ms,
-        attempts: asked.kind.kind.attempts,
+        deadline_ms: resolved.kind.kind.deadline_ms,
+        attempts: resolved.kind.kind.attempts,
         token: None,
         caller,
         level,
@@ -253,10 +262,10 @@
         names,
     };
     let mut call = Call {
-        in_force: asked.in_force,
-        kind: asked.kind,
+        in_force: resolved.in_force,
+        kind: resolved.kind,
         context,
-        deadline: asked.deadline,
+        deadline: resolved.deadline,
         method: parts.method,
         target,
         headers: parts.headers,
@@ -264,9 +273,9 @@
         for_repeat,
     };
     let reply = forward::call(node, &mut call).await;
-    // Where this daemon ends, another instance may do better: its backend server's failure may be retried.
-    let ends_here = reply.context.refusal == Some(Refusal::Leaving);
-    if asked.is_call && has_failed(&reply) && !ends_here {
+    // If this daemon shuts down, another instance may succeed, so the backend server's failure may be retried.
+    let shuts_down = reply.context.refusal == Some(Refusal::Leaving);
+    if resolved.is_call && has_failed(&reply) && !shuts_down {
         routed.call_failed.set(node.now());
     }
     reply
@@ -277,7 +286,7 @@
     res.is_none_or(|res| res.status().is_server_error())
 }
 
-/// What a request keeps on its way, and where it began.
+/// Removes the headers that aren't forwarded, and adds the workspace and the calling service.
 fn prepare_headers(
     node: &Node,
     routed: &Routed,
@@ -287,9 +296,9 @@
     headers::strip_hop_by_hop(headers);
     headers::strip_internal(headers);
     let names = &routed.dialect.headers;
-    // The owner tells what is left by then; the context carries it there.
+    // The owner sets the remaining time anew, from the deadline in the context.
     headers.remove(&names.time_left_ms);
-    // A credential goes no further, and in whose name a request comes is not for its caller to say.
+    // Credentials aren't forwarded, and callers must not set the workspace themselves.
     headers.remove(&names.credential);
     headers.remove(&names.workspace);
     if let Some(name) = workspace.and_then(|workspace| HeaderValue::from_str(&workspace.name).ok())
@@ -301,17 +310,23 @@
     }
 }
 
-/// One line for each request that began here.
-fn note(node: &Node, request: RequestId, kind: Option<&KindEntry>, arrived: Now, reply: &Reply) {
+/// Records the event for a request that entered here.
+fn record_request_done(
+    node: &Node,
+    request: RequestId,
+    kind: Option<&KindEntry>,
+    arrived_at: Now,
+    reply: &Reply,
+) {
     let refusal = reply.context.refusal.map_or("none", Refusal::name);
-    let answered = reply.res.as_ref().map(|res| res.status().as_u16());
+    let status = reply.res.as_ref().map(|res| res.status().as_u16());
     let mut fields = vec![
         Field::new("kind", kind.map_or("none", |kind| &kind.name)),
         Field::new("service", kind.map_or("none", |kind| &kind.service)),
-        Field::new("status", answered.unwrap_or(0)),
+        Field::new("status", status.unwrap_or(0)),
         Field::new("verdict", reply.context.verdict),
         Field::new("refusal", refusal),
-        Field::new("took_ms", (node.now() - arrived).as_millis()),
+        Field::new("took_ms", (node.now() - arrived_at).as_millis()),
     ];
     if reply.context.retry_after_ms > 0 {
         fields.push(Field::new("retry_after_ms", reply.context.retry_after_ms));
@@ -320,7 +335,7 @@
         .record(&events::REQUEST_DONE, Some(request), fields);
 }
 
-/// The answer to whoever asked. A refusal is a promise only if nothing ran.
+/// The response to the caller. The status of a refusal depends on whether the request may have run.
 fn into_response(
     routed: &Routed,
     id: Option<HeaderValue>,
