--- /dev/null
+++ b/crates/sorrelturn-daemon/src/request/admission.rs
@@ -0,0 +1,266 @@
+//! Admission to the backend server: the gate, and the tasks that are queued for a slot.
+
+use crate::{clock::Clock, net::timers::Timers, node::lock};
+use smol::{
+    channel::{self, Receiver, Sender},
+    future::FutureExt,
+};
+use sorrelturn_policy::{Arrival, Decision, Gate, Now, Outcome, Released, TuningSample};
+use sorrelturn_protocol::{Priority, Refusal};
+use std::{
+    collections::HashMap,
+    hash::{DefaultHasher, Hash, Hasher},
+    sync::{Arc, Mutex, MutexGuard},
+    time::Duration,
+};
+
+type AdmissionResult = Result<TuningSample, Refusal>;
+
+/// The gate's decision about an arrival. Only a queued request receives a later result.
+enum ArrivalDecision {
+    Admitted(TuningSample),
+    Refused(Refusal),
+    /// The request is queued: the channel of its result, and the queue timeout.
+    Queued(Receiver<AdmissionResult>, Duration),
+}
+
+/// The gate before the backend server, shared by all requests.
+pub(crate) struct Admission {
+    clock: Clock,
+    timers: Timers,
+    inner: Mutex<Inner>,
+}
+
+struct Inner {
+    gate: Gate,
+    waiters: HashMap<u64, Sender<AdmissionResult>>,
+    next_id: u64,
+}
+
+/// A slot at the backend server; released when it is dropped.
+pub(crate) struct Slot {
+    admission: Arc<Admission>,
+    started: Now,
+    sample: TuningSample,
+    /// The hash of the request's kind, if requests of this kind make no calls.
+    leaf: Option<u64>,
+    outcome: Outcome,
+}
+
+impl Slot {
+    /// Marks the request as one that makes no calls, so that its duration is the backend server's own.
+    pub(crate) fn set_leaf_kind(&mut self, kind: &str) {
+        let mut hasher = DefaultHasher::new();
+        kind.hash(&mut hasher);
+        self.leaf = Some(hasher.finish());
+    }
+
+    /// Releases the slot and reports the outcome to the gate.
+    pub(crate) fn release(mut self, outcome: Outcome) {
+        self.outcome = outcome;
+    }
+}
+
+impl Drop for Slot {
+    fn drop(&mut self) {
+        let took = self.admission.clock.now().saturating_sub(self.started);
+        let leaf = self.leaf.filter(|_| self.outcome == Outcome::Answered);
+        self.admission.finish(self.sample, leaf, self.outcome, took);
+    }
+}
+
+impl Admission {
+    pub(crate) fn new(clock: Clock, timers: Timers, gate: Gate) -> Self {
+        let inner = Inner {
+            gate,
+            waiters: HashMap::new(),
+            next_id: 0,
+        };
+        Self {
+            clock,
+            timers,
+            inner: Mutex::new(inner),
+        }
+    }
+
+    /// Waits for a slot. A refusal is final and returned as soon as it is known.
+    pub(crate) async fn acquire_slot(
+        self: &Arc<Self>,
+        priority: Priority,
+        is_nested: bool,
+        deadline: Now,
+        shedding_level: u16,
+    ) -> Result<Slot, Refusal> {
+        let now = self.clock.now();
+        let (arrival, decision) = self.arrive(now, priority, is_nested, deadline, shedding_level);
+        match decision {
+            ArrivalDecision::Admitted(sample) => Ok(self.slot(sample)),
+            ArrivalDecision::Refused(refusal) => Err(refusal),
+            ArrivalDecision::Queued(rx, queue_timeout) => {
+                let until = deadline.min(now + queue_timeout);
+                let queued = QueuedRequest {
+                    admission: self,
+                    arrival,
+                    rx,
+                    done: false,
+                };
+                queued.result(until).await
+            }
+        }
+    }
+
+    /// Calls `f` with the locked gate and the current time.
+    pub(crate) fn with_gate<T>(&self, f: impl FnOnce(&mut Gate, Now) -> T) -> T {
+        let now = self.clock.now();
+        f(&mut self.lock().gate, now)
+    }
+
+    fn arrive(
+        &self,
+        now: Now,
+        priority: Priority,
+        is_nested: bool,
+        deadline: Now,
+        shedding_level: u16,
+    ) -> (Arrival, ArrivalDecision) {
+        let mut inner = self.lock();
+        inner.next_id += 1;
+        let arrival = Arrival {
+            id: inner.next_id,
+            priority,
+            is_nested_call: is_nested,
+            deadline,
+            level: shedding_level,
+        };
+        let (decision, displaced) = inner.gate.arrive(now, &arrival);
+        if let Some(tx) = displaced.and_then(|id| inner.waiters.remove(&id)) {
+            let _ = tx.try_send(Err(Refusal::Overload));
+        }
+        let outcome = match decision {
+            Decision::Admit => ArrivalDecision::Admitted(inner.gate.last_sample()),
+            Decision::Refuse(refusal) => ArrivalDecision::Refused(refusal),
+            Decision::Queue => {
+                let (tx, rx) = channel::bounded(1);
+                inner.waiters.insert(arrival.id, tx);
+                ArrivalDecision::Queued(rx, inner.gate.queue_timeout(&arrival))
+            }
+        };
+        (arrival, outcome)
+    }
+
+    fn slot(self: &Arc<Self>, sample: TuningSample) -> Slot {
+        Slot {
+            admission: Arc::clone(self),
+            started: self.clock.now(),
+            sample,
+            leaf: None,
+            outcome: Outcome::Cancelled,
+        }
+    }
+
+    fn finish(&self, sample: TuningSample, leaf: Option<u64>, outcome: Outcome, took: Duration) {
+        let now = self.clock.now();
+        let mut inner = self.lock();
+        inner.gate.end_sample(now, sample, leaf, took);
+        let mut released = inner.gate.finish(now, outcome, took);
+        while let Some(unclaimed) = inner.notify_waiters(&released) {
+            released = Released::default();
+            for sample in unclaimed {
+                inner.gate.end_sample(now, sample, None, Duration::ZERO);
+                let next = inner.gate.finish(now, Outcome::Cancelled, Duration::ZERO);
+                released.admitted.extend(next.admitted);
+                released.samples.extend(next.samples);
+                released.refused.extend(next.refused);
+            }
+        }
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        lock(&self.inner)
+    }
+}
+
+impl Inner {
+    /// Notifies queued requests. Returns the samples of admitted requests whose waiters are gone, if there are any.
+    fn notify_waiters(&mut self, released: &Released) -> Option<Vec<TuningSample>> {
+        for (id, refusal) in &released.refused {
+            if let Some(tx) = self.waiters.remove(id) {
+                let _ = tx.try_send(Err(*refusal));
+            }
+        }
+        let admitted = released.admitted.iter().zip(&released.samples);
+        let unclaimed: Vec<TuningSample> = admitted
+            .filter(|(id, sample)| {
+                let tx = self.waiters.remove(id);
+                tx.is_none_or(|tx| tx.try_send(Ok(**sample)).is_err())
+            })
+            .map(|(_, sample)| *sample)
+            .collect();
+        (!unclaimed.is_empty()).then_some(unclaimed)
+    }
+}
+
+/// A queued request; leaves the queue when it is dropped.
+struct QueuedRequest<'a> {
+    admission: &'a Arc<Admission>,
+    arrival: Arrival,
+    rx: Receiver<AdmissionResult>,
+    done: bool,
+}
+
+impl QueuedRequest<'_> {
+    async fn result(mut self, until: Now) -> Result<Slot, Refusal> {
+        let timer = async {
+            self.admission.timers.at(until).await;
+            None
+        };
+        let result = async { self.rx.recv().await.ok() };
+        match result.or(timer).await {
+            Some(Ok(sample)) => {
+                self.done = true;
+                Ok(self.admission.slot(sample))
+            }
+            Some(Err(refusal)) => {
+                self.done = true;
+                Err(refusal)
+            }
+            None => self.handle_timeout(until),
+        }
+    }
+
+    /// Leaves the queue after the timeout. A result that arrived in the meantime still counts.
+    fn handle_timeout(&mut self, until: Now) -> Result<Slot, Refusal> {
+        self.done = true;
+        let mut inner = self.admission.lock();
+        inner.waiters.remove(&self.arrival.id);
+        if inner.gate.remove_queued(&self.arrival, true) {
+            return Err(if until == self.arrival.deadline {
+                Refusal::Deadline
+            } else {
+                Refusal::Overload
+            });
+        }
+        drop(inner);
+        self.rx
+            .try_recv()
+            .unwrap_or(Err(Refusal::Overload))
+            .map(|sample| self.admission.slot(sample))
+    }
+}
+
+impl Drop for QueuedRequest<'_> {
+    fn drop(&mut self) {
+        if self.done {
+            return;
+        }
+        let mut inner = self.admission.lock();
+        inner.waiters.remove(&self.arrival.id);
+        let was_queued = inner.gate.remove_queued(&self.arrival, false);
+        drop(inner);
+        if !was_queued && let Ok(Ok(sample)) = self.rx.try_recv() {
+            let unused_time = Duration::ZERO;
+            self.admission
+                .finish(sample, None, Outcome::Cancelled, unused_time);
+        }
+    }
+}
