--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -87,7 +87,9 @@
         .await
         .map_err(|refused| match refused {
             Refused::UsedUp(room_in) => used_up(node, workspace, request, room_in),
-            Refused::Unknown => Reply::not_run(Refusal::QuotaUnknown).come_back(node.quota.lease()),
+            Refused::Unknown => {
+                Reply::not_run(Refusal::QuotaUnknown).with_retry_after(node.quota.lease())
+            }
         });
     node.quota.counts.count(workspace, |usage| match &taken {
         Ok(()) => usage.let_in += 1,
@@ -155,7 +157,7 @@
             Field::new("room_in_ms", room_in.as_millis()),
         ],
     );
-    Reply::not_run(Refusal::QuotaUsedUp).come_back(room_in)
+    Reply::not_run(Refusal::QuotaUsedUp).with_retry_after(room_in)
 }
 
 /// Keeps the loans of this daemon's shares while there are quotas, until it says that it is gone: the others divide
--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -54,7 +54,7 @@
     }
 
     /// Says when to come back.
-    pub(crate) fn come_back(mut self, after: Duration) -> Self {
+    pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.context.retry_after_ms = after.as_millis() as u32;
         self
     }
--- a/crates/sorrelturn-daemon/src/request/body.rs
+++ b/crates/sorrelturn-daemon/src/request/body.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Display)]
 pub enum BodyError {
     /// the sender broke off: {0}
-    Broke(hyper::Error),
+    Interrupted(hyper::Error),
     /// the sender sent nothing for too long
     Stalled,
 }
@@ -116,7 +116,7 @@
 
 impl From<hyper::Error> for BodyError {
     fn from(error: hyper::Error) -> Self {
-        Self::Broke(error)
+        Self::Interrupted(error)
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -125,7 +125,7 @@
         target,
         headers: parts.headers,
         payload,
-        for_repeat: 0.0,
+        repeated_fraction: 0.0,
     };
     let reply = match (root.kind.at_most_once(), token, key) {
         (false, _, _) => forward::call(node, &mut call).await,
@@ -153,7 +153,7 @@
         return Ok(reply);
     }
     call.context.token = None;
-    let bound = tokens::bind_anew(node, &call, key, bound.version).await?;
+    let bound = tokens::rebind(node, &call, key, bound.version).await?;
     call.context.token = Some(bound.token);
     Ok(forward::call(node, &mut call).await)
 }
@@ -171,9 +171,9 @@
     let in_force = node
         .in_force
         .load_full()
-        .ok_or_else(|| Reply::not_run(Refusal::NoBundle).come_back(come_back()))?;
+        .ok_or_else(|| Reply::not_run(Refusal::NoBundle).with_retry_after(come_back()))?;
     if node.is_leaving() {
-        return Err(Reply::not_run(Refusal::Leaving).come_back(come_back()));
+        return Err(Reply::not_run(Refusal::Leaving).with_retry_after(come_back()));
     }
     let bundle = &in_force.bundle;
     let bearer = headers::text(req_headers, AUTHORIZATION.as_str())
@@ -190,7 +190,7 @@
         return Err(Reply::not_run(Refusal::NotAllowed));
     }
     if !in_force.caller_may_ask(caller, node.now()) {
-        return Err(Reply::not_run(Refusal::CallerRate).come_back(come_back()));
+        return Err(Reply::not_run(Refusal::CallerRate).with_retry_after(come_back()));
     }
     let trace = headers::text(req_headers, TRACEPARENT)
         .and_then(|value| value.parse::<TraceContext>().ok());
@@ -240,7 +240,7 @@
             Field::new("threshold", threshold.0),
         ],
     );
-    Err(Reply::not_run(Refusal::Overload).come_back(owner::come_back(node)))
+    Err(Reply::not_run(Refusal::Overload).with_retry_after(owner::come_back(node)))
 }
 
 /// Path and query alone: where a request goes is for the kind to say.
@@ -259,7 +259,7 @@
 ) -> Result<(Root, Reply), Reply> {
     let (parts, incoming) = req.into_parts();
     let malformed = || Reply::not_run(Refusal::Malformed);
-    let Payload::Whole(body) = Payload::read(&node.timers, incoming).await? else {
+    let Payload::Buffered(body) = Payload::read(&node.timers, incoming).await? else {
         return Err(malformed());
     };
     let wanted: TokenRequest = serde_json::from_slice(&body).map_err(|_| malformed())?;
@@ -282,14 +282,14 @@
         method: Method::POST,
         target: Uri::default(),
         headers: HeaderMap::new(),
-        payload: Payload::Whole(Bytes::new()),
-        for_repeat: 0.0,
+        payload: Payload::Buffered(Bytes::new()),
+        repeated_fraction: 0.0,
     };
     let token = tokens::obtain(node, &call).await?;
     let ttl_s = node.settings.once.ttl_s;
     let text = serde_json::json!({ "token": token.to_string(), "usable_s": ttl_s });
     let mut res = Response::new(body::full(format!("{text}\n")));
     *res.status_mut() = StatusCode::CREATED;
-    tokens::tell(res.headers_mut(), &token);
+    tokens::set_header(res.headers_mut(), &token);
     Ok((root, Reply::answered(Verdict::NotRun, res)))
 }
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -24,12 +24,12 @@
 pub(crate) enum Failure {
     Full,
     NotSent,
-    Broke,
+    Interrupted,
     /// The owner never had the call, since its connection is silent, or refuses it as one that never came.
-    NeverCame,
+    NeverArrived,
     /// The connection is silent and the answer was lost on it.
     AnswerLost,
-    TooLate,
+    DeadlineExceeded,
 }
 
 impl Failure {
@@ -37,18 +37,18 @@
     pub(crate) fn reply(&self, context: &CallContext) -> Reply {
         let unknown = context.token.is_some();
         match self {
-            Self::Full | Self::NotSent | Self::NeverCame if unknown => {
+            Self::Full | Self::NotSent | Self::NeverArrived if unknown => {
                 Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun)
             }
             Self::Full => owner::unused(Reply::not_run(Refusal::Overload), context.attempts),
-            Self::NotSent | Self::NeverCame => {
+            Self::NotSent | Self::NeverArrived => {
                 let reply = Reply::not_run(Refusal::BackendUnreachable);
                 owner::unused(reply, context.attempts)
             }
-            Self::Broke | Self::AnswerLost => {
+            Self::Interrupted | Self::AnswerLost => {
                 Reply::refused(Refusal::PeerBroke, Verdict::MayHaveRun)
             }
-            Self::TooLate => Reply::refused(Refusal::Deadline, Verdict::MayHaveRun),
+            Self::DeadlineExceeded => Reply::refused(Refusal::Deadline, Verdict::MayHaveRun),
         }
     }
 }
@@ -64,7 +64,7 @@
     let too_late = async {
         let deadline = node.timers.at(call.deadline);
         deadline.or(node.ending.over()).await;
-        Err(Failure::TooLate)
+        Err(Failure::DeadlineExceeded)
     };
     if route.record.incarnation == node.incarnation {
         let serve = async { Ok(owner::serve(node, call.context.clone(), req).await) };
@@ -85,8 +85,8 @@
             Ok((res, lease)) => reply_of(node, call, res, lease),
             Err(SendError::Full) => Err(Failure::Full),
             Err(SendError::NotSent) => Err(Failure::NotSent),
-            Err(SendError::Broke) => Err(Failure::Broke),
-            Err(SendError::NeverCame) => Err(Failure::NeverCame),
+            Err(SendError::Broke) => Err(Failure::Interrupted),
+            Err(SendError::NeverCame) => Err(Failure::NeverArrived),
             Err(SendError::AnswerLost) => Err(Failure::AnswerLost),
         }
     };
@@ -111,15 +111,15 @@
         lease.give_back();
         let never_came = AttemptStatus::decode(fate.as_bytes()) == Ok(AttemptStatus::NeverCame);
         return Err(match never_came {
-            true => Failure::NeverCame,
-            false => Failure::Broke,
+            true => Failure::NeverArrived,
+            false => Failure::Interrupted,
         });
     }
     let context = res
         .headers_mut()
         .remove(ANSWER)
         .and_then(|value| AnswerContext::decode(value.as_bytes()).ok())
-        .ok_or(Failure::Broke)?;
+        .ok_or(Failure::Interrupted)?;
     let res = res.map(|body| {
         body::guarded_answer(&node.timers, body, call.deadline, |whole| {
             if whole {
@@ -145,7 +145,9 @@
             load: reply.context.load,
         },
         // The instance itself is there.
-        Err(Failure::Full | Failure::NeverCame | Failure::AnswerLost) => InstanceReport::Cancelled,
+        Err(Failure::Full | Failure::NeverArrived | Failure::AnswerLost) => {
+            InstanceReport::Cancelled
+        }
         Err(Failure::NotSent) => InstanceReport::Unreachable,
         Err(_) => InstanceReport::Failed,
     }
--- a/crates/sorrelturn-daemon/src/request/fingerprint.rs
+++ b/crates/sorrelturn-daemon/src/request/fingerprint.rs
@@ -23,7 +23,7 @@
     }
     hasher.update(&caller.0.to_be_bytes());
     match payload {
-        Payload::Whole(bytes) => hasher.update(bytes),
+        Payload::Buffered(bytes) => hasher.update(bytes),
         Payload::Stream { bytes, .. } => hasher.update(&bytes.unwrap_or_default().to_be_bytes()),
     };
     let path = leading_bits(&hasher);
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -48,7 +48,7 @@
     pub(crate) headers: HeaderMap,
     pub(crate) payload: Payload,
     /// The part of those that may make this call that may have run before.
-    pub(crate) for_repeat: f64,
+    pub(crate) repeated_fraction: f64,
 }
 
 /// What the tries of one call have come to so far.
@@ -71,11 +71,11 @@
 /// Forwards a call until there is a final answer.
 pub(crate) async fn call(node: &Arc<Node>, call: &mut Call) -> Reply {
     if ends_before(node, call) {
-        let refused = Reply::not_run(Refusal::Leaving).come_back(owner::come_back(node));
+        let refused = Reply::not_run(Refusal::Leaving).with_retry_after(owner::come_back(node));
         return owner::unused(refused, call.context.attempts);
     }
     if let Some(held_for) = held_for(node, call) {
-        let refused = Reply::not_run(Refusal::Quarantined).come_back(held_for);
+        let refused = Reply::not_run(Refusal::Quarantined).with_retry_after(held_for);
         return owner::unused(refused, call.context.attempts);
     }
     let kind_state = call.in_force.kind_state(&call.kind);
@@ -94,7 +94,7 @@
         token_asks: 0,
         crashes: 0,
     };
-    lock(&kind_state.retries).record_call_of_repeat(node.now(), call.for_repeat);
+    lock(&kind_state.retries).record_call_of_repeat(node.now(), call.repeated_fraction);
     let mut reply = loop {
         let Some(reply) = one_try(node, call, &mut progress, &kind_state).await else {
             break without_instance(node, call).await;
@@ -157,10 +157,10 @@
     let sent = node.now();
     let on_its_way = OnItsWay::start(node, &route, call, kind_state);
     let result = exchange(node, &route, call, req).await;
-    if matches!(result, Err(Failure::TooLate)) {
+    if matches!(result, Err(Failure::DeadlineExceeded)) {
         kind_state.threshold.observe_no_response(node.now());
     }
-    let was_silent = matches!(result, Err(Failure::NeverCame | Failure::AnswerLost));
+    let was_silent = matches!(result, Err(Failure::NeverArrived | Failure::AnswerLost));
     if on_its_way.finish(report(&result)) {
         route.link.forget();
         node.note(
@@ -347,9 +347,9 @@
     let left = deadline.saturating_sub(node.now());
     let time_left = left >= LEAST_TIME_FOR_ANOTHER_TRY;
     if call.context.token.is_some() {
-        return asks_owner_again(progress, reply) && time_left && call.payload.can_be_sent_again();
+        return asks_owner_again(progress, reply) && time_left && call.payload.is_replayable();
     }
-    if is_good(reply) || !call.payload.can_be_sent_again() {
+    if is_good(reply) || !call.payload.is_replayable() {
         return false;
     }
     let attempt = Attempt {
@@ -426,8 +426,8 @@
 
 async fn without_instance(node: &Arc<Node>, call: &Call) -> Reply {
     match call.context.token {
-        Some(token) => tokens::of_lost_owner(node, &token).await,
-        None => Reply::not_run(Refusal::NoInstance).come_back(owner::come_back(node)),
+        Some(token) => tokens::reply_for_lost_owner(node, &token).await,
+        None => Reply::not_run(Refusal::NoInstance).with_retry_after(owner::come_back(node)),
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -37,10 +37,11 @@
 ) -> Result<Identified, Reply> {
     let (host, path) = place;
     let shown = shown(headers, routed)?;
-    let later = || Reply::not_run(Refusal::StaleKnowledge).come_back(JUDGED_LATER);
+    let later = || Reply::not_run(Refusal::StaleKnowledge).with_retry_after(JUDGED_LATER);
     loop {
         let in_force = node.in_force.load_full();
-        let no_bundle = || Reply::not_run(Refusal::NoBundle).come_back(owner::come_back(node));
+        let no_bundle =
+            || Reply::not_run(Refusal::NoBundle).with_retry_after(owner::come_back(node));
         let in_force = in_force.ok_or_else(no_bundle)?;
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -63,7 +63,7 @@
     req: Request<Incoming>,
 ) -> Reply {
     let Some(in_force) = node.in_force.load_full() else {
-        return Reply::not_run(Refusal::NoBundle).come_back(owner::come_back(node));
+        return Reply::not_run(Refusal::NoBundle).with_retry_after(owner::come_back(node));
     };
     let kind = in_force
         .bundle
@@ -83,7 +83,8 @@
         } else {
             Verdict::NotRun
         };
-        return Reply::refused(Refusal::AttemptsSpent, verdict).come_back(owner::come_back(node));
+        return Reply::refused(Refusal::AttemptsSpent, verdict)
+            .with_retry_after(owner::come_back(node));
     };
     let context = context(node, parent.map(Arc::as_ref), request, &kind, share);
     let reply = carry(node, parent, &in_force, kind, context, req).await;
@@ -155,7 +156,7 @@
         target,
         headers: parts.headers,
         payload,
-        for_repeat,
+        repeated_fraction: for_repeat,
     };
     if call.kind.at_most_once() {
         match token(node, parent, &call, &key).await {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -53,7 +53,7 @@
 /// A request that can't be passed on any more because this run of the daemon is over.
 pub(crate) async fn refused_at_the_end(node: &Node) -> Reply {
     node.ending.over().await;
-    Reply::not_run(Refusal::Leaving).come_back(come_back(node))
+    Reply::not_run(Refusal::Leaving).with_retry_after(come_back(node))
 }
 
 /// When a refused caller should come back, from how long the pressure here has lasted.
--- a/crates/sorrelturn-daemon/src/request/payload.rs
+++ b/crates/sorrelturn-daemon/src/request/payload.rs
@@ -21,7 +21,7 @@
 /// The body of a request on its way.
 pub(crate) enum Payload {
     /// Here as a whole, so the request can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Still coming from its sender; can be sent once.
     Stream {
         /// It, until it is sent.
@@ -35,7 +35,7 @@
     /// Reads a small body as a whole and takes a larger one as a stream.
     pub(crate) async fn read(timers: &Timers, incoming: Incoming) -> Result<Self, Reply> {
         if incoming.is_end_stream() {
-            return Ok(Self::Whole(Bytes::new()));
+            return Ok(Self::Buffered(Bytes::new()));
         }
         let upper = incoming.size_hint().upper();
         if upper.is_none_or(|len| len > WHOLE_BODY_BYTES) {
@@ -52,21 +52,21 @@
         };
         read.or(too_slow)
             .await
-            .map(Self::Whole)
+            .map(Self::Buffered)
             .ok_or_else(|| Reply::not_run(Refusal::Malformed))
     }
 
     /// The body for one try, or `None` if it was used up by an earlier one.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
-            Self::Whole(bytes) => Some(body::full(bytes.clone())),
+            Self::Buffered(bytes) => Some(body::full(bytes.clone())),
             Self::Stream { body, .. } => body.take(),
         }
     }
 
-    pub(crate) fn can_be_sent_again(&self) -> bool {
+    pub(crate) fn is_replayable(&self) -> bool {
         match self {
-            Self::Whole(_) => true,
+            Self::Buffered(_) => true,
             Self::Stream { body, .. } => body.is_some(),
         }
     }
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -182,7 +182,7 @@
         return Ok(());
     }
     if arrives == Arrives::WhileEnding {
-        return Err(Reply::not_run(Refusal::Leaving).come_back(owner::come_back(node)));
+        return Err(Reply::not_run(Refusal::Leaving).with_retry_after(owner::come_back(node)));
     }
     let was_tried = asked
         .left_ms
@@ -213,7 +213,7 @@
         ],
     );
     let come_back = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
-    Err(Reply::not_run(Refusal::Overload).come_back(come_back))
+    Err(Reply::not_run(Refusal::Overload).with_retry_after(come_back))
 }
 
 async fn carry(node: &Arc<Node>, routed: &Routed, asked: Asked, req: Request<Incoming>) -> Reply {
@@ -261,7 +261,7 @@
         target,
         headers: parts.headers,
         payload,
-        for_repeat,
+        repeated_fraction: for_repeat,
     };
     let reply = forward::call(node, &mut call).await;
     // Where this daemon ends, another instance may do better: its backend server's failure may be retried.
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -37,7 +37,7 @@
             let res = Response::new(body::full(token.to_string()));
             Reply::answered(Verdict::NotRun, res)
         }
-        None => Reply::not_run(Refusal::Overload).come_back(owner::come_back(node)),
+        None => Reply::not_run(Refusal::Overload).with_retry_after(owner::come_back(node)),
     }
 }
 
@@ -54,8 +54,8 @@
         method: Method::POST,
         target: Uri::from_static(ISSUE_PATH),
         headers: HeaderMap::new(),
-        payload: Payload::Whole(Bytes::new()),
-        for_repeat: 0.0,
+        payload: Payload::Buffered(Bytes::new()),
+        repeated_fraction: 0.0,
     };
     let reply = forward::call(node, &mut asking).await;
     let context = reply.context;
@@ -66,7 +66,7 @@
         refused.context.retry_after_ms = context.retry_after_ms;
         return Err(refused);
     };
-    let unreadable = || Reply::not_run(Refusal::PeerBroke).come_back(owner::come_back(node));
+    let unreadable = || Reply::not_run(Refusal::PeerBroke).with_retry_after(owner::come_back(node));
     let body = res.into_body().collect().await.map_err(|_| unreadable())?;
     std::str::from_utf8(&body.to_bytes())
         .ok()
@@ -75,7 +75,7 @@
 }
 
 /// A token that lies in the store under a caller's own key.
-pub(crate) struct Bound {
+pub(crate) struct BoundToken {
     /// The token.
     pub(crate) token: ExecutionToken,
     /// The version of the object.
@@ -83,7 +83,7 @@
 }
 
 /// Binds a caller's own key to a token, so that it is used once whatever happens.
-pub(crate) async fn bind(node: &Arc<Node>, call: &Call, key: &str) -> Result<Bound, Reply> {
+pub(crate) async fn bind(node: &Arc<Node>, call: &Call, key: &str) -> Result<BoundToken, Reply> {
     // A repeat finds its binding at once and needs no new token.
     match node.platform.get(&binding_object(call, key)).await {
         Ok(Some(found)) => settle(node, call, Some(&found)),
@@ -93,12 +93,12 @@
 }
 
 /// Binds a key to a fresh token in the place of one that was refused before it ran.
-pub(crate) async fn bind_anew(
+pub(crate) async fn rebind(
     node: &Arc<Node>,
     call: &Call,
     key: &str,
     version: u64,
-) -> Result<Bound, Reply> {
+) -> Result<BoundToken, Reply> {
     write_binding(node, call, key, Expected::Version(version)).await
 }
 
@@ -107,7 +107,7 @@
     call: &Call,
     key: &str,
     expected: Expected,
-) -> Result<Bound, Reply> {
+) -> Result<BoundToken, Reply> {
     let object = binding_object(call, key);
     let token = obtain(node, call).await?;
     let own = Binding {
@@ -117,7 +117,7 @@
     };
     let value = serde_json::to_string(&own).unwrap_or_default();
     match node.platform.put(&object, &value, expected).await {
-        Ok(version) => Ok(Bound { token, version }),
+        Ok(version) => Ok(BoundToken { token, version }),
         Err(PlatformError::Conflict(_) | PlatformError::AnswerLost(_)) => {
             let found = node.platform.get(&object).await.ok().flatten();
             settle(node, call, found.as_ref())
@@ -127,13 +127,13 @@
 }
 
 /// Whoever was first, the token that lies in the store is the only one that the key may use.
-fn settle(node: &Node, call: &Call, found: Option<&Object>) -> Result<Bound, Reply> {
+fn settle(node: &Node, call: &Call, found: Option<&Object>) -> Result<BoundToken, Reply> {
     let unavailable =
-        || Reply::not_run(Refusal::StoreUnavailable).come_back(owner::come_back(node));
+        || Reply::not_run(Refusal::StoreUnavailable).with_retry_after(owner::come_back(node));
     let found = found.ok_or_else(unavailable)?;
     let binding: Binding = serde_json::from_str(&found.value).map_err(|_| unavailable())?;
     match binding.token_for(fingerprint(call)) {
-        Ok(token) => Ok(Bound {
+        Ok(token) => Ok(BoundToken {
             token,
             version: found.version,
         }),
@@ -152,14 +152,14 @@
 }
 
 /// What is known of a token whose owner can't be asked: what it left in the store.
-pub(crate) async fn of_lost_owner(node: &Node, token: &ExecutionToken) -> Reply {
+pub(crate) async fn reply_for_lost_owner(node: &Node, token: &ExecutionToken) -> Reply {
     let verdict = recorded_verdict(node, token).await;
     let verdict = verdict.unwrap_or(Verdict::MayHaveRun);
     let refusal = match verdict {
         Verdict::NotRun => Refusal::Tombstone,
         _ => Refusal::OutcomeUnknown,
     };
-    Reply::refused(refusal, verdict).come_back(owner::come_back(node))
+    Reply::refused(refusal, verdict).with_retry_after(owner::come_back(node))
 }
 
 /// The order of the two reads matters: once the closing record is there, the segment is whole.
@@ -187,7 +187,7 @@
 }
 
 /// Sets the header by which a caller is told its token.
-pub(crate) fn tell(headers: &mut HeaderMap, token: &ExecutionToken) {
+pub(crate) fn set_header(headers: &mut HeaderMap, token: &ExecutionToken) {
     headers::set(
         headers,
         sorrelturn_protocol::headers::TOKEN,
