--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! What comes back from a call, and how it is told to peers and to callers.
+//! The reply to a call, and its encoding for peers and callers.
 
 use crate::{
     node::Carried,
@@ -18,14 +18,14 @@
 
 /// The result of a call: a backend server's answer, or a refusal without one.
 pub(crate) struct Reply {
-    /// What daemons tell one another about it.
+    /// The metadata that daemons exchange about the reply.
     pub(crate) context: AnswerContext,
-    /// The backend server's answer.
+    /// The backend server's answer, or `None` for a refusal.
     pub(crate) res: Option<Box<Response<Body>>>,
 }
 
 impl Reply {
-    /// A backend server's answer, of now or of an earlier execution.
+    /// A backend server's answer, from this execution or an earlier one.
     pub(crate) fn answered(verdict: Verdict, res: Response<Body>) -> Self {
         Self {
             context: AnswerContext {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A refusal with its verdict.
+    /// A refusal with the given verdict.
     pub(crate) fn refused(refusal: Refusal, verdict: Verdict) -> Self {
         Self {
             context: AnswerContext {
@@ -48,18 +48,18 @@
         }
     }
 
-    /// A refusal of a request that ran nowhere.
+    /// A refusal of a request that did not run on any backend server.
     pub(crate) fn not_run(refusal: Refusal) -> Self {
         Self::refused(refusal, Verdict::NotRun)
     }
 
-    /// Says when to come back.
+    /// Sets the time after which the caller should retry, in whole milliseconds on the wire.
     pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.context.retry_after_ms = after.as_millis() as u32;
         self
     }
 
-    /// The answer to a peer.
+    /// Converts the reply into the response for a peer.
     pub(crate) fn into_peer_response(self) -> Response<Body> {
         let mut res = self.res.map(|res| *res).unwrap_or_else(|| {
             let mut res = Response::new(body::full(""));
@@ -71,8 +71,8 @@
         res
     }
 
-    /// The answer to a caller or to a backend server that made a nested call; it counts as carried
-    /// until its last byte is on its way.
+    /// Converts the reply into the response for a caller, or for a backend server that made a nested
+    /// call. The request counts as in flight until the last byte of the body is passed on.
     pub(crate) fn into_response(self, request: RequestId, carried: Carried) -> Response<Body> {
         let mut res = match self.res {
             Some(res) => {
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: a caller's request becomes a root request.
+//! The entry: turns a caller's request into a root call and forwards it.
 
 use crate::{
     config::in_force::InForce,
@@ -26,9 +26,9 @@
 use sorrelturn_telemetry::{Field, TraceContext, events};
 use std::{net::IpAddr, sync::Arc, time::Duration};
 
-/// Where callers get tokens.
+/// The path at which callers request tokens.
 const TOKENS_PATH: &str = "/.sorrelturn/tokens";
-/// A root request before it is forwarded.
+/// An authorized root request before it is forwarded.
 struct Root {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
@@ -36,7 +36,7 @@
     context: CallContext,
 }
 
-/// What a caller sends to get a token.
+/// The JSON body of a request for a token: the method and path that the token is for.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TokenRequest {
@@ -44,7 +44,7 @@
     path: String,
 }
 
-/// Answers one request of a caller.
+/// Serves one request of a caller.
 pub(crate) async fn serve(
     node: &Arc<Node>,
     caller_ip: IpAddr,
@@ -55,12 +55,12 @@
     let started = node.now();
     let may_be_repeat = may_be_repeat(node, &req);
     let reply = match (req.method(), req.uri().path()) {
-        (&Method::POST, TOKENS_PATH) => give_token(node, caller_ip, request, req).await,
-        _ => answer(node, caller_ip, request, req).await,
+        (&Method::POST, TOKENS_PATH) => issue_token(node, caller_ip, request, req).await,
+        _ => serve_call(node, caller_ip, request, req).await,
     };
     let (importance, reply) = match reply {
         Ok((root, reply)) => (root.kind.importance().name(), reply),
-        Err(reply) if may_be_repeat => ("none", unknown_here(reply)),
+        Err(reply) if may_be_repeat => ("none", with_unknown_outcome(reply)),
         Err(reply) => ("none", reply),
     };
     export::request_done(
@@ -72,37 +72,40 @@
     reply.into_response(request, carried)
 }
 
-/// Whether this may repeat an at-most-once request that ran already: only its owner knows.
+/// Returns whether the request may repeat an at-most-once request that has already run.
+///
+/// Only the owner of its token knows whether it has.
 fn may_be_repeat(node: &Node, req: &Request<Incoming>) -> bool {
-    let marked = [TOKEN, IDEMPOTENCY_KEY]
+    let has_token_or_key = [TOKEN, IDEMPOTENCY_KEY]
         .iter()
         .any(|name| req.headers().contains_key(*name));
     let in_force = node.in_force.load();
-    let repeatable = in_force
+    let is_repeatable = in_force
         .as_ref()
         .and_then(|in_force| {
             let bundle = &in_force.bundle;
             bundle.match_kind(req.method().as_str(), req.uri().path())
         })
         .is_some_and(|kind| !kind.at_most_once());
-    marked && !repeatable
+    has_token_or_key && !is_repeatable
 }
 
-/// A refusal by somebody who doesn't know what became of earlier copies of the request. "Not run"
-/// would invite the caller to ask under another token or key, and both would run.
-fn unknown_here(mut reply: Reply) -> Reply {
+/// Changes the verdict of a refusal to "may have run" where earlier copies of the request may exist.
+///
+/// After "not run" the caller could retry with another token or key, and both copies would run.
+fn with_unknown_outcome(mut reply: Reply) -> Reply {
     reply.context.verdict = reply.context.verdict.combine(Verdict::MayHaveRun);
     reply
 }
 
-async fn answer(
+async fn serve_call(
     node: &Arc<Node>,
     caller_ip: IpAddr,
     request: RequestId,
     req: Request<Incoming>,
 ) -> Result<(Root, Reply), Reply> {
     let (method, path) = (req.method().as_str(), req.uri().path());
-    let root = root(node, caller_ip, request, method, path, req.headers())?;
+    let root = authorize(node, caller_ip, request, method, path, req.headers())?;
     let token = headers::text(req.headers(), TOKEN).map(str::parse::<ExecutionToken>);
     let key = headers::text(req.headers(), IDEMPOTENCY_KEY).map(str::to_owned);
     shed_early(node, &root, token.is_some())?;
@@ -134,18 +137,19 @@
             forward::call(node, &mut call).await
         }
         (true, Some(Err(_)), _) => Reply::not_run(Refusal::TokenRejected),
-        (true, None, Some(key)) => unknown_here(one_step(node, call, &key).await?),
+        (true, None, Some(key)) => with_unknown_outcome(call_with_key(node, call, &key).await?),
         (true, None, None) => Reply::not_run(Refusal::TokenRequired),
     };
     Ok((root, reply))
 }
 
-/// The one-step way: the caller's own key is bound to a token in the store.
+/// Makes an at-most-once call with the caller's idempotency key, which is bound to a token in the
+/// store.
 ///
-/// A key whose token was refused before it ran is bound to a fresh one, so that the caller can
-/// come back with the same key. Since a delayed copy could do so as well, a refusal of this way
-/// never says "not run".
-async fn one_step(node: &Arc<Node>, mut call: Call, key: &str) -> Result<Reply, Reply> {
+/// If the token was refused before it ran, the key is bound to a new token, so that the caller can
+/// retry with the same key. Since a delayed copy could retry as well, a refusal of such a call never
+/// says "not run".
+async fn call_with_key(node: &Arc<Node>, mut call: Call, key: &str) -> Result<Reply, Reply> {
     let bound = tokens::bind(node, &call, key).await?;
     call.context.token = Some(bound.token);
     let reply = forward::call(node, &mut call).await;
@@ -158,8 +162,8 @@
     Ok(forward::call(node, &mut call).await)
 }
 
-/// Recognises the caller and the kind, and checks that the one may ask for the other.
-fn root(
+/// Identifies the caller and the kind, and checks that the caller may request this kind now.
+fn authorize(
     node: &Arc<Node>,
     caller_ip: IpAddr,
     request: RequestId,
@@ -167,13 +171,13 @@
     path: &str,
     req_headers: &HeaderMap,
 ) -> Result<Root, Reply> {
-    let come_back = || owner::come_back(node);
+    let retry_after = || owner::come_back(node);
     let in_force = node
         .in_force
         .load_full()
-        .ok_or_else(|| Reply::not_run(Refusal::NoBundle).with_retry_after(come_back()))?;
+        .ok_or_else(|| Reply::not_run(Refusal::NoBundle).with_retry_after(retry_after()))?;
     if node.is_leaving() {
-        return Err(Reply::not_run(Refusal::Leaving).with_retry_after(come_back()));
+        return Err(Reply::not_run(Refusal::Leaving).with_retry_after(retry_after()));
     }
     let bundle = &in_force.bundle;
     let bearer = headers::text(req_headers, AUTHORIZATION.as_str())
@@ -190,7 +194,7 @@
         return Err(Reply::not_run(Refusal::NotAllowed));
     }
     if !in_force.caller_may_ask(caller, node.now()) {
-        return Err(Reply::not_run(Refusal::CallerRate).with_retry_after(come_back()));
+        return Err(Reply::not_run(Refusal::CallerRate).with_retry_after(retry_after()));
     }
     let trace = headers::text(req_headers, TRACEPARENT)
         .and_then(|value| value.parse::<TraceContext>().ok());
@@ -218,9 +222,9 @@
     })
 }
 
-/// Refuses here what would be shed deeper after work was done for it.
+/// Refuses a request that a service further down the call tree would shed.
 ///
-/// A request that brings a token is let through: its owner may have its answer already.
+/// Requests with a token are always admitted, since the owner may already have the outcome.
 fn shed_early(node: &Node, root: &Root, has_token: bool) -> Result<(), Reply> {
     let state = root.in_force.kind_state(&root.kind);
     let threshold = state.threshold.current(node.now());
@@ -243,15 +247,15 @@
     Err(Reply::not_run(Refusal::Overload).with_retry_after(owner::come_back(node)))
 }
 
-/// Path and query alone: where a request goes is for the kind to say.
+/// Returns the path and query of a URI. The kind of the request decides which host it goes to.
 pub(crate) fn target(uri: &Uri) -> Uri {
     uri.path_and_query()
         .and_then(|target| target.as_str().parse().ok())
         .unwrap_or_default()
 }
 
-/// The first, harmless call of the two-step way: the caller gets a token.
-async fn give_token(
+/// Issues a token to the caller, who sends it with the at-most-once request itself.
+async fn issue_token(
     node: &Arc<Node>,
     caller_ip: IpAddr,
     request: RequestId,
@@ -262,13 +266,13 @@
     let Payload::Buffered(body) = Payload::read(&node.timers, incoming).await? else {
         return Err(malformed());
     };
-    let wanted: TokenRequest = serde_json::from_slice(&body).map_err(|_| malformed())?;
-    let path = wanted.path.split('?').next().unwrap_or_default();
-    let root = root(
+    let token_request: TokenRequest = serde_json::from_slice(&body).map_err(|_| malformed())?;
+    let path = token_request.path.split('?').next().unwrap_or_default();
+    let root = authorize(
         node,
         caller_ip,
         request,
-        &wanted.method,
+        &token_request.method,
         path,
         &parts.headers,
     )?;
--- a/crates/sorrelturn-daemon/src/request/mod.rs
+++ b/crates/sorrelturn-daemon/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! The way of a request: entries, forwarding, the owner, the hop to the backend server.
+//! The path of a request: entry, forwarding, the owner and the hop to the backend server.
 
 pub(crate) mod answer;
 pub(crate) mod body;
