--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with one instance, and what its failure means.
+//! One exchange with one instance, and the consequences of its failure.
 
 use crate::{
     fleet::peers::{PeerLease, Runtime, SentAttempt},
@@ -20,24 +20,28 @@
 };
 use std::sync::Arc;
 
-/// Why an exchange with an instance has no answer.
+/// The reason why an exchange with an instance has no answer.
 pub(crate) enum Failure {
+    /// Nothing was sent, since the maximum number of connections is open.
     Full,
+    /// Nothing was sent.
     NotSent,
+    /// The exchange broke off after at least a part of the call was sent.
     Interrupted,
-    /// The owner never had the call, since its connection is silent, or refuses it as one that never came.
+    /// The owner has not received the call and will refuse it if it arrives late.
     NeverArrived,
-    /// The connection is silent and the answer was lost on it.
+    /// The owner received the call, but its answer was lost on an unresponsive connection.
     AnswerLost,
+    /// The call's deadline passed, or this daemon stopped, before the answer arrived.
     DeadlineExceeded,
 }
 
 impl Failure {
-    /// What follows for the call. Without the owner's word a token is never "not run".
+    /// Returns the reply to the call. A call with a token is "not run" only if its owner says so.
     pub(crate) fn reply(&self, context: &CallContext) -> Reply {
-        let unknown = context.token.is_some();
+        let has_token = context.token.is_some();
         match self {
-            Self::Full | Self::NotSent | Self::NeverArrived if unknown => {
+            Self::Full | Self::NotSent | Self::NeverArrived if has_token => {
                 Reply::refused(Refusal::OutcomeUnknown, Verdict::MayHaveRun)
             }
             Self::Full => owner::unused(Reply::not_run(Refusal::Overload), context.attempts),
@@ -53,22 +57,22 @@
     }
 }
 
-/// Sends one try to one instance and waits for its answer until the deadline, or until this run of the
-/// daemon gives its last answers.
+/// Sends one try to one instance and waits for its answer until the deadline, or until this
+/// incarnation of the daemon sends its last answers.
 pub(crate) async fn exchange(
     node: &Arc<Node>,
     route: &Route,
     call: &Call,
     mut req: Request<Body>,
 ) -> Result<Reply, Failure> {
-    let too_late = async {
+    let deadline_exceeded = async {
         let deadline = node.timers.at(call.deadline);
         deadline.or(node.ending.over()).await;
         Err(Failure::DeadlineExceeded)
     };
     if route.record.incarnation == node.incarnation {
-        let serve = async { Ok(owner::serve(node, call.context.clone(), req).await) };
-        return serve.or(too_late).await;
+        let local = async { Ok(owner::serve(node, call.context.clone(), req).await) };
+        return local.or(deadline_exceeded).await;
     }
     headers::set(req.headers_mut(), CONTEXT, &call.context.encode());
     let runtime = Runtime {
@@ -82,7 +86,7 @@
     };
     let send = async {
         match route.link.send(&runtime, req, attempt).await {
-            Ok((res, lease)) => reply_of(node, call, res, lease),
+            Ok((res, lease)) => read_reply(node, call, res, lease),
             Err(SendError::Full) => Err(Failure::Full),
             Err(SendError::NotSent) => Err(Failure::NotSent),
             Err(SendError::Broke) => Err(Failure::Interrupted),
@@ -90,10 +94,10 @@
             Err(SendError::AnswerLost) => Err(Failure::AnswerLost),
         }
     };
-    send.or(too_late).await
+    send.or(deadline_exceeded).await
 }
 
-/// How an owner knows an attempt.
+/// Returns the id under which the owner registers an attempt.
 pub(crate) fn attempt_id(context: &CallContext) -> AttemptId {
     AttemptId {
         request: context.request,
@@ -101,16 +105,17 @@
     }
 }
 
-fn reply_of(
+fn read_reply(
     node: &Node,
     call: &Call,
     mut res: Response<Incoming>,
     lease: PeerLease,
 ) -> Result<Reply, Failure> {
-    if let Some(fate) = res.headers().get(ATTEMPT_STATUS) {
+    if let Some(status) = res.headers().get(ATTEMPT_STATUS) {
         lease.give_back();
-        let never_came = AttemptStatus::decode(fate.as_bytes()) == Ok(AttemptStatus::NeverCame);
-        return Err(match never_came {
+        let never_arrived =
+            AttemptStatus::decode(status.as_bytes()) == Ok(AttemptStatus::NeverCame);
+        return Err(match never_arrived {
             true => Failure::NeverArrived,
             false => Failure::Interrupted,
         });
@@ -121,30 +126,30 @@
         .and_then(|value| AnswerContext::decode(value.as_bytes()).ok())
         .ok_or(Failure::Interrupted)?;
     let res = res.map(|body| {
-        body::guarded_answer(&node.timers, body, call.deadline, |whole| {
-            if whole {
+        body::guarded_answer(&node.timers, body, call.deadline, |is_complete| {
+            if is_complete {
                 lease.give_back();
             }
         })
     });
-    let answered = context.refusal.is_none();
-    let res = answered.then(|| Box::new(res));
+    let is_answered = context.refusal.is_none();
+    let res = is_answered.then(|| Box::new(res));
     Ok(Reply { context, res })
 }
 
-/// What the exchange tells about the instance.
-pub(crate) fn report(result: &Result<Reply, Failure>) -> InstanceReport {
+/// Returns what the result of an exchange says about the instance.
+pub(crate) fn instance_report(result: &Result<Reply, Failure>) -> InstanceReport {
     match result {
         Ok(reply) if reply.context.leaving => InstanceReport::Leaving,
         Ok(reply) if reply.context.refusal == Some(Refusal::OtherService) => {
             InstanceReport::Leaving
         }
         Ok(reply) if is_instance_failure(reply) => InstanceReport::Failed,
-        Ok(reply) if has_erred(reply) => InstanceReport::BackendError,
+        Ok(reply) if is_backend_error(reply) => InstanceReport::BackendError,
         Ok(reply) => InstanceReport::Answered {
             load: reply.context.load,
         },
-        // The instance itself is there.
+        // These failures don't mean that the instance is down.
         Err(Failure::Full | Failure::NeverArrived | Failure::AnswerLost) => {
             InstanceReport::Cancelled
         }
@@ -153,16 +158,16 @@
     }
 }
 
-/// The backend server turned the call away though its daemon had a slot for it, or answered with a
-/// failure that doesn't come from what it calls.
-fn has_erred(reply: &Reply) -> bool {
+/// Returns whether the backend server refused the call although its daemon had a free slot, or
+/// answered with an error that doesn't come from a service that it calls.
+fn is_backend_error(reply: &Reply) -> bool {
     let status = reply.res.as_ref().map(|res| res.status());
-    let failed = status.is_some_and(|status| status == StatusCode::INTERNAL_SERVER_ERROR);
-    let own = failed && !reply.context.already_retried;
-    own || reply.context.refusal == Some(Refusal::BackendRefused)
+    let is_server_error = status.is_some_and(|status| status == StatusCode::INTERNAL_SERVER_ERROR);
+    let is_own_error = is_server_error && !reply.context.already_retried;
+    is_own_error || reply.context.refusal == Some(Refusal::BackendRefused)
 }
 
-/// Failures that speak against the instance, and not against what it calls.
+/// Returns whether the failure lies with the instance and not with a service that it calls.
 fn is_instance_failure(reply: &Reply) -> bool {
     matches!(
         reply.context.refusal,
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -1,4 +1,4 @@
-//! The forwarder's side of a call: which instance, and what follows from its answer.
+//! The forwarder's side of a call: chooses an instance, sends the call and decides on retries.
 
 use crate::{
     clock::unix_ns,
@@ -11,7 +11,7 @@
     operators::export,
     request::answer::Reply,
     request::body::Body,
-    request::exchange::{Failure, exchange, report},
+    request::exchange::{Failure, exchange, instance_report},
     request::owner,
     request::payload::Payload,
     request::tokens,
@@ -29,108 +29,112 @@
 use sorrelturn_telemetry::{Field, Span, SpanKind, events, metrics};
 use std::{borrow::Cow, sync::Arc, time::Duration};
 
-/// Without this much time left, another try could not bring an answer.
-const LEAST_TIME_FOR_ANOTHER_TRY: Duration = Duration::from_millis(5);
-/// How long a call probably takes where the bundle names no target: most end within a second.
-const TIME_WITHOUT_TARGET: Duration = Duration::from_secs(1);
-/// How often an owner is asked again for the outcome of a token when an exchange broke off.
-const TOKEN_ASKS: u32 = 2;
+/// The minimum time before the deadline for a retry to be worthwhile.
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(5);
+/// The expected duration of a call whose kind has no latency target.
+const DEFAULT_EXPECTED_DURATION: Duration = Duration::from_secs(1);
+/// How often a call with a token is sent to its owner again after an interrupted exchange.
+const MAX_OUTCOME_QUERIES: u32 = 2;
 
-/// A call that is to be forwarded.
+/// A call to be forwarded.
 pub(crate) struct Call {
     pub(crate) in_force: Arc<InForce>,
     pub(crate) kind: Arc<KindEntry>,
-    /// Its `attempts` are the share of this call, its `parent` the span that makes it.
+    /// The context of the call. `attempts` is the number of executions that this call may use, and
+    /// `parent` the span that makes the call.
     pub(crate) context: CallContext,
     pub(crate) deadline: Now,
     pub(crate) method: Method,
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) payload: Payload,
-    /// The part of those that may make this call that may have run before.
+    /// The fraction of the requests that may have made this call that may be repeats.
     pub(crate) repeated_fraction: f64,
 }
 
-/// What the tries of one call have come to so far.
-struct Progress {
-    /// The share of the whole call.
-    share: u32,
+/// The progress of one call over all its tries.
+struct CallProgress {
+    /// The number of executions that the whole call may use.
+    total_attempts: u32,
     attempts_left: u32,
     verdict: Verdict,
     tried: Vec<Incarnation>,
     reroutes: u32,
-    /// How often a backend server turned it away, and the instance of the last one that did: never the same
-    /// twice in a row, which may not know yet who is beside it.
-    turned_away: u32,
-    turned_away_by: Option<Incarnation>,
-    token_asks: u32,
-    /// How many backend servers crashed while they ran it.
+    /// The number of tries that a backend server refused.
+    backend_refusals: u32,
+    /// The instance that refused the last such try. The next try goes to another one.
+    last_refused_by: Option<Incarnation>,
+    outcome_queries: u32,
+    /// The number of backend servers that crashed while they ran the call.
     crashes: usize,
 }
 
-/// Forwards a call until there is a final answer.
+/// Forwards a call, with retries, and returns the final reply.
 pub(crate) async fn call(node: &Arc<Node>, call: &mut Call) -> Reply {
-    if ends_before(node, call) {
+    if stops_before_answer(node, call) {
         let refused = Reply::not_run(Refusal::Leaving).with_retry_after(owner::come_back(node));
         return owner::unused(refused, call.context.attempts);
     }
-    if let Some(held_for) = held_for(node, call) {
-        let refused = Reply::not_run(Refusal::Quarantined).with_retry_after(held_for);
+    if let Some(remaining_quarantine) = remaining_quarantine(node, call) {
+        let refused = Reply::not_run(Refusal::Quarantined).with_retry_after(remaining_quarantine);
         return owner::unused(refused, call.context.attempts);
     }
     let kind_state = call.in_force.kind_state(&call.kind);
     let span = SpanId::random(&mut fastrand::Rng::new());
-    let share = call.context.attempts;
-    let caused_by = std::mem::replace(&mut call.context.parent, span);
+    let total_attempts = call.context.attempts;
+    let parent_span = std::mem::replace(&mut call.context.parent, span);
     let start_ns = unix_ns();
-    let mut progress = Progress {
-        share,
-        attempts_left: share,
+    let mut progress = CallProgress {
+        total_attempts,
+        attempts_left: total_attempts,
         verdict: Verdict::NotRun,
         tried: Vec::new(),
         reroutes: 0,
-        turned_away: 0,
-        turned_away_by: None,
-        token_asks: 0,
+        backend_refusals: 0,
+        last_refused_by: None,
+        outcome_queries: 0,
         crashes: 0,
     };
     lock(&kind_state.retries).record_call_of_repeat(node.now(), call.repeated_fraction);
     let mut reply = loop {
-        let Some(reply) = one_try(node, call, &mut progress, &kind_state).await else {
-            break without_instance(node, call).await;
+        let Some(reply) = send_attempt(node, call, &mut progress, &kind_state).await else {
+            break no_instance_reply(node, call).await;
         };
         progress.verdict = progress.verdict.combine(reply.context.verdict);
-        if !goes_on(node, call, &mut progress, &kind_state, &reply) {
+        if !should_retry(node, call, &mut progress, &kind_state, &reply) {
             break reply;
         }
     };
     reply.context.verdict = reply.context.verdict.combine(progress.verdict);
     reply.context.attempts_left = progress.attempts_left;
     call.context.attempts = progress.attempts_left;
-    let span = std::mem::replace(&mut call.context.parent, caused_by);
+    let span = std::mem::replace(&mut call.context.parent, parent_span);
     if node.spans.is_enabled() {
         node.spans
-            .add(client_span(call, span, caused_by, start_ns, &reply));
+            .add(client_span(call, span, parent_span, start_ns, &reply));
     }
     reply
 }
 
-/// Whether this daemon stops before the call would probably have its answer. Then it is refused while
-/// that is true, instead of being cut while it runs. What it probably takes is its target at most, since that is
-/// what its operators aim at. Only its owner knows what became of a token.
-fn ends_before(node: &Node, call: &Call) -> bool {
-    let probably = call.kind.target.unwrap_or(TIME_WITHOUT_TARGET);
-    let answered = call.deadline.min(node.now() + probably);
-    call.context.token.is_none() && node.ending.bound(answered) < answered
+/// Returns whether this daemon is expected to stop before the call is answered.
+///
+/// Such a call is refused while it has not run, instead of being cancelled halfway. Its expected
+/// duration is the latency target of its kind. Calls with a token are exempt, since only the owner
+/// knows whether the token has run.
+fn stops_before_answer(node: &Node, call: &Call) -> bool {
+    let expected_duration = call.kind.target.unwrap_or(DEFAULT_EXPECTED_DURATION);
+    let expected_end = call.deadline.min(node.now() + expected_duration);
+    call.context.token.is_none() && node.ending.bound(expected_end) < expected_end
 }
 
-/// For how long a request is kept from backend servers since it crashes them, if it is. Only its owner knows what
-/// became of a token.
-fn held_for(node: &Node, call: &Call) -> Option<Duration> {
+/// Returns how long a request that crashes backend servers stays quarantined, or `None` if it isn't.
+///
+/// Calls with a token are exempt, since only the owner knows whether the token has run.
+fn remaining_quarantine(node: &Node, call: &Call) -> Option<Duration> {
     if call.context.token.is_some() {
         return None;
     }
-    let held_for = node.suspects.held_for(node.now(), call.context.names)?;
+    let remaining = node.suspects.held_for(node.now(), call.context.names)?;
     node.events.record(
         &events::REFUSED,
         Some(call.context.request),
@@ -138,30 +142,30 @@
             Field::new("kind", &call.kind.name),
             Field::new("reason", Refusal::Quarantined.name()),
             Field::new("fingerprint", call.context.names.path),
-            Field::new("held_for_ms", held_for.as_millis()),
+            Field::new("held_for_ms", remaining.as_millis()),
         ],
     );
-    Some(held_for)
+    Some(remaining)
 }
 
-/// Asks one instance. `None` if there is none left to ask.
-async fn one_try(
+/// Sends one try to one instance. Returns `None` if no instance is left or the body is used up.
+async fn send_attempt(
     node: &Arc<Node>,
     call: &mut Call,
-    progress: &mut Progress,
+    progress: &mut CallProgress,
     kind_state: &KindState,
 ) -> Option<Reply> {
-    let route = pick(node, call, progress)?;
-    let req = request(node, call, progress)?;
-    let share = call.context.attempts;
+    let route = pick_route(node, call, progress)?;
+    let req = build_request(node, call, progress)?;
+    let attempts = call.context.attempts;
     let sent = node.now();
-    let on_its_way = OnItsWay::start(node, &route, call, kind_state);
+    let in_flight = InFlightCall::start(node, &route, call, kind_state);
     let result = exchange(node, &route, call, req).await;
     if matches!(result, Err(Failure::DeadlineExceeded)) {
         kind_state.threshold.observe_no_response(node.now());
     }
-    let was_silent = matches!(result, Err(Failure::NeverArrived | Failure::AnswerLost));
-    if on_its_way.finish(report(&result)) {
+    let was_unresponsive = matches!(result, Err(Failure::NeverArrived | Failure::AnswerLost));
+    if in_flight.finish(instance_report(&result)) {
         route.link.forget();
         node.note(
             &events::EJECTED,
@@ -172,21 +176,21 @@
         Ok(reply) => reply,
         Err(failure) => failure.reply(&call.context),
     };
-    learn(node, call, &route, kind_state, sent, &reply.context);
-    if call.context.depth == 0 && is_good(&reply) {
+    record_answer_context(node, call, &route, kind_state, sent, &reply.context);
+    if call.context.depth == 0 && is_success(&reply) {
         call.in_force.caller_succeeded(call.context.caller);
     }
-    // An ask after a broken one may bring the outcome of an execution that spent the share.
-    if progress.token_asks == 0 {
-        progress.attempts_left += reply.context.attempts_left.min(share);
+    // After an interrupted exchange, the reply may be the outcome of an execution that used the attempts.
+    if progress.outcome_queries == 0 {
+        progress.attempts_left += reply.context.attempts_left.min(attempts);
     }
-    if was_silent {
-        // The instance is there and may be asked again, by another attempt than the one that it refuses now.
+    if was_unresponsive {
+        // The instance refuses this attempt id from now on, but accepts another one.
         call.context.parent = SpanId::random(&mut fastrand::Rng::new());
-    } else if reached_and_turned_away(node, &reply) {
-        // Its daemon had a slot, so it may well take the call the next time.
-        progress.turned_away += 1;
-        progress.turned_away_by = Some(route.record.incarnation);
+    } else if is_routed_backend_refusal(node, &reply) {
+        // The daemon had a free slot, so the instance may accept the call on a later try.
+        progress.backend_refusals += 1;
+        progress.last_refused_by = Some(route.record.incarnation);
     } else if call.context.token.is_none() {
         progress.tried.push(route.record.incarnation);
     }
@@ -202,25 +206,25 @@
                 "refusal",
                 reply.context.refusal.map_or("none", Refusal::name),
             ),
-            Field::new("attempts", share),
+            Field::new("attempts", attempts),
             Field::new("attempts_back", reply.context.attempts_left),
         ],
     );
     Some(reply)
 }
 
-/// Counts a call at its instance; if it is dropped halfway, the call was cancelled.
-struct OnItsWay<'a> {
+/// Counts a call as in flight at its instance. Dropping it before `finish` reports the call as cancelled.
+struct InFlightCall<'a> {
     node: &'a Node,
     route: &'a Route,
     kind_state: &'a KindState,
     request: RequestId,
-    /// When half of the call's time is over.
+    /// The time at which half of the call's time is over.
     half_time: Now,
-    over: bool,
+    is_finished: bool,
 }
 
-impl<'a> OnItsWay<'a> {
+impl<'a> InFlightCall<'a> {
     fn start(node: &'a Node, route: &'a Route, call: &Call, kind_state: &'a KindState) -> Self {
         route.stats.started();
         let now = node.now();
@@ -230,26 +234,26 @@
             kind_state,
             request: call.context.request,
             half_time: now + call.deadline.saturating_sub(now) / 2,
-            over: false,
+            is_finished: false,
         }
     }
 
-    /// Returns whether the instance is ejected by it.
+    /// Reports the result, and returns whether it ejects the instance.
     fn finish(mut self, report: InstanceReport) -> bool {
-        self.over = true;
+        self.is_finished = true;
         self.route.stats.finished(self.node.now(), report)
     }
 }
 
-impl Drop for OnItsWay<'_> {
+impl Drop for InFlightCall<'_> {
     fn drop(&mut self) {
-        if self.over {
+        if self.is_finished {
             return;
         }
         let now = self.node.now();
         self.route.stats.finished(now, InstanceReport::Cancelled);
         if now >= self.half_time {
-            // Whoever asked has waited for long: its own time is over.
+            // A caller that cancels this late has probably reached its own timeout.
             self.kind_state.threshold.observe_no_response(now);
         }
         self.node.events.record(
@@ -260,8 +264,11 @@
     }
 }
 
-/// A token goes to its owner and nowhere else; any other call to the better of two instances.
-fn pick(node: &Node, call: &Call, progress: &Progress) -> Option<Arc<Route>> {
+/// Chooses the instance for the next try.
+///
+/// A call with a token goes to the owner of the token only, any other call to the better of two
+/// instances.
+fn pick_route(node: &Node, call: &Call, progress: &CallProgress) -> Option<Arc<Route>> {
     let routes = node.routes.load();
     if let Some(token) = call.context.token {
         return routes.of_incarnation(token.owner).cloned();
@@ -270,25 +277,31 @@
     let stats = instances.iter().map(|route| &route.stats);
     let mut rng = fastrand::Rng::new();
     let now = node.now();
-    let mut left_out = Cow::Borrowed(&progress.tried);
-    if let Some(by) = progress.turned_away_by {
-        left_out.to_mut().push(by);
+    let mut excluded = Cow::Borrowed(&progress.tried);
+    if let Some(incarnation) = progress.last_refused_by {
+        excluded.to_mut().push(incarnation);
     }
-    choose(stats, now, &left_out, &mut rng).map(|at| Arc::clone(&instances[at]))
+    choose(stats, now, &excluded, &mut rng).map(|index| Arc::clone(&instances[index]))
 }
 
-/// Whether the backend server turned the call away though its daemon had a slot for it, where that counts as having
-/// reached it, as a retry does: where routes tell kinds.
-fn reached_and_turned_away(node: &Node, reply: &Reply) -> bool {
+/// Returns whether the backend server refused the call although its daemon had a free slot.
+///
+/// Such a refusal uses up retry budget if the kind of a request is determined by its route;
+/// otherwise the result is always false.
+fn is_routed_backend_refusal(node: &Node, reply: &Reply) -> bool {
     node.routed.is_some() && reply.context.refusal == Some(Refusal::BackendRefused)
 }
 
-fn request(node: &Node, call: &mut Call, progress: &mut Progress) -> Option<Request<Body>> {
+fn build_request(
+    node: &Node,
+    call: &mut Call,
+    progress: &mut CallProgress,
+) -> Option<Request<Body>> {
     let body = call.payload.take()?;
     let deadline = node.ending.bound(call.deadline);
-    let left = deadline.saturating_sub(node.now());
-    call.context.deadline_ms = left.as_millis().min(u128::from(u32::MAX)) as u32;
-    call.context.attempts = share_of_try(call, progress);
+    let remaining = deadline.saturating_sub(node.now());
+    call.context.deadline_ms = remaining.as_millis().min(u128::from(u32::MAX)) as u32;
+    call.context.attempts = attempts_for_try(call, progress);
     progress.attempts_left = progress.attempts_left.saturating_sub(call.context.attempts);
     let mut req = Request::new(body);
     *req.method_mut() = call.method.clone();
@@ -297,16 +310,19 @@
     Some(req)
 }
 
-/// A token runs once, whichever ask brings it to its owner, so each ask can carry the whole share.
-fn share_of_try(call: &Call, progress: &Progress) -> u32 {
+/// Returns the number of executions that the next try may use.
+///
+/// A token runs only once however often it is sent, so each of its tries may use all attempts.
+fn attempts_for_try(call: &Call, progress: &CallProgress) -> u32 {
     match call.context.token {
-        Some(_) => progress.share,
+        Some(_) => progress.total_attempts,
         None => first_attempt_share(progress.attempts_left, call.kind.min_executions),
     }
 }
 
-/// Takes what an answer tells besides the answer.
-fn learn(
+/// Applies the metadata of an answer: the overload threshold, whether the kind is called by other
+/// services, and the bundle version with its staleness.
+fn record_answer_context(
     node: &Arc<Node>,
     call: &Call,
     route: &Arc<Route>,
@@ -335,21 +351,23 @@
     knowledge::told(node, sent, answer.bundle_version, answer.knowledge_age_ms);
 }
 
-/// Decides whether another try follows.
-fn goes_on(
+/// Decides whether another try follows, and records the decision.
+fn should_retry(
     node: &Node,
     call: &mut Call,
-    progress: &mut Progress,
+    progress: &mut CallProgress,
     kind_state: &KindState,
     reply: &Reply,
 ) -> bool {
     let deadline = node.ending.bound(call.deadline);
-    let left = deadline.saturating_sub(node.now());
-    let time_left = left >= LEAST_TIME_FOR_ANOTHER_TRY;
+    let remaining = deadline.saturating_sub(node.now());
+    let has_time_left = remaining >= MIN_TIME_FOR_RETRY;
     if call.context.token.is_some() {
-        return asks_owner_again(progress, reply) && time_left && call.payload.is_replayable();
+        return should_query_owner_again(progress, reply)
+            && has_time_left
+            && call.payload.is_replayable();
     }
-    if is_good(reply) || !call.payload.is_replayable() {
+    if is_success(reply) || !call.payload.is_replayable() {
         return false;
     }
     let attempt = Attempt {
@@ -360,20 +378,22 @@
         reroutes: progress.reroutes,
         attempts_left: progress.attempts_left,
         attempts_needed: call.kind.min_executions,
-        has_time_left: time_left,
+        has_time_left,
     };
     progress.crashes += usize::from(reply.context.refusal == Some(Refusal::BackendCrashed));
-    // Two of its tries may crash backend servers before the fleet has heard of the first.
-    let crashes_them = progress.crashes >= CRASHES_TO_QUARANTINE || held_for(node, call).is_some();
-    let reached = !crashes_them && reached_and_turned_away(node, reply);
-    let step = if crashes_them {
+    // Two tries may crash backend servers before the first crash report has reached all daemons.
+    let crashes_backends =
+        progress.crashes >= CRASHES_TO_QUARANTINE || remaining_quarantine(node, call).is_some();
+    let is_backend_refusal = !crashes_backends && is_routed_backend_refusal(node, reply);
+    let step = if crashes_backends {
         Step::Answer
-    } else if reached {
-        step_after_backend_refusal(progress.turned_away, time_left)
+    } else if is_backend_refusal {
+        step_after_backend_refusal(progress.backend_refusals, has_time_left)
     } else {
         next_step(&attempt)
     };
-    let paid = (step != Step::Retry && !reached) || pays_retry(node, call, kind_state);
+    let paid =
+        (step != Step::Retry && !is_backend_refusal) || take_retry_budget(node, call, kind_state);
     let kind = match step {
         Step::Reroute if paid => &events::REROUTED,
         Step::Retry if paid => &events::RETRIED,
@@ -402,41 +422,51 @@
     true
 }
 
-/// What was sent allows a retry here, and at the entry the caller's successes pay for it as well.
-fn pays_retry(node: &Node, call: &Call, kind_state: &KindState) -> bool {
+/// Takes one retry from the budget of the kind and, at the entry, from that of the caller.
+///
+/// Returns false if either budget is used up.
+fn take_retry_budget(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
     let caller_pays = !is_root || call.in_force.caller_pays_retry(call.context.caller);
     caller_pays && lock(&kind_state.retries).take(node.now())
 }
 
-/// The same token at the same owner runs nothing twice: it brings the outcome.
-fn asks_owner_again(progress: &mut Progress, reply: &Reply) -> bool {
-    let broke = reply.context.refusal == Some(Refusal::PeerBroke);
-    progress.token_asks += u32::from(broke);
-    broke && progress.token_asks <= TOKEN_ASKS
+/// Returns whether to send a token to its owner again, to query the outcome.
+///
+/// The owner runs a token only once, so a repeat returns the outcome of the first execution.
+fn should_query_owner_again(progress: &mut CallProgress, reply: &Reply) -> bool {
+    let is_interrupted = reply.context.refusal == Some(Refusal::PeerBroke);
+    progress.outcome_queries += u32::from(is_interrupted);
+    is_interrupted && progress.outcome_queries <= MAX_OUTCOME_QUERIES
 }
 
-/// An answer of the backend server that isn't a failure of the server's.
-fn is_good(reply: &Reply) -> bool {
+/// Returns whether the backend server answered with a status other than a server error (5xx).
+fn is_success(reply: &Reply) -> bool {
     reply
         .res
         .as_ref()
         .is_some_and(|res| !res.status().is_server_error())
 }
 
-async fn without_instance(node: &Arc<Node>, call: &Call) -> Reply {
+async fn no_instance_reply(node: &Arc<Node>, call: &Call) -> Reply {
     match call.context.token {
         Some(token) => tokens::reply_for_lost_owner(node, &token).await,
         None => Reply::not_run(Refusal::NoInstance).with_retry_after(owner::come_back(node)),
     }
 }
 
-fn client_span(call: &Call, span: SpanId, caused_by: SpanId, start_ns: u64, reply: &Reply) -> Span {
+fn client_span(
+    call: &Call,
+    span: SpanId,
+    parent_span: SpanId,
+    start_ns: u64,
+    reply: &Reply,
+) -> Span {
     let is_root = call.context.depth == 0;
     Span {
         trace: call.context.trace,
         id: span,
-        parent: (caused_by != SpanId::default()).then_some(caused_by),
+        parent: (parent_span != SpanId::default()).then_some(parent_span),
         name: call.kind.name.clone(),
         kind: if is_root {
             SpanKind::Server
@@ -445,7 +475,7 @@
         },
         start_ns,
         end_ns: unix_ns(),
-        failed: !is_good(reply),
+        failed: !is_success(reply),
         attributes: vec![
             Field::new("sorrelturn.request", call.context.request),
             Field::new("sorrelturn.verdict", reply.context.verdict),
