--- a/crates/sorrelturn-daemon/src/request/body.rs
+++ b/crates/sorrelturn-daemon/src/request/body.rs
@@ -1,5 +1,5 @@
-//! Bodies that stream with backpressure and tell how they ended. A body that breaks off ends with
-//! an error, so that the connection is cut and never looks as if it were whole.
+//! Streaming bodies with backpressure that report how they end. An interrupted body ends with an
+//! error, which closes the connection, so that it is never mistaken for a complete one.
 
 use crate::net::timers::{Deadline, Timers};
 use bytes::Bytes;
@@ -13,22 +13,20 @@
     time::Duration,
 };
 
-/// The longest time without a byte from the sender of a body.
-const STALL_TIME: Duration = Duration::from_secs(30);
-/// The longest time without a byte of an answer once the time of its request is over: that in which the
-/// platform's rules want a final answer then. A connection that falls silent behind a head else holds its caller
-/// for a minute; the fault soak saw 33 such callers in 48 runs of 30 s. Answers that go on are never cut by it.
-const LATE_STALL_TIME: Duration = Duration::from_millis(500);
+/// The maximum time without progress from the sender of a body.
+const STALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// The maximum time without progress of an answer after the deadline of its request.
+const STALL_TIMEOUT_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 
 /// A body of any origin.
 pub(crate) type Body = BoxBody<Bytes, BodyError>;
 
-/// Why a body ends early.
+/// The reason why a body ended early.
 #[derive(Debug, Display)]
 pub enum BodyError {
-    /// the sender broke off: {0}
+    /// the sender interrupted the body: {0}
     Interrupted(hyper::Error),
-    /// the sender sent nothing for too long
+    /// the sender stalled for too long
     Stalled,
 }
 
@@ -40,36 +38,40 @@
         .boxed()
 }
 
-/// Passes a body of our own on and calls `on_end` once: with true after its last byte, with false
-/// if it broke off or its reader went away first.
+/// Passes on a body of this process and calls `on_end` once: with true after the last byte, with
+/// false if the body was interrupted or dropped before that.
 pub(crate) fn watched(body: Body, on_end: impl FnOnce(bool) + Send + Sync + 'static) -> Body {
     watch(body, None, on_end)
 }
 
-/// Passes a body from a connection on as [`watched`] does, and ends it with an error if its sender
+/// Passes on a body from a connection as [`watched`] does, and ends it with an error if its sender
 /// stalls.
 pub(crate) fn guarded(
     timers: &Timers,
     body: Incoming,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body {
-    watch(body, Some(Stall::new(timers)), on_end)
+    watch(body, Some(StallDetector::new(timers)), on_end)
 }
 
-/// Passes an answer on as [`guarded`] does; before `deadline`, when the time of its request is over, it may stand
-/// still for as long as it likes, and soon after it not any more.
+/// Passes on an answer as [`guarded`] does, but allows any pause before `deadline`, the deadline of
+/// the request, and only short pauses after it.
 pub(crate) fn guarded_answer(
     timers: &Timers,
     body: Incoming,
     deadline: Now,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body {
-    watch(body, Some(Stall::late(timers, deadline)), on_end)
+    watch(
+        body,
+        Some(StallDetector::after_deadline(timers, deadline)),
+        on_end,
+    )
 }
 
 fn watch<B>(
     body: B,
-    stall: Option<Stall>,
+    stall: Option<StallDetector>,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body
 where
@@ -88,7 +90,7 @@
     watched.boxed()
 }
 
-/// Puts bytes that were read already before the rest of a body.
+/// Prepends bytes that have already been read to the rest of a body.
 pub(crate) fn prefixed(read: Vec<u8>, rest: Body) -> Body {
     let first = Some(Bytes::from(read));
     Prefixed { first, rest }.boxed()
@@ -120,47 +122,46 @@
     }
 }
 
-/// Notices a sender that stalls. A byte that arrives costs no timer: when the time is up, it starts
-/// again from the last byte.
-struct Stall {
+/// Detects a sender that stalls. Progress only sets a flag; the timer restarts when it expires.
+struct StallDetector {
     timers: Timers,
-    moved: bool,
+    has_progressed: bool,
     deadline: Deadline,
-    /// How long it may stand still, from the first deadline on.
-    time: Duration,
+    /// The maximum time without progress after the first deadline.
+    timeout: Duration,
 }
 
-impl Stall {
+impl StallDetector {
     fn new(timers: &Timers) -> Self {
         Self {
             timers: timers.clone(),
-            moved: false,
-            deadline: timers.after(STALL_TIME),
-            time: STALL_TIME,
+            has_progressed: false,
+            deadline: timers.after(STALL_TIMEOUT),
+            timeout: STALL_TIMEOUT,
         }
     }
 
-    fn late(timers: &Timers, deadline: Now) -> Self {
+    fn after_deadline(timers: &Timers, deadline: Now) -> Self {
         Self {
             timers: timers.clone(),
-            // The head has come; what counts is whether anything does after the deadline.
-            moved: true,
+            // Grants one timeout after the deadline, even if the body has made no progress before it.
+            has_progressed: true,
             deadline: timers.at(deadline),
-            time: LATE_STALL_TIME,
+            timeout: STALL_TIMEOUT_AFTER_DEADLINE,
         }
     }
 
-    fn moved(&mut self) {
-        self.moved = true;
+    fn record_progress(&mut self) {
+        self.has_progressed = true;
     }
 
-    /// Whether nothing moved for the whole time; at most twice the time passes until it is noticed.
-    fn is_over(&mut self, cx: &mut Context<'_>) -> bool {
+    /// Returns whether there was no progress for a whole timeout. Detection takes up to two timeouts.
+    fn is_stalled(&mut self, cx: &mut Context<'_>) -> bool {
         while Pin::new(&mut self.deadline).poll(cx).is_ready() {
-            if !std::mem::take(&mut self.moved) {
+            if !std::mem::take(&mut self.has_progressed) {
                 return true;
             }
-            self.deadline = self.timers.after(self.time);
+            self.deadline = self.timers.after(self.timeout);
         }
         false
     }
@@ -168,14 +169,14 @@
 
 struct Watched<B> {
     body: B,
-    stall: Option<Stall>,
+    stall: Option<StallDetector>,
     on_end: Option<Box<dyn FnOnce(bool) + Send + Sync>>,
 }
 
 impl<B> Watched<B> {
-    fn end(&mut self, whole: bool) {
+    fn end(&mut self, is_complete: bool) {
         if let Some(on_end) = self.on_end.take() {
-            on_end(whole);
+            on_end(is_complete);
         }
     }
 }
@@ -196,7 +197,7 @@
         match Pin::new(&mut this.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
                 if let Some(stall) = &mut this.stall {
-                    stall.moved();
+                    stall.record_progress();
                 }
                 if this.body.is_end_stream() {
                     this.end(true);
@@ -213,7 +214,7 @@
             }
             Poll::Pending => {
                 let stall = this.stall.as_mut();
-                if stall.is_some_and(|stall| stall.is_over(cx)) {
+                if stall.is_some_and(|stall| stall.is_stalled(cx)) {
                     this.end(false);
                     return Poll::Ready(Some(Err(BodyError::Stalled)));
                 }
