--- a/crates/sorrelturn-daemon/src/request/dialect.rs
+++ b/crates/sorrelturn-daemon/src/request/dialect.rs
@@ -1,43 +1,45 @@
-//! How callers, daemons and backend servers say things in headers, where a kind is told by its
-//! route. See `docs/design/running-on-the-platform.md`.
+//! The headers that callers, daemons and backend servers use where the kind of a request is
+//! determined by its route. See `docs/design/running-on-the-platform.md`.
 
 use hyper::header::HeaderName;
 use sorrelturn_bundle::RouteTable;
 
-/// The names of the headers by which a request and its answer are described.
+/// The names of the headers that describe a request and its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Names one attempt of a caller; backend servers give it back with the answer.
+    /// Identifies one attempt of a caller. Backend servers return it with the answer.
     pub request_id: HeaderName,
-    /// The milliseconds that the sender will wait.
+    /// The time in milliseconds until the sender stops waiting for an answer.
     pub time_left_ms: HeaderName,
-    /// To a backend server: the only one that may run the request.
+    /// To a backend server: the id of the only backend server that may run the request.
     pub expected_backend: HeaderName,
-    /// To a backend server: the service on the VM where the request began.
+    /// To a backend server: the service of the VM whose daemon first received the request.
     pub caller_service: HeaderName,
-    /// From a backend server: it did not run the request.
+    /// From a backend server: the request was not run.
     pub not_run: HeaderName,
     /// From a backend server: its id.
     pub backend_id: HeaderName,
-    /// From a backend server: requests that run, requests that wait and slots, joined by commas.
+    /// From a backend server: the numbers of running requests, queued requests and slots, separated
+    /// by commas.
     pub load: HeaderName,
-    /// From a caller: the credential that it shows. It goes no further than the entry.
+    /// From a caller: its credential, which the entry does not forward.
     pub credential: HeaderName,
-    /// To a backend server: the name of the workspace that holds the caller's credential.
+    /// To a backend server: the name of the workspace that the caller's credential belongs to.
     pub workspace: HeaderName,
 }
 
-/// What differs between this project's own interface and another one that tells kinds by routes.
+/// The header names and the route table format of an interface that determines kinds by routes.
 #[derive(Clone, Debug)]
 pub struct Dialect {
     /// The names of headers.
     pub headers: HeaderNames,
-    /// Reads a route table out of the text that operators put into the platform's store.
+    /// Parses the text of a route table that operators put into the platform's store. The error is a
+    /// message.
     pub read_routes: fn(&str) -> Result<RouteTable, String>,
 }
 
 impl Dialect {
-    /// The project's own names, and route tables in its own JSON.
+    /// The project's own header names and JSON route tables.
     pub fn own() -> Self {
         let name = HeaderName::from_static;
         Self {
--- a/crates/sorrelturn-daemon/src/request/fingerprint.rs
+++ b/crates/sorrelturn-daemon/src/request/fingerprint.rs
@@ -1,13 +1,13 @@
-//! By what a request is known again when it comes under another id, at another VM.
+//! Fingerprints that identify a request when it arrives with another id or at another VM.
 
 use crate::request::payload::Payload;
 use hyper::{HeaderMap, Method, Uri, header::HOST};
 use sorrelturn_protocol::{CallerId, RequestFingerprint, RequestNames};
 
-/// The names of what a request asks for.
+/// Computes the fingerprints of a request from its method, host, target, caller and body.
 ///
-/// The service at which it began is left out, since the same request comes at any VM. A body that is too large to be
-/// held is known by its length alone.
+/// The service of the VM at which the request entered is not included, since a repeat may enter at
+/// any VM. Of a body that is too large to be buffered, only the length is included.
 pub(crate) fn names_of(
     method: &Method,
     target: &Uri,
@@ -17,14 +17,14 @@
 ) -> RequestNames {
     let host = headers.get(HOST).map_or(&b""[..], |host| host.as_bytes());
     let mut hasher = blake3::Hasher::new();
-    for part in [method.as_str().as_bytes(), host, target.path().as_bytes()] {
-        hasher.update(&part.len().to_be_bytes());
-        hasher.update(part);
+    for component in [method.as_str().as_bytes(), host, target.path().as_bytes()] {
+        hasher.update(&component.len().to_be_bytes());
+        hasher.update(component);
     }
     hasher.update(&caller.0.to_be_bytes());
     match payload {
         Payload::Buffered(bytes) => hasher.update(bytes),
-        Payload::Stream { bytes, .. } => hasher.update(&bytes.unwrap_or_default().to_be_bytes()),
+        Payload::Stream { len, .. } => hasher.update(&len.unwrap_or_default().to_be_bytes()),
     };
     let path = leading_bits(&hasher);
     let with_query = target.query().map(|query| {
--- a/crates/sorrelturn-daemon/src/request/headers.rs
+++ b/crates/sorrelturn-daemon/src/request/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers go on and which stay.
+//! Filtering, reading and setting of headers.
 
 use hyper::{
     HeaderMap,
@@ -9,7 +9,7 @@
 };
 use sorrelturn_protocol::headers::PREFIX;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     TE,
@@ -21,21 +21,21 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` names too.
+/// Removes the hop-by-hop headers, including those that the `Connection` header lists.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in connection_headers.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Removes our own headers: nobody outside sets importance, budget or identity.
+/// Removes the project's internal headers, so that outsiders can't set importance, budget or identity.
 pub(crate) fn strip_internal(headers: &mut HeaderMap) {
     let internal: Vec<HeaderName> = headers
         .keys()
@@ -47,21 +47,21 @@
     }
 }
 
-/// What a request keeps on its way between daemons.
+/// Removes the headers that are not forwarded between daemons.
 pub(crate) fn strip_for_peer(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     strip_internal(headers);
     headers.remove(HOST);
 }
 
-/// Sets a header whose value is made of safe characters.
+/// Sets a header, unless `value` contains characters that are invalid in a header.
 pub(crate) fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Reads a header as text.
+/// Returns a header as text, or `None` if it is missing or not visible ASCII.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/sorrelturn-daemon/src/request/payload.rs
+++ b/crates/sorrelturn-daemon/src/request/payload.rs
@@ -1,4 +1,4 @@
-//! The bodies of requests, read first where they are small.
+//! Request bodies. Small ones are buffered before the request is processed.
 
 use crate::{
     net::timers::Timers,
@@ -12,51 +12,53 @@
 use sorrelturn_protocol::Refusal;
 use std::time::Duration;
 
-/// A body up to this size is read before anything is decided, so that a slow sender holds no
-/// slot and a try can be repeated.
-const WHOLE_BODY_BYTES: u64 = 64 << 10;
-/// The longest time for reading such a body.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// The maximum size of a buffered body. Buffering keeps slow senders from occupying slots and allows
+/// retries.
+const MAX_BUFFERED_BODY_BYTES: u64 = 64 << 10;
+/// The maximum time for reading a body into the buffer.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The body of a request on its way.
+/// The body of a request that is to be forwarded.
 pub(crate) enum Payload {
-    /// Here as a whole, so the request can be sent again.
+    /// Completely read, so that it can be sent several times.
     Buffered(Bytes),
-    /// Still coming from its sender; can be sent once.
+    /// Still arriving from its sender; can be sent once.
     Stream {
-        /// It, until it is sent.
+        /// The body, or `None` once it is sent.
         body: Option<Body>,
-        /// Its length, if its sender told it.
-        bytes: Option<u64>,
+        /// The length in bytes, if the sender has declared it.
+        len: Option<u64>,
     },
 }
 
 impl Payload {
-    /// Reads a small body as a whole and takes a larger one as a stream.
+    /// Reads a small body into a buffer and keeps a larger one, or one of unknown size, as a stream.
+    ///
+    /// Returns a refusal if reading fails or times out.
     pub(crate) async fn read(timers: &Timers, incoming: Incoming) -> Result<Self, Reply> {
         if incoming.is_end_stream() {
             return Ok(Self::Buffered(Bytes::new()));
         }
         let upper = incoming.size_hint().upper();
-        if upper.is_none_or(|len| len > WHOLE_BODY_BYTES) {
+        if upper.is_none_or(|len| len > MAX_BUFFERED_BODY_BYTES) {
             let body = Some(body::guarded(timers, incoming, |_| {}));
-            return Ok(Self::Stream { body, bytes: upper });
+            return Ok(Self::Stream { body, len: upper });
         }
         let read = async {
-            let body = Limited::new(incoming, WHOLE_BODY_BYTES as usize);
+            let body = Limited::new(incoming, MAX_BUFFERED_BODY_BYTES as usize);
             body.collect().await.ok().map(|body| body.to_bytes())
         };
-        let too_slow = async {
-            timers.after(BODY_TIME).await;
+        let timeout = async {
+            timers.after(BODY_READ_TIMEOUT).await;
             None
         };
-        read.or(too_slow)
+        read.or(timeout)
             .await
             .map(Self::Buffered)
             .ok_or_else(|| Reply::not_run(Refusal::Malformed))
     }
 
-    /// The body for one try, or `None` if it was used up by an earlier one.
+    /// Returns the body for one try, or `None` if an earlier try used up the stream.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
             Self::Buffered(bytes) => Some(body::full(bytes.clone())),
