--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -1,4 +1,4 @@
-//! Getting tokens for at-most-once calls, and what became of those whose owner is gone.
+//! Obtaining tokens for at-most-once calls, and the outcome of tokens whose owner is lost.
 
 use crate::{
     node::{Node, lock},
@@ -20,10 +20,10 @@
 use sorrelturn_protocol::{CallContext, ExecutionToken, Refusal, Verdict};
 use std::sync::Arc;
 
-/// The path, on the peers' listener, by which an owner is asked for a token.
+/// The path on the peers' listener at which an owner issues tokens.
 pub(crate) const ISSUE_PATH: &str = "/.sorrelturn/issue";
 
-/// Answers a peer that asks for a token of this process.
+/// Issues a token of this process to a peer.
 pub(crate) fn issue(node: &Node) -> Reply {
     if node.is_leaving() {
         return Reply::not_run(Refusal::Leaving);
@@ -41,9 +41,9 @@
     }
 }
 
-/// Gets a token for a call from an instance of the kind's service.
+/// Requests a token for a call from an instance of the kind's service.
 pub(crate) async fn obtain(node: &Arc<Node>, call: &Call) -> Result<ExecutionToken, Reply> {
-    let mut asking = Call {
+    let mut issue_call = Call {
         in_force: Arc::clone(&call.in_force),
         kind: Arc::clone(&call.kind),
         context: CallContext {
@@ -57,10 +57,10 @@
         payload: Payload::Buffered(Bytes::new()),
         repeated_fraction: 0.0,
     };
-    let reply = forward::call(node, &mut asking).await;
+    let reply = forward::call(node, &mut issue_call).await;
     let context = reply.context;
     let Some(res) = reply.res else {
-        // Nothing but a token was asked for, so nothing ran whatever broke.
+        // Issuing a token runs nothing on a backend server, so any failure means "not run".
         let refusal = context.refusal.unwrap_or(Refusal::PeerBroke);
         let mut refused = Reply::not_run(refusal);
         refused.context.retry_after_ms = context.retry_after_ms;
@@ -74,25 +74,27 @@
         .ok_or_else(unreadable)
 }
 
-/// A token that lies in the store under a caller's own key.
+/// The token that is bound to a caller's idempotency key in the store.
 pub(crate) struct BoundToken {
     /// The token.
     pub(crate) token: ExecutionToken,
-    /// The version of the object.
+    /// The version of the binding in the store.
     pub(crate) version: u64,
 }
 
-/// Binds a caller's own key to a token, so that it is used once whatever happens.
+/// Binds a caller's idempotency key to a token, unless it is bound already, and returns the token.
 pub(crate) async fn bind(node: &Arc<Node>, call: &Call, key: &str) -> Result<BoundToken, Reply> {
-    // A repeat finds its binding at once and needs no new token.
+    // A repeated request finds the existing binding and needs no new token.
     match node.platform.get(&binding_object(call, key)).await {
-        Ok(Some(found)) => settle(node, call, Some(&found)),
+        Ok(Some(found)) => resolve_binding(node, call, Some(&found)),
         Ok(None) => write_binding(node, call, key, Expected::Absent).await,
-        Err(_) => settle(node, call, None),
+        Err(_) => resolve_binding(node, call, None),
     }
 }
 
-/// Binds a key to a fresh token in the place of one that was refused before it ran.
+/// Replaces the token of a key, which was refused before it ran, by a new one.
+///
+/// `version` is that of the binding to be replaced.
 pub(crate) async fn rebind(
     node: &Arc<Node>,
     call: &Call,
@@ -110,24 +112,24 @@
 ) -> Result<BoundToken, Reply> {
     let object = binding_object(call, key);
     let token = obtain(node, call).await?;
-    let own = Binding {
+    let binding = Binding {
         token: token.to_string(),
         fingerprint: fingerprint(call).0,
         attempt: fastrand::u64(..),
     };
-    let value = serde_json::to_string(&own).unwrap_or_default();
+    let value = serde_json::to_string(&binding).unwrap_or_default();
     match node.platform.put(&object, &value, expected).await {
         Ok(version) => Ok(BoundToken { token, version }),
         Err(PlatformError::Conflict(_) | PlatformError::AnswerLost(_)) => {
             let found = node.platform.get(&object).await.ok().flatten();
-            settle(node, call, found.as_ref())
+            resolve_binding(node, call, found.as_ref())
         }
-        Err(_) => settle(node, call, None),
+        Err(_) => resolve_binding(node, call, None),
     }
 }
 
-/// Whoever was first, the token that lies in the store is the only one that the key may use.
-fn settle(node: &Node, call: &Call, found: Option<&Object>) -> Result<BoundToken, Reply> {
+/// Returns the token of the binding found in the store, the only one that the key may use.
+fn resolve_binding(node: &Node, call: &Call, found: Option<&Object>) -> Result<BoundToken, Reply> {
     let unavailable =
         || Reply::not_run(Refusal::StoreUnavailable).with_retry_after(owner::come_back(node));
     let found = found.ok_or_else(unavailable)?;
@@ -151,7 +153,7 @@
     owner::fingerprint(&call.context, &call.target.to_string())
 }
 
-/// What is known of a token whose owner can't be asked: what it left in the store.
+/// Returns the reply for a token whose owner is lost, from the outcomes that the owner saved.
 pub(crate) async fn reply_for_lost_owner(node: &Node, token: &ExecutionToken) -> Reply {
     let verdict = recorded_verdict(node, token).await;
     let verdict = verdict.unwrap_or(Verdict::MayHaveRun);
@@ -162,7 +164,9 @@
     Reply::refused(refusal, verdict).with_retry_after(owner::come_back(node))
 }
 
-/// The order of the two reads matters: once the closing record is there, the segment is whole.
+/// Reads the saved verdict of a token.
+///
+/// The closing record is read first: if it exists, the segment that is read after it is complete.
 async fn recorded_verdict(node: &Node, token: &ExecutionToken) -> Result<Verdict, PlatformError> {
     let closing = node
         .platform
@@ -170,8 +174,8 @@
         .await?;
     let key = keys::outcomes(token.owner, OutcomeSegment::number_of(token));
     let segment = node.platform.get(&key).await?;
-    let closing: Option<ClosingRecord> = parsed(closing.as_ref())?;
-    let segment: Option<OutcomeSegment> = parsed(segment.as_ref())?;
+    let closing: Option<ClosingRecord> = parse(closing.as_ref())?;
+    let segment: Option<OutcomeSegment> = parse(segment.as_ref())?;
     Ok(verdict_of_lost_owner(
         token,
         closing.as_ref(),
@@ -179,14 +183,14 @@
     ))
 }
 
-fn parsed<T: DeserializeOwned>(object: Option<&Object>) -> Result<Option<T>, PlatformError> {
+fn parse<T: DeserializeOwned>(object: Option<&Object>) -> Result<Option<T>, PlatformError> {
     object
         .map(|object| serde_json::from_str(&object.value))
         .transpose()
         .map_err(|_| PlatformError::Unreadable)
 }
 
-/// Sets the header by which a caller is told its token.
+/// Sets the header that holds the caller's token.
 pub(crate) fn set_header(headers: &mut HeaderMap, token: &ExecutionToken) {
     headers::set(
         headers,
