--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -37,10 +37,12 @@
 ) -> Result<Identified, Reply> {
     let (host, path) = host_and_path;
     let presented = presented_credential(headers, routed)?;
-    let retry_later = || Reply::not_run(Refusal::StaleKnowledge).come_back(CREDENTIAL_RETRY_AFTER);
+    let retry_later =
+        || Reply::not_run(Refusal::StaleKnowledge).with_retry_after(CREDENTIAL_RETRY_AFTER);
     loop {
         let in_force = node.in_force.load_full();
-        let no_bundle = || Reply::not_run(Refusal::NoBundle).come_back(owner::retry_after(node));
+        let no_bundle =
+            || Reply::not_run(Refusal::NoBundle).with_retry_after(owner::retry_after(node));
         let in_force = in_force.ok_or_else(no_bundle)?;
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -65,7 +65,7 @@
     req: Request<Incoming>,
 ) -> Reply {
     let Some(in_force) = node.in_force.load_full() else {
-        return Reply::not_run(Refusal::NoBundle).come_back(owner::retry_after(node));
+        return Reply::not_run(Refusal::NoBundle).with_retry_after(owner::retry_after(node));
     };
     let kind = in_force
         .bundle
@@ -85,7 +85,8 @@
         } else {
             Verdict::NotRun
         };
-        return Reply::refused(Refusal::AttemptsSpent, verdict).come_back(owner::retry_after(node));
+        return Reply::refused(Refusal::AttemptsSpent, verdict)
+            .with_retry_after(owner::retry_after(node));
     };
     let context = context(node, parent.map(Arc::as_ref), request, &kind, share);
     let reply = forward_call(node, parent, &in_force, kind, context, req).await;
@@ -157,7 +158,7 @@
         target,
         headers: parts.headers,
         payload,
-        for_repeat,
+        repeated_fraction: for_repeat,
     };
     if call.kind.at_most_once() {
         match token(node, parent, &call, &key).await {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -53,7 +53,7 @@
 /// Waits until this incarnation of the daemon shuts down, then refuses a request that can't be forwarded any more.
 pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
     node.ending.over().await;
-    Reply::not_run(Refusal::Leaving).come_back(retry_after(node))
+    Reply::not_run(Refusal::Leaving).with_retry_after(retry_after(node))
 }
 
 /// The Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -181,7 +181,7 @@
         return Ok(());
     }
     if phase == ConnectionPhase::Draining {
-        return Err(Reply::not_run(Refusal::Leaving).come_back(owner::retry_after(node)));
+        return Err(Reply::not_run(Refusal::Leaving).with_retry_after(owner::retry_after(node)));
     }
     let is_retry = resolved
         .remaining_ms
@@ -212,7 +212,7 @@
         ],
     );
     let retry_after = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
-    Err(Reply::not_run(Refusal::Overload).come_back(retry_after))
+    Err(Reply::not_run(Refusal::Overload).with_retry_after(retry_after))
 }
 
 async fn forward_request(
@@ -270,7 +270,7 @@
         target,
         headers: parts.headers,
         payload,
-        for_repeat,
+        repeated_fraction: for_repeat,
     };
     let reply = forward::call(node, &mut call).await;
     // If this daemon shuts down, another instance may succeed, so the backend server's failure may be retried.
