--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -108,7 +108,7 @@
             in_flight -= 1;
         }
     }
-    black_box(gate.waiting());
+    black_box(gate.queued());
 }
 
 /// One of 36 instances is chosen and answers.
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -4,7 +4,7 @@
 use fastrand::Rng;
 use sorrelturn_policy::{
     CallGraph, Candidate, Gate, GateConfig, InProgressRequests, Instance, InstanceReport,
-    LearnedThreshold, Now, Origins, RefusalStreak, RetryAfter, RetryDetector, RetryWindow,
+    LearnedThreshold, Now, RefusalStreak, RequestOrigins, RetryAfter, RetryDetector, RetryWindow,
     bucket_for_retry, choose, refuses,
 };
 use sorrelturn_protocol::{Importance, Incarnation, Priority};
@@ -61,7 +61,7 @@
     /// The same one by one, by the ids of the runs.
     at_work: BTreeMap<u64, AtWork>,
     graph: CallGraph,
-    origins: Origins,
+    origins: RequestOrigins,
 }
 
 /// Where the instances of the services stand.
@@ -121,7 +121,7 @@
             worked_on: InProgressRequests::default(),
             at_work: BTreeMap::new(),
             graph: CallGraph::default(),
-            origins: Origins::default(),
+            origins: RequestOrigins::default(),
         }
     }
 
@@ -312,7 +312,7 @@
 
     /// Takes the price of another sending to a service, if it is there.
     pub(super) fn pays_retry(&mut self, now: Now, service: usize) -> bool {
-        self.retries[service].take(now)
+        self.retries[service].try_retry(now)
     }
 }
 
--- a/crates/sorrelturn-bench/src/returns.rs
+++ b/crates/sorrelturn-bench/src/returns.rs
@@ -417,7 +417,7 @@
         let (one, other) = (self.rng.usize(..live), self.rng.usize(..live));
         let load = |at: usize| {
             let gate = &self.instances[at].gate;
-            gate.in_flight() as usize + gate.waiting()
+            gate.in_flight() as usize + gate.queued()
         };
         let at = if load(one) <= load(other) { one } else { other };
         self.next_id += 1;
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -9,7 +9,7 @@
 };
 use smol::{Timer, future::FutureExt, lock::OnceCell, net::TcpStream};
 use sorrelturn_policy::Now;
-use sorrelturn_protocol::{CrashId, CrashReport, RequestFingerprint, RequestNames};
+use sorrelturn_protocol::{CrashId, CrashReport, RequestFingerprint, RequestFingerprints};
 use sorrelturn_telemetry::{Field, events};
 use std::{
     collections::VecDeque,
@@ -44,7 +44,7 @@
     look: Option<Arc<Look>>,
     last: Option<LastCrash>,
     /// What was given up on lately, oldest first.
-    given_up: VecDeque<(Now, RequestNames)>,
+    given_up: VecDeque<(Now, RequestFingerprints)>,
 }
 
 impl State {
@@ -73,12 +73,12 @@
 /// A request that the backend server may be running, until its exchange has ended; dropped before that, it was given up on.
 pub(crate) struct AtWork {
     node: Arc<Node>,
-    request: RequestNames,
+    request: RequestFingerprints,
     has_ended: bool,
 }
 
 impl AtWork {
-    pub(crate) fn new(node: &Arc<Node>, request: RequestNames) -> Self {
+    pub(crate) fn new(node: &Arc<Node>, request: RequestFingerprints) -> Self {
         Self {
             node: Arc::clone(node),
             request,
@@ -111,7 +111,7 @@
 }
 
 /// An exchange broke off while the backend server may have been running its request. Returns whether it crashed.
-pub(crate) async fn broke_off(node: &Arc<Node>, request: RequestNames) -> bool {
+pub(crate) async fn broke_off(node: &Arc<Node>, request: RequestFingerprints) -> bool {
     let look = {
         let mut state = lock(&node.crashes.0);
         let look = state.look.get_or_insert_with(|| start_look(node));
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -10,7 +10,9 @@
 };
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use sorrelturn_bundle::Bundle;
-use sorrelturn_policy::{CallGraph, GateConfig, LeavingCause, Origins, Presence, PresenceChange};
+use sorrelturn_policy::{
+    CallGraph, GateConfig, LeavingCause, Presence, PresenceChange, RequestOrigins,
+};
 use sorrelturn_protocol::{Announcement, BackendState};
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -46,7 +48,7 @@
     /// When a credential that nobody holds was noted last.
     pub(crate) noted_unknown: LastTime,
     /// Where the requests for the backend server come from.
-    pub(crate) origins: Mutex<Origins>,
+    pub(crate) origins: Mutex<RequestOrigins>,
     /// When the log said last that a report names no backend server.
     foreign_noted: LastTime,
     /// Whether the platform's store has the newest state, for the next run of this daemon.
--- a/crates/sorrelturn-daemon/src/config/knowledge.rs
+++ b/crates/sorrelturn-daemon/src/config/knowledge.rs
@@ -102,7 +102,7 @@
 
     /// Whether it is known that no newer table existed at `at`.
     pub(crate) fn covers(&self, at: Now) -> bool {
-        lock(&self.freshness).covers(at)
+        lock(&self.freshness).is_confirmed_since(at)
     }
 
     /// Whether a credential that the table in force doesn't hold was unknown to the newest one at an earlier request.
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -7,7 +7,7 @@
 };
 use sorrelturn_policy::{Now, Quarantine, QuarantineUpdate};
 use sorrelturn_protocol::{
-    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestNames,
+    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestFingerprints,
 };
 use sorrelturn_telemetry::{EventKind, Field, events};
 use std::{
@@ -49,7 +49,7 @@
 
 impl Suspects {
     /// For how long a request is kept from backend servers, if it is.
-    pub(crate) fn held_for(&self, now: Now, request: RequestNames) -> Option<Duration> {
+    pub(crate) fn held_for(&self, now: Now, request: RequestFingerprints) -> Option<Duration> {
         if !self.any.load(Ordering::Relaxed) {
             return None;
         }
@@ -133,7 +133,7 @@
 }
 
 /// A request ran to its end here, whatever its answer was: it isn't what crashes backend servers.
-pub(crate) fn ran_whole(node: &Arc<Node>, request: RequestNames) {
+pub(crate) fn ran_whole(node: &Arc<Node>, request: RequestFingerprints) {
     let suspects = &node.suspects;
     for name in request.iter() {
         suspects.place(name).store(name.0, Ordering::Relaxed);
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -58,7 +58,7 @@
 fn report(node: &Node) -> StatusReport {
     let (in_flight, waiting, limit) = node
         .room
-        .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
+        .with_gate(|gate, now| (gate.in_flight(), gate.queued(), gate.steady_limit(now)));
     StatusReport {
         record: (**node.own_record.load()).clone(),
         bundle_version: lock(&node.spread).in_force(),
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -116,7 +116,7 @@
         let threshold = gate.threshold(now);
         (
             gate.in_flight(),
-            gate.waiting(),
+            gate.queued(),
             gate.steady_limit(now),
             threshold,
         )
@@ -138,7 +138,7 @@
     }
     let (in_flight, waiting, limit) = node
         .room
-        .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
+        .with_gate(|gate, now| (gate.in_flight(), gate.queued(), gate.steady_limit(now)));
     let members = lock(&node.membership).present().count();
     let tokens = lock(&node.ledger).outstanding();
     let version = lock(&node.spread).in_force();
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -20,7 +20,7 @@
 use serde::Deserialize;
 use sorrelturn_bundle::{CallerEntry, KindEntry};
 use sorrelturn_protocol::{
-    CallContext, ExecutionToken, Refusal, RequestId, RequestNames, SpanId, Verdict,
+    CallContext, ExecutionToken, Refusal, RequestFingerprints, RequestId, SpanId, Verdict,
     headers::{IDEMPOTENCY_KEY, TOKEN, TRACEPARENT},
 };
 use sorrelturn_telemetry::{Field, TraceContext, events};
@@ -208,7 +208,7 @@
         caller: caller.id,
         level: 0,
         repeated: false,
-        names: RequestNames::default(),
+        names: RequestFingerprints::default(),
     };
     Ok(Root {
         kind: Arc::clone(kind),
--- a/crates/sorrelturn-daemon/src/request/fingerprint.rs
+++ b/crates/sorrelturn-daemon/src/request/fingerprint.rs
@@ -2,7 +2,7 @@
 
 use crate::request::payload::Payload;
 use hyper::{HeaderMap, Method, Uri, header::HOST};
-use sorrelturn_protocol::{CallerId, RequestFingerprint, RequestNames};
+use sorrelturn_protocol::{CallerId, RequestFingerprint, RequestFingerprints};
 
 /// The names of what a request asks for.
 ///
@@ -14,7 +14,7 @@
     headers: &HeaderMap,
     caller: CallerId,
     payload: &Payload,
-) -> RequestNames {
+) -> RequestFingerprints {
     let host = headers.get(HOST).map_or(&b""[..], |host| host.as_bytes());
     let mut hasher = blake3::Hasher::new();
     for part in [method.as_str().as_bytes(), host, target.path().as_bytes()] {
@@ -31,7 +31,7 @@
         hasher.update(query.as_bytes());
         leading_bits(&hasher)
     });
-    RequestNames { path, with_query }
+    RequestFingerprints { path, with_query }
 }
 
 fn leading_bits(hasher: &blake3::Hasher) -> RequestFingerprint {
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -406,7 +406,7 @@
 fn pays_retry(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
     let caller_pays = !is_root || call.in_force.caller_pays_retry(call.context.caller);
-    caller_pays && lock(&kind_state.retries).take(node.now())
+    caller_pays && lock(&kind_state.retries).try_retry(node.now())
 }
 
 /// The same token at the same owner runs nothing twice: it brings the outcome.
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -207,7 +207,7 @@
             return false;
         }
         let state = self.in_force.kind_state(&self.kind);
-        let paid = lock(&state.retries).take(self.node.now());
+        let paid = lock(&state.retries).try_retry(self.node.now());
         if paid {
             self.note(
                 &events::SENT_AGAIN,
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -19,7 +19,8 @@
 use sorrelturn_bundle::KindEntry;
 use sorrelturn_once::CallKey;
 use sorrelturn_protocol::{
-    CallContext, CallerId, ExecutionToken, Refusal, RequestId, RequestNames, SpanId, Verdict,
+    CallContext, CallerId, ExecutionToken, Refusal, RequestFingerprints, RequestId, SpanId,
+    Verdict,
     headers::{IDEMPOTENCY_KEY, PARENT, TRACEPARENT},
 };
 use sorrelturn_telemetry::TraceContext;
@@ -121,7 +122,7 @@
         caller: parent.map_or(CallerId::default(), |parent| parent.context.caller),
         level: 0,
         repeated: parent.is_some_and(|parent| parent.context.repeated),
-        names: RequestNames::default(),
+        names: RequestFingerprints::default(),
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -58,7 +58,7 @@
 
 /// When a refused caller should come back, from how long the pressure here has lasted.
 pub(crate) fn come_back(node: &Node) -> Duration {
-    let lasting = node.room.with_gate(|gate, now| gate.pressure_duration(now));
+    let lasting = node.room.with_gate(|gate, now| gate.overload_duration(now));
     RetryAfter::compute(lasting, &mut fastrand::Rng::new())
 }
 
--- a/crates/sorrelturn-policy/src/freshness.rs
+++ b/crates/sorrelturn-policy/src/freshness.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether the configuration was confirmed at `at` or later.
-    pub fn covers(&self, at: Now) -> bool {
+    pub fn is_confirmed_since(&self, at: Now) -> bool {
         self.confirmed_at
             .is_some_and(|confirmed_at| confirmed_at >= at)
     }
--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -1,7 +1,9 @@
 //! Admission to one backend server: a concurrency limit and a short priority queue.
 //! See `docs/design/admission.md`.
 
-use crate::{AdaptiveLimit, ConcurrencyTuner, Now, Outcome, Pressure, SheddingLevel, TuningSample};
+use crate::{
+    AdaptiveLimit, ConcurrencyTuner, Now, Outcome, OverloadDetector, SheddingLevel, TuningSample,
+};
 use sorrelturn_protocol::{Importance, Priority, Refusal};
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -101,7 +103,7 @@
     limit: AdaptiveLimit,
     tuner: ConcurrencyTuner,
     last_sample: TuningSample,
-    pressure: Pressure,
+    overload_detector: OverloadDetector,
     level: SheddingLevel,
     in_flight: u32,
     queue: BTreeMap<QueueKey, Now>,
@@ -115,7 +117,7 @@
             limit: AdaptiveLimit::new(cfg.slots, cfg.cold_start, now),
             tuner: ConcurrencyTuner::new(cfg.slots),
             last_sample: TuningSample::default(),
-            pressure: Pressure::new(now),
+            overload_detector: OverloadDetector::new(now),
             level: SheddingLevel::new(now),
             in_flight: 0,
             queue: BTreeMap::new(),
@@ -135,7 +137,7 @@
 
     /// Decides on an arrival. The second value is the queued request that it evicts, if any.
     pub fn arrive(&mut self, now: Now, arrival: &Arrival) -> (Decision, Option<u64>) {
-        self.pressure.arrived(now, arrival.priority);
+        self.overload_detector.arrived(now, arrival.priority);
         if self.cfg.call_queue_timeout.is_some() {
             self.level.arrived(arrival.level);
             self.update_level(now);
@@ -145,7 +147,7 @@
             return (Decision::Admit, None);
         }
         if now + self.expected_queueing_delay(now, arrival) >= arrival.deadline {
-            self.pressure.shed(arrival.priority);
+            self.overload_detector.shed(arrival.priority);
             return (Decision::Refuse(Refusal::Deadline), None);
         }
         let key = QueueKey::from(arrival);
@@ -156,13 +158,13 @@
         match self.queue.first_key_value() {
             Some((lowest, _)) if *lowest < key => {
                 let evicted = lowest.id.0;
-                self.pressure.shed(lowest.priority);
+                self.overload_detector.shed(lowest.priority);
                 self.queue.pop_first();
                 self.queue.insert(key, now);
                 (Decision::Queue, Some(evicted))
             }
             _ => {
-                self.pressure.shed(arrival.priority);
+                self.overload_detector.shed(arrival.priority);
                 (Decision::Refuse(Refusal::Overload), None)
             }
         }
@@ -228,7 +230,7 @@
     pub fn remove_queued(&mut self, arrival: &Arrival, timed_out: bool) -> bool {
         let was_queued = self.queue.remove(&QueueKey::from(arrival)).is_some();
         if was_queued && timed_out {
-            self.pressure.shed(arrival.priority);
+            self.overload_detector.shed(arrival.priority);
         }
         was_queued
     }
@@ -260,7 +262,7 @@
     }
 
     /// The number of queued requests.
-    pub fn waiting(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
@@ -283,7 +285,7 @@
     /// The priority below which requests are shed, or the shedding level where levels are in use.
     pub fn threshold(&mut self, now: Now) -> Priority {
         if self.cfg.call_queue_timeout.is_none() {
-            return self.pressure.threshold(now);
+            return self.overload_detector.threshold(now);
         }
         self.update_level(now);
         Priority(self.level.level())
@@ -295,10 +297,10 @@
     }
 
     /// The duration of the current overload; `None` without overload.
-    pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
+    pub fn overload_duration(&self, now: Now) -> Option<Duration> {
         match self.cfg.call_queue_timeout {
-            None => self.pressure.pressure_duration(now),
-            Some(_) => self.level.pressure_duration(now),
+            None => self.overload_detector.overload_duration(now),
+            Some(_) => self.level.overload_duration(now),
         }
     }
 
@@ -322,9 +324,9 @@
     fn admit(&mut self, now: Now, queueing_delay: Duration) {
         self.in_flight += 1;
         self.last_sample = self.tuner.begin(now, self.in_flight);
-        self.pressure.admitted(queueing_delay);
+        self.overload_detector.admitted(queueing_delay);
         if f64::from(self.in_flight) >= f64::from(self.limit(now)) * BUSY_FRACTION {
-            self.pressure.mark_busy();
+            self.overload_detector.mark_busy();
         }
     }
 
@@ -335,7 +337,7 @@
                 break;
             };
             if key.deadline.0 <= now {
-                self.pressure.shed(key.priority);
+                self.overload_detector.shed(key.priority);
                 released.refused.push((key.id.0, Refusal::Deadline));
                 continue;
             }
--- a/crates/sorrelturn-policy/src/load_level.rs
+++ b/crates/sorrelturn-policy/src/load_level.rs
@@ -139,7 +139,7 @@
     }
 
     /// Returns how long the level has been above zero, or `None` if it is zero.
-    pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
+    pub fn overload_duration(&self, now: Now) -> Option<Duration> {
         self.since.map(|since| now.saturating_sub(since))
     }
 }
--- a/crates/sorrelturn-policy/src/origins.rs
+++ b/crates/sorrelturn-policy/src/origins.rs
@@ -20,11 +20,11 @@
 
 /// Counts the requests of each kind by the service whose VMs they come from.
 #[derive(Clone, Debug, Default)]
-pub struct Origins {
+pub struct RequestOrigins {
     by_kind: HashMap<String, HashMap<String, u32>>,
 }
 
-impl Origins {
+impl RequestOrigins {
     /// Records a request of a kind that came from a VM of `caller_service`.
     pub fn record(&mut self, kind: &str, caller_service: &str) {
         let origins = match self.by_kind.get_mut(kind) {
--- a/crates/sorrelturn-policy/src/pressure.rs
+++ b/crates/sorrelturn-policy/src/pressure.rs
@@ -28,7 +28,7 @@
 /// double while nothing is shed, and is also halved while slots stay free, so that it reaches zero
 /// within a few windows after an overload.
 #[derive(Clone, Debug)]
-pub struct Pressure {
+pub struct OverloadDetector {
     window_start: Now,
     arrived: [f64; BUCKETS],
     admitted: f64,
@@ -41,7 +41,7 @@
     since: Option<Now>,
 }
 
-impl Pressure {
+impl OverloadDetector {
     /// Creates a threshold of zero.
     pub fn new(now: Now) -> Self {
         Self {
@@ -88,7 +88,7 @@
     }
 
     /// Returns how long the threshold has been above zero, or `None` if it is zero.
-    pub fn pressure_duration(&self, now: Now) -> Option<Duration> {
+    pub fn overload_duration(&self, now: Now) -> Option<Duration> {
         self.since.map(|since| now.saturating_sub(since))
     }
 
--- a/crates/sorrelturn-policy/src/retry_window.rs
+++ b/crates/sorrelturn-policy/src/retry_window.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records a retry if the limit allows it. Returns whether it does.
-    pub fn take(&mut self, now: Now) -> bool {
+    pub fn try_retry(&mut self, now: Now) -> bool {
         self.current_slice(now);
         let is_allowed = self.retries + 1.0 <= self.allowed;
         if is_allowed {
--- a/crates/sorrelturn-policy/tests/admission.rs
+++ b/crates/sorrelturn-policy/tests/admission.rs
@@ -229,7 +229,7 @@
                     prop_assert!(other.priority >= refused.priority);
                 }
             }
-            prop_assert_eq!(gate.waiting(), waiting.len());
+            prop_assert_eq!(gate.queued(), waiting.len());
             prop_assert!(gate.in_flight() <= 3);
         }
     }
--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -2,8 +2,8 @@
 //! retries.
 
 use sorrelturn_policy::{
-    CallGraph, Candidate, LEVEL_STEPS, LearnedThreshold, Origins, RetryDetector, SheddingLevel,
-    bucket_for_retry, refuses,
+    CallGraph, Candidate, LEVEL_STEPS, LearnedThreshold, RequestOrigins, RetryDetector,
+    SheddingLevel, bucket_for_retry, refuses,
 };
 use sorrelturn_protocol::Priority;
 use std::time::Duration;
@@ -173,7 +173,7 @@
         "seals" => 0.36,
         _ => 0.08,
     };
-    let mut origins = Origins::default();
+    let mut origins = RequestOrigins::default();
     for _ in 0..9 {
         origins.record("look-up", "archive");
     }
@@ -211,7 +211,7 @@
 
 #[test]
 fn requests_from_few_services_are_calls() {
-    let mut origins = Origins::default();
+    let mut origins = RequestOrigins::default();
     for number in 0..100 {
         origins.record("call", "a");
         origins.record("root", ["a", "b", "c", "d"][number % 4]);
@@ -336,7 +336,7 @@
 #[test]
 fn kinds_that_no_longer_exist_are_forgotten() {
     let mut graph = CallGraph::default();
-    let mut origins = Origins::default();
+    let mut origins = RequestOrigins::default();
     for _ in 0..100 {
         graph.record_call("child", &[candidate("old", true, 1)]);
         graph.record_end("old", Duration::from_millis(10));
--- a/crates/sorrelturn-policy/tests/retry_window.rs
+++ b/crates/sorrelturn-policy/tests/retry_window.rs
@@ -74,7 +74,7 @@
                 }
                 first += f64::from(sent);
                 for _ in 0..sent * period.retry_percent / 100 {
-                    retries += f64::from(u8::from(window.take(now)));
+                    retries += f64::from(u8::from(window.try_retry(now)));
                 }
             }
             steps.push((first, retries));
@@ -136,13 +136,13 @@
 fn a_daemon_that_starts_anew_may_use_its_share_of_the_slack_at_once_and_no_more() {
     let mut window = new_window(14);
     let now = Duration::from_secs(1);
-    let allowed = (0..20).filter(|_| window.take(now)).count();
+    let allowed = (0..20).filter(|_| window.try_retry(now)).count();
     assert_eq!(allowed, 1);
     for _ in 0..100 {
         window.record_first_attempt(now);
     }
     let later = now + STEP * 2;
-    let allowed = (0..100).filter(|_| window.take(later)).count();
+    let allowed = (0..100).filter(|_| window.try_retry(later)).count();
     assert!((5..=15).contains(&allowed), "{allowed}");
 }
 
@@ -158,7 +158,7 @@
             }
         }
         let last = now + STEP * 79;
-        (0..1_000).filter(|_| window.take(last)).count()
+        (0..1_000).filter(|_| window.try_retry(last)).count()
     };
     let without = allowed_retries(0.0);
     assert!((50..=80).contains(&without), "{without}");
--- a/crates/sorrelturn-protocol/src/context.rs
+++ b/crates/sorrelturn-protocol/src/context.rs
@@ -1,8 +1,8 @@
 //! Metadata of a call and of its answer, which daemons exchange in one header each.
 
 use crate::{
-    CallerId, ExecutionToken, Importance, Incarnation, Priority, Refusal, RequestId, RequestNames,
-    SpanId, Verdict,
+    CallerId, ExecutionToken, Importance, Incarnation, Priority, Refusal, RequestFingerprints,
+    RequestId, SpanId, Verdict,
 };
 use data_encoding::BASE64URL_NOPAD;
 use displaydoc::Display;
@@ -39,7 +39,7 @@
     /// Whether the request may have run before, so that its nested calls may be repeats.
     pub repeated: bool,
     /// The fingerprints of the request, which identify it to the quarantine.
-    pub names: RequestNames,
+    pub names: RequestFingerprints,
 }
 
 impl CallContext {
--- a/crates/sorrelturn-protocol/src/crash.rs
+++ b/crates/sorrelturn-protocol/src/crash.rs
@@ -22,14 +22,14 @@
 /// The cause of a crash may be the path, whatever the query, or one particular query of a common path. Each
 /// fingerprint is therefore assessed on its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RequestNames {
+pub struct RequestFingerprints {
     /// The fingerprint of method, host, path, caller and body.
     pub path: RequestFingerprint,
     /// The fingerprint that also covers the query, if there is one.
     pub with_query: Option<RequestFingerprint>,
 }
 
-impl RequestNames {
+impl RequestFingerprints {
     /// Iterates over the fingerprints.
     pub fn iter(self) -> impl Iterator<Item = RequestFingerprint> {
         [Some(self.path), self.with_query].into_iter().flatten()
--- a/crates/sorrelturn-protocol/src/lib.rs
+++ b/crates/sorrelturn-protocol/src/lib.rs
@@ -16,7 +16,7 @@
 pub use backend::{Announcement, BackendState};
 pub use context::{AnswerContext, CallContext, HeaderError};
 pub use crash::{
-    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestNames,
+    ClearedRequest, CrashId, CrashReport, CrashUpdate, RequestFingerprint, RequestFingerprints,
 };
 pub use ids::{CallerId, Incarnation, RequestId, SpanId};
 pub use importance::{Importance, Priority};
--- a/crates/sorrelturn-protocol/tests/headers_round_trip.rs
+++ b/crates/sorrelturn-protocol/tests/headers_round_trip.rs
@@ -22,7 +22,7 @@
         caller: CallerId(5),
         level: 0,
         repeated: false,
-        names: RequestNames {
+        names: RequestFingerprints {
             path: RequestFingerprint(request as u64),
             with_query: Some(RequestFingerprint(nonce as u64)),
         },
