--- a/crates/sorrelturn-policy/src/attempts.rs
+++ b/crates/sorrelturn-policy/src/attempts.rs
@@ -5,8 +5,8 @@
 
 /// The share that the first attempt of a call receives out of `share`.
 ///
-/// If possible, it reserves the `need` of one execution of the whole subtree for a second attempt, because the
-/// share of an attempt is lost with its response.
+/// If possible, it reserves the `need` of one execution of the whole subtree for a second attempt, because if
+/// the response of an attempt is lost, its unused attempts are lost too.
 pub fn first_attempt_share(share: u32, need: u32) -> u32 {
     if share >= need.saturating_mul(2) {
         share - need
--- a/crates/sorrelturn-policy/src/gate.rs
+++ b/crates/sorrelturn-policy/src/gate.rs
@@ -21,7 +21,7 @@
 /// A gate is busy when at least this fraction of the limit is in use.
 const BUSY_FRACTION: f64 = 0.9;
 
-/// Settings of a backend server from the bundle.
+/// Settings of a gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GateConfig {
     /// The maximum number of concurrent requests.
@@ -32,8 +32,9 @@
     pub queue_timeout: Duration,
     /// The time over which a restarted backend server is ramped up to full load.
     pub cold_start: Duration,
-    /// The maximum queueing delay of nested calls, where root requests are shed at their entry by shedding level.
-    /// `None` sheds each request here, by its priority.
+    /// The maximum queueing delay of nested calls. If set, the gate announces a shedding level, by which root requests
+    /// are shed at their entry; otherwise it announces a priority threshold. Either way, the gate itself refuses and
+    /// evicts requests by priority.
     pub call_queue_timeout: Option<Duration>,
 }
 
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Applies settings from a new bundle; requests in flight and queued requests are retained.
+    /// Applies new settings; requests in flight and queued requests are retained.
     pub fn reconfigure(&mut self, cfg: GateConfig) {
         if cfg != self.cfg {
             if cfg.slots != self.cfg.slots {
@@ -214,7 +215,8 @@
         self.update_level(now);
         match outcome {
             Outcome::Answered => self.level.finished(duration),
-            // With announced slots, a refusal by the backend server is a fault and not a sign that it is full.
+            // In this mode, backend servers announce their slots in heartbeats, so a refusal below them is a fault
+            // and not a sign of overload.
             Outcome::Overloaded => {
                 self.level.finished(duration);
                 return Outcome::Cancelled;
@@ -235,7 +237,7 @@
         was_queued
     }
 
-    /// Reports the scheduling delay of the daemon.
+    /// Reports the scheduling lag of the daemon.
     pub fn report_lag(&mut self, lag: Duration) {
         self.level.set_lag(lag);
     }
--- a/crates/sorrelturn-policy/src/limit.rs
+++ b/crates/sorrelturn-policy/src/limit.rs
@@ -23,7 +23,7 @@
 /// The limit rises only while at least this fraction of it is in use.
 const MIN_UTILIZATION_FRACTION: f64 = 0.75;
 
-/// A concurrency limit between a minimum and the slots that the bundle configures.
+/// A concurrency limit between a minimum and the configured slots.
 ///
 /// The limit decreases multiplicatively on overload, at most once per service time, and increases
 /// by one for every `limit` answers. It is capped during the cold start of the backend server.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Applies new slots from a bundle and keeps the current limit relative to the slots.
+    /// Applies a new number of slots and keeps the current limit relative to the slots.
     pub fn reconfigure(&mut self, slots: u32, cold_start: Duration) {
         let share = self.current / self.slots;
         self.slots = f64::from(slots.max(1));
--- a/crates/sorrelturn-policy/src/load_level.rs
+++ b/crates/sorrelturn-policy/src/load_level.rs
@@ -1,4 +1,6 @@
-//! The shedding level of a service: the share of its root requests that entry daemons refuse.
+//! The shedding level of a service, which determines the share of each rank of its root requests
+//! that entry daemons refuse. The rank of a root request is the number of lower importances that
+//! root requests have; it differs from the position among all importances.
 //! See `docs/design/entry-admission.md`.
 
 use crate::Now;
@@ -6,7 +8,7 @@
 
 /// Interval at which the level is recomputed.
 const WINDOW: Duration = Duration::from_millis(50);
-/// Share of its slots that a backend server should have in use. Above it, queueing delay grows.
+/// Fraction of its limit that a backend server should have in use. Above it, queueing delay grows.
 const TARGET_LOAD: f64 = 0.92;
 /// Number of windows over which the load is averaged.
 const LOAD_SMOOTHING_WINDOWS: f64 = 12.0;
@@ -14,14 +16,14 @@
 const DRAIN_TIME: Duration = Duration::from_millis(1_000);
 /// Minimum fraction of the target load that is admitted while a backlog drains.
 const MIN_TARGET_FRACTION: f64 = 0.5;
-/// Gain of the feedback loop that adapts the level to the lag of the daemon.
+/// Gain of the feedback loop that adapts the level to the scheduling lag of the daemon.
 const LAG_GAIN: f64 = 0.15;
 /// Number of requests over which the mean service time is averaged.
 const TIME_SMOOTHING_REQUESTS: f64 = 50.0;
 /// Scheduling lag below which the daemon counts as having spare processor time. CPU quotas are
 /// enforced in periods of 100 ms, so some lag is normal.
 const TOLERATED_LAG: Duration = Duration::from_millis(30);
-/// Excess lag that counts like an overload of 100 % of the slots.
+/// Excess lag that counts like an overload of 100 % of the limit.
 const LAG_SCALE: Duration = Duration::from_millis(100);
 /// Maximum excess lag, in units of [`LAG_SCALE`], that one window accounts for.
 const MAX_LAG_STEP: f64 = 0.5;
@@ -41,7 +43,8 @@
 /// requests it represents. Their sum is the offered load, independent of the current level, so the
 /// matching level follows directly and doesn't oscillate with the delay between entry and backend
 /// server. Levels from 0 to 1 refuse a growing share of the lowest rank of root requests, levels
-/// from 1 to 2 also of the next rank, and so on; see [`refuses`].
+/// from 1 to 2 also of the next rank, and levels from 2 to 3 a further share of all ranks; see
+/// [`refuses`].
 #[derive(Clone, Debug)]
 pub struct SheddingLevel {
     window_start: Now,
@@ -49,12 +52,12 @@
     demand: f64,
     mean_service_time_s: f64,
     lag: Duration,
-    /// Smoothed offered load as a multiple of the capacity of the slots.
+    /// Smoothed offered load as a multiple of the limit.
     load: f64,
-    /// Level added because the daemon lags.
+    /// Level added because of the scheduling lag.
     lag_level: f64,
     level: f64,
-    since: Option<Now>,
+    overloaded_since: Option<Now>,
 }
 
 impl SheddingLevel {
@@ -68,7 +71,7 @@
             load: 0.0,
             lag_level: 0.0,
             level: 0.0,
-            since: None,
+            overloaded_since: None,
         }
     }
 
@@ -92,34 +95,33 @@
         self.lag = lag;
     }
 
-    /// Recomputes the level if a window has ended, given the number of queued requests and of
-    /// slots.
-    pub fn update(&mut self, now: Now, queued: usize, slots: u32) {
+    /// Recomputes the level if a window has ended, given the number of queued requests and the
+    /// steady concurrency limit.
+    pub fn update(&mut self, now: Now, queued: usize, limit: u32) {
         let elapsed = now.saturating_sub(self.window_start);
         if elapsed < WINDOW {
             return;
         }
-        let slot_count = f64::from(slots.max(1));
-        let load = self.demand * self.mean_service_time_s / (elapsed.as_secs_f64() * slot_count);
+        let capacity = f64::from(limit.max(1));
+        let load = self.demand * self.mean_service_time_s / (elapsed.as_secs_f64() * capacity);
         let windows = elapsed.as_secs_f64() / WINDOW.as_secs_f64();
         self.load += (load - self.load) * (windows / LOAD_SMOOTHING_WINDOWS).min(1.0);
         let backlog =
-            queued as f64 * self.mean_service_time_s / (DRAIN_TIME.as_secs_f64() * slot_count);
+            queued as f64 * self.mean_service_time_s / (DRAIN_TIME.as_secs_f64() * capacity);
         let target = (TARGET_LOAD - backlog).max(TARGET_LOAD * MIN_TARGET_FRACTION);
         let load_level = level_that_admits(target / self.load.max(f64::MIN_POSITIVE));
         self.update_lag_level(target, load_level, windows.min(20.0));
         self.level = (load_level + self.lag_level).min(MAX_LEVEL);
         if self.level <= 0.0 {
-            self.since = None;
+            self.overloaded_since = None;
         } else {
-            self.since.get_or_insert(now);
+            self.overloaded_since.get_or_insert(now);
         }
         self.demand = 0.0;
         self.window_start = now;
     }
 
-    /// Adapts the lag level step by step, since the number of slots says nothing about processor
-    /// load.
+    /// Adapts the lag level step by step, since the limit says nothing about processor load.
     fn update_lag_level(&mut self, target: f64, load_level: f64, windows: f64) {
         let excess_lag =
             self.lag.saturating_sub(TOLERATED_LAG).as_secs_f64() / LAG_SCALE.as_secs_f64();
@@ -140,7 +142,7 @@
 
     /// Returns how long the level has been above zero, or `None` if it is zero.
     pub fn overload_duration(&self, now: Now) -> Option<Duration> {
-        self.since.map(|since| now.saturating_sub(since))
+        self.overloaded_since.map(|since| now.saturating_sub(since))
     }
 }
 
@@ -166,9 +168,9 @@
     (level - rank as f64).clamp(0.0, 1.0) * MAX_REFUSED_FRACTION
 }
 
-/// Returns whether a level refuses a root request in the given bucket (0 to 255, lowest refused
-/// first) of a rank, where 0 is the lowest of the `ranks` of root requests. Levels above `ranks`
-/// refuse more of all ranks alike, which protects a service that has lost nearly all of its
+/// Returns whether a level refuses a root request in the given shedding bucket (0 to 255, lowest
+/// refused first) of a rank, where 0 is the lowest of the `ranks` of root requests. Levels above
+/// `ranks` refuse more of all ranks alike, which protects a service that has lost nearly all of its
 /// instances.
 pub fn refuses(level: u16, rank: usize, ranks: usize, bucket: u8) -> bool {
     let level = f64::from(level) / f64::from(LEVEL_STEPS);
--- a/crates/sorrelturn-policy/src/origins.rs
+++ b/crates/sorrelturn-policy/src/origins.rs
@@ -2,7 +2,7 @@
 //! the service that serves them. See `docs/design/entry-admission.md`.
 //!
 //! Callers send requests from every VM, while a backend server makes calls only from its own VM. So
-//! requests that come from the VMs of only a few services are calls.
+//! requests that come from the VMs of at most half of the services are calls.
 
 use std::collections::HashMap;
 
@@ -11,14 +11,15 @@
 /// Services that send a smaller percentage of the requests are ignored, as a few requests are
 /// misattributed.
 const MIN_SHARE_PERCENT: u32 = 3;
-/// With fewer requests, a kind counts as calls if callers on all VMs would send all of them from
-/// these services less than once in this many cases.
-const CHANCE_FACTOR: f64 = 1_000.0;
+/// With fewer than [`MIN_REQUESTS`], requests count as calls only if the probability that callers
+/// spread over all VMs would use only the observed services is below 1 / this value.
+const MIN_ODDS_AGAINST_CHANCE: f64 = 1_000.0;
 /// Number of requests of a kind above which the counts are halved, so that older requests weigh
 /// less.
 const MAX_COUNTED_REQUESTS: u32 = 2_000;
 
-/// Counts the requests of each kind by the service whose VMs they come from.
+/// Counts the requests of each kind by the service whose VMs they come from, and detects kinds that
+/// are calls of backend servers.
 #[derive(Clone, Debug, Default)]
 pub struct RequestOrigins {
     by_kind: HashMap<String, HashMap<String, u32>>,
@@ -57,7 +58,7 @@
         if total < MIN_REQUESTS {
             let share: f64 = origins.keys().map(|service| share_of(service)).sum();
             let chance = share.min(1.0).powi(total as i32);
-            return origins.len() * 2 <= services && chance * CHANCE_FACTOR < 1.0;
+            return origins.len() * 2 <= services && chance * MIN_ODDS_AGAINST_CHANCE < 1.0;
         }
         let count = origins
             .values()
--- a/crates/sorrelturn-policy/src/pressure.rs
+++ b/crates/sorrelturn-policy/src/pressure.rs
@@ -1,4 +1,5 @@
-//! The priority threshold that an owner daemon announces: it sheds requests below it.
+//! Detects overload of a backend server and computes the priority threshold that its daemon
+//! announces, which sheds requests below it.
 //! See `docs/design/admission.md`.
 
 use crate::Now;
@@ -9,18 +10,19 @@
 const WINDOW: Duration = Duration::from_millis(50);
 /// A higher mean queueing delay indicates overload even while nothing is shed.
 const MAX_MEAN_QUEUEING_DELAY: Duration = Duration::from_millis(10);
-/// Number of priorities that share a counter.
-const BUCKET_WIDTH: usize = 8;
-const BUCKETS: usize = (Priority::HIGHEST.0 as usize + 1) / BUCKET_WIDTH;
-/// Fraction of the requests admitted so far that a raised threshold aims to admit.
+/// Number of priorities that share a bin of the histogram.
+const BIN_WIDTH: usize = 8;
+const BINS: usize = (Priority::HIGHEST.0 as usize + 1) / BIN_WIDTH;
+/// Fraction of the recently admitted requests that a raised threshold aims to admit.
 const ADMITTED_FRACTION: f64 = 0.97;
 /// Factor by which the counts of earlier windows decay. Small instances get only a few requests per
 /// window, and without these counts the threshold would follow noise.
 const DECAY_FACTOR: f64 = 0.7;
-/// Number of quiet windows that lower the threshold by one step each before the steps double.
+/// Number of quiet windows after the first that lower the threshold by one bin each before the steps
+/// double.
 const CONSTANT_STEP_WINDOWS: u32 = 4;
 
-/// Counts arrivals by priority and finds the threshold that fits the capacity.
+/// Counts arrivals by priority and finds the threshold that sheds what exceeds the capacity.
 ///
 /// The threshold is raised from a histogram of arrivals, so it fits any mix of priorities at once
 /// and never exceeds what was actually shed here. The histogram can't be used to lower it, because
@@ -30,15 +32,15 @@
 #[derive(Clone, Debug)]
 pub struct OverloadDetector {
     window_start: Now,
-    arrived: [f64; BUCKETS],
+    arrived: [f64; BINS],
     admitted: f64,
     admitted_in_window: u32,
     queueing_delay_sum: Duration,
     highest_shed: Option<usize>,
     is_busy: bool,
-    threshold_bucket: usize,
+    threshold_bin: usize,
     quiet_windows: u32,
-    since: Option<Now>,
+    overloaded_since: Option<Now>,
 }
 
 impl OverloadDetector {
@@ -46,22 +48,22 @@
     pub fn new(now: Now) -> Self {
         Self {
             window_start: now,
-            arrived: [0.0; BUCKETS],
+            arrived: [0.0; BINS],
             admitted: 0.0,
             admitted_in_window: 0,
             queueing_delay_sum: Duration::ZERO,
             highest_shed: None,
             is_busy: false,
-            threshold_bucket: 0,
+            threshold_bin: 0,
             quiet_windows: 0,
-            since: None,
+            overloaded_since: None,
         }
     }
 
     /// Records a request that arrived at the gate.
     pub fn arrived(&mut self, now: Now, priority: Priority) {
         self.advance(now);
-        self.arrived[bucket(priority)] += 1.0;
+        self.arrived[bin_of(priority)] += 1.0;
     }
 
     /// Records a request that was admitted after this queueing delay.
@@ -71,25 +73,25 @@
         self.queueing_delay_sum += queueing_delay;
     }
 
-    /// Records that nearly all slots are in use.
+    /// Records that the concurrency limit is nearly reached.
     pub fn mark_busy(&mut self) {
         self.is_busy = true;
     }
 
     /// Records a request that was refused or evicted for lack of capacity.
     pub fn shed(&mut self, priority: Priority) {
-        self.highest_shed = self.highest_shed.max(Some(bucket(priority)));
+        self.highest_shed = self.highest_shed.max(Some(bin_of(priority)));
     }
 
     /// Returns the threshold: requests below this priority are shed.
     pub fn threshold(&mut self, now: Now) -> Priority {
         self.advance(now);
-        Priority((self.threshold_bucket * BUCKET_WIDTH) as u16)
+        Priority((self.threshold_bin * BIN_WIDTH) as u16)
     }
 
     /// Returns how long the threshold has been above zero, or `None` if it is zero.
     pub fn overload_duration(&self, now: Now) -> Option<Duration> {
-        self.since.map(|since| now.saturating_sub(since))
+        self.overloaded_since.map(|since| now.saturating_sub(since))
     }
 
     fn advance(&mut self, now: Now) {
@@ -100,7 +102,7 @@
                 None => self.lower_threshold(),
             }
             self.start_next_window();
-            let is_idle = self.threshold_bucket == 0 && now > self.window_start + WINDOW;
+            let is_idle = self.threshold_bin == 0 && now > self.window_start + WINDOW;
             if is_idle {
                 self.window_start = now;
             }
@@ -125,21 +127,21 @@
 
     fn raise_threshold(&mut self, highest_shed: usize) {
         self.quiet_windows = 0;
-        self.since.get_or_insert(self.window_start);
-        let capacity = self.admitted * ADMITTED_FRACTION;
+        self.overloaded_since.get_or_insert(self.window_start);
+        let target_admissions = self.admitted * ADMITTED_FRACTION;
         let mut arrivals_above = 0.0;
-        let mut threshold_bucket = BUCKETS - 1;
-        while threshold_bucket > self.threshold_bucket {
-            arrivals_above += self.arrived[threshold_bucket];
-            if arrivals_above > capacity {
+        let mut threshold_bin = BINS - 1;
+        while threshold_bin > self.threshold_bin {
+            arrivals_above += self.arrived[threshold_bin];
+            if arrivals_above > target_admissions {
                 break;
             }
-            threshold_bucket -= 1;
+            threshold_bin -= 1;
         }
-        self.threshold_bucket = threshold_bucket
+        self.threshold_bin = threshold_bin
             .min(highest_shed + 1)
-            .min(BUCKETS - 1)
-            .max(self.threshold_bucket);
+            .min(BINS - 1)
+            .max(self.threshold_bin);
     }
 
     fn lower_threshold(&mut self) {
@@ -148,18 +150,18 @@
             .saturating_sub(CONSTANT_STEP_WINDOWS)
             .min(7);
         self.quiet_windows += 1;
-        self.threshold_bucket = self.threshold_bucket.saturating_sub(1 << doublings);
+        self.threshold_bin = self.threshold_bin.saturating_sub(1 << doublings);
         if !self.is_busy {
             // Slots stayed free through the whole window, so the threshold sheds more than
             // necessary.
-            self.threshold_bucket /= 2;
+            self.threshold_bin /= 2;
         }
-        if self.threshold_bucket == 0 {
-            self.since = None;
+        if self.threshold_bin == 0 {
+            self.overloaded_since = None;
         }
     }
 }
 
-fn bucket(priority: Priority) -> usize {
-    (usize::from(priority.0) / BUCKET_WIDTH).min(BUCKETS - 1)
+fn bin_of(priority: Priority) -> usize {
+    (usize::from(priority.0) / BIN_WIDTH).min(BINS - 1)
 }
--- a/crates/sorrelturn-policy/src/quarantine.rs
+++ b/crates/sorrelturn-policy/src/quarantine.rs
@@ -10,20 +10,20 @@
 /// Number of crashes after which a request that was in progress in all of them is quarantined. A
 /// single crash also implicates every request that ran beside its cause.
 pub const CRASHES_TO_QUARANTINE: usize = 2;
-/// How long crashes and cleared requests are remembered. It outlasts the retries of a caller, yet
-/// releases a request on the same day if it was quarantined by mistake or its cause was fixed.
+/// How long crashes and cleared requests are remembered: longer than callers retry, but short enough
+/// to release a wrongly quarantined request within minutes.
 const RETENTION_TIME: Duration = Duration::from_secs(600);
 /// Maximum number of crashes that are remembered.
 const MAX_CRASHES: usize = 128;
-/// Maximum number of requests recorded for one crash: two names for each request in progress.
+/// Maximum number of requests recorded for one crash: two fingerprints for each request in progress.
 const MAX_REQUESTS_PER_CRASH: usize = 1_024;
 /// Maximum number of cleared requests that are remembered.
 const MAX_CLEARED: usize = 4_096;
 
 /// Requests that were in progress when backend servers crashed.
 ///
-/// Entries are only added until they expire, so daemons that receive the same updates in any order
-/// reach the same state.
+/// Below capacity, entries are removed only on expiry, so daemons that receive the same updates in
+/// any order reach the same state.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     crash_threshold: usize,
@@ -143,8 +143,8 @@
             .collect();
         expiry_times.sort_unstable();
         // The request is released once fewer crashes than the threshold remain.
-        let last = expiry_times.len().checked_sub(self.crash_threshold)?;
-        expiry_times[last]
+        let releasing_index = expiry_times.len().checked_sub(self.crash_threshold)?;
+        expiry_times[releasing_index]
             .checked_sub(now)
             .filter(|remaining| !remaining.is_zero())
     }
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Returns a checksum of the state; daemons with equal checksums have the same state.
+    /// Returns a checksum of the crashes and cleared requests, without their ages. It is equal for daemons
+    /// that know the same ones.
     pub fn checksum(&self) -> u64 {
         let crashes = self.crashes.iter().flat_map(|crash| {
             let running = crash.running.iter();
--- a/crates/sorrelturn-policy/src/retry.rs
+++ b/crates/sorrelturn-policy/src/retry.rs
@@ -36,7 +36,8 @@
 /// The next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing was executed: try another instance, at no cost.
+    /// Nothing was executed: send the call again, usually to another instance. Only a call that a
+    /// backend server refused is charged to the retry budget.
     Reroute,
     /// The request may have been executed: retry it if the retry budget allows.
     Retry,
--- a/crates/sorrelturn-protocol/src/attempt_status.rs
+++ b/crates/sorrelturn-protocol/src/attempt_status.rs
@@ -16,7 +16,8 @@
     pub span: SpanId,
 }
 
-/// The query that the sender of an attempt sends to its owner.
+/// The query that the sender of an attempt sends to the owner: the daemon that forwards the attempt to its backend
+/// server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStatusQuery {
     /// The incarnation of the owner that the attempt was sent to; a later incarnation doesn't know the attempt.
@@ -27,7 +28,7 @@
     pub sent_ms_ago: u32,
 }
 
-/// The status of an attempt, as its owner reports it.
+/// The status of an attempt, as the owner reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptStatus {
     /// The attempt never arrived. The owner refuses it if it arrives later, so it has not run and never will.
--- a/crates/sorrelturn-protocol/src/context.rs
+++ b/crates/sorrelturn-protocol/src/context.rs
@@ -33,8 +33,8 @@
     pub token: Option<ExecutionToken>,
     /// The caller of the root request.
     pub caller: CallerId,
-    /// The shedding level at which the root request was admitted. If a nested call can't be attributed to a single
-    /// root request, the mean of the candidates' levels.
+    /// The shedding level at which the root request was admitted, in steps of 1/256. If the parent of a nested call is
+    /// unknown, the mean level of the requests in progress at the backend server that makes the call.
     pub level: u16,
     /// Whether the request may have run before, so that its nested calls may be repeats.
     pub repeated: bool,
@@ -49,7 +49,8 @@
     }
 }
 
-/// The metadata that the owner daemon returns to the daemon that forwarded a call.
+/// The metadata that the owner of a call, the daemon beside the backend server, returns to the daemon that forwarded
+/// the call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerContext {
     /// Whether the call may have run.
@@ -62,14 +63,15 @@
     pub attempts_left: u32,
     /// Whether the failure occurred in a nested call and was already retried there.
     pub already_retried: bool,
-    /// Requests below this priority are shed by the owner or by a service that it calls.
+    /// The priority below which requests are shed, or the shedding level in steps of 1/256 if root requests are shed at
+    /// their entry. The maximum over the owner and the services that it calls.
     pub threshold: Priority,
     /// Calls in flight and queued, in percent of the concurrency limit.
     pub load: u16,
     /// The version of the bundle in force at the owner.
     pub bundle_version: u64,
-    /// The staleness of the owner's configuration: the age of its last confirmation that no higher bundle version
-    /// exists, in milliseconds. Absent where it is irrelevant.
+    /// The staleness of the owner's configuration: the time since it last confirmed that no higher bundle version
+    /// exists, in milliseconds. Absent if the bundle has no workspaces.
     pub knowledge_age_ms: Option<u32>,
     /// The owner's incarnation, which reveals a restart.
     pub incarnation: Incarnation,
--- a/crates/sorrelturn-protocol/src/headers.rs
+++ b/crates/sorrelturn-protocol/src/headers.rs
@@ -23,7 +23,7 @@
 pub const IMPORTANCE: &str = "sorrelturn-importance";
 /// To backend servers: the time until the deadline in milliseconds.
 pub const DEADLINE_MS: &str = "sorrelturn-deadline-ms";
-/// From callers that request no token first: the caller's own key of a request that runs at most once.
+/// From callers, instead of a token: a key chosen by the caller that identifies a request that runs at most once.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The parent span, as W3C Trace Context defines it.
 pub const TRACEPARENT: &str = "traceparent";
--- a/crates/sorrelturn-protocol/src/importance.rs
+++ b/crates/sorrelturn-protocol/src/importance.rs
@@ -24,7 +24,7 @@
     /// All importances, lowest first.
     pub const ALL: [Self; 4] = [Self::Background, Self::Normal, Self::High, Self::Critical];
 
-    /// Returns the position in the shedding order; 0 is shed first.
+    /// Returns the position among all importances; 0 is shed first.
     pub fn rank(self) -> u8 {
         self as u8
     }
@@ -48,7 +48,8 @@
 
 /// A request's position in the shedding order: its importance, then the shedding bucket of its id.
 ///
-/// The type also serves as a threshold: a request is admitted if its priority is not below the threshold.
+/// The type also serves as a threshold: a request is admitted if its priority is not below the threshold. Where root
+/// requests are shed at their entry, answers carry a shedding level in the same type.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -57,7 +58,7 @@
 impl Priority {
     /// The threshold that admits every request.
     pub const LOWEST: Self = Self(0);
-    /// The highest priority; as a threshold it admits only the highest bucket of critical requests.
+    /// The highest priority; as a threshold it admits only the highest shedding bucket of critical requests.
     pub const HIGHEST: Self = Self(0x3FF);
 
     /// Combines an importance with a request's shedding bucket.
--- a/crates/sorrelturn-protocol/src/token.rs
+++ b/crates/sorrelturn-protocol/src/token.rs
@@ -1,4 +1,4 @@
-//! Execution tokens, each of which permits one execution of one request by one daemon process.
+//! Execution tokens, each of which permits one daemon process to forward one request once.
 //! See `docs/design/at-most-once.md`.
 
 use crate::Incarnation;
--- a/crates/sorrelturn-protocol/src/verdict.rs
+++ b/crates/sorrelturn-protocol/src/verdict.rs
@@ -10,12 +10,12 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Verdict {
-    /// No byte of the request reached any backend server, here or elsewhere.
+    /// No backend server ran the request: it was not sent to one, or was refused there before running.
     NotRun,
-    /// A backend server may have received the request, and its outcome is unknown.
+    /// A backend server may have run the request, and its outcome is unknown.
     #[default]
     MayHaveRun,
-    /// A backend server answered the request.
+    /// A backend server ran the request and answered it.
     Ran,
 }
 
--- a/crates/sorrelturn-protocol/tests/refusals.rs
+++ b/crates/sorrelturn-protocol/tests/refusals.rs
@@ -1,10 +1,10 @@
-//! Which refusals report the load of a service.
+//! Which refusals indicate the load of a service.
 
 use sorrelturn_protocol::Refusal;
 
 /// Guards against idle daemons without a working backend server lowering the shedding level at every entry daemon.
 #[test]
-fn a_daemon_whose_backend_server_takes_no_work_tells_nothing_of_the_load_of_its_service() {
+fn refusals_of_a_daemon_without_a_ready_backend_server_do_not_indicate_service_load() {
     let idle = [
         Refusal::BackendUnreachable,
         Refusal::Leaving,
