--- a/crates/sorrelturn-policy/src/call_graph.rs
+++ b/crates/sorrelturn-policy/src/call_graph.rs
@@ -18,7 +18,7 @@
 /// Weight of a candidate with the deadline of the call; most calls inherit the deadline of their parent.
 const SAME_DEADLINE_WEIGHT: f64 = 1_000.0;
 /// The prior call rate of a pair of kinds, in calls per request.
-const PRIOR_RATE: f64 = 0.5;
+const PRIOR_CALL_RATE: f64 = 0.5;
 /// The weight of the priors, in requests.
 const PRIOR_REQUESTS: f64 = 5.0;
 /// The prior duration of a request, in seconds.
@@ -28,7 +28,7 @@
 /// The number of ended requests of a kind after which its calls are evaluated again.
 const EVALUATION_INTERVAL_REQUESTS: u32 = 20;
 /// The number of ended requests of a kind above which its counts are halved.
-const MAX_WEIGHT_REQUESTS: f64 = 500.0;
+const MAX_COUNTED_REQUESTS: f64 = 500.0;
 
 /// The statistics of one kind as a caller.
 #[derive(Clone, Debug, Default)]
@@ -113,7 +113,7 @@
         let caller = caller(&mut self.callers, kind);
         caller.ended += 1.0;
         caller.total_duration_s += took.as_secs_f64();
-        if caller.ended > MAX_WEIGHT_REQUESTS {
+        if caller.ended > MAX_COUNTED_REQUESTS {
             caller.ended /= 2.0;
             caller.total_duration_s /= 2.0;
             for credit in caller.credit.values_mut() {
@@ -156,7 +156,7 @@
             .and_then(|caller| caller.credit.get(child))
             .copied()
             .unwrap_or(0.0);
-        (credit + PRIOR_RATE * PRIOR_REQUESTS) / (ended + PRIOR_REQUESTS)
+        (credit + PRIOR_CALL_RATE * PRIOR_REQUESTS) / (ended + PRIOR_REQUESTS)
     }
 
     /// The kinds that requests of kind `parent` call, as far as known.
--- a/crates/sorrelturn-policy/src/concurrency_tuner.rs
+++ b/crates/sorrelturn-policy/src/concurrency_tuner.rs
@@ -5,10 +5,10 @@
 
 /// The candidate limits as fractions of the slots, in descending order.
 const LIMIT_FRACTIONS: [f64; 6] = [1.0, 0.94, 0.88, 0.8, 0.65, 0.5];
-/// The number of requests on each side of a comparison of two neighboring candidates.
+/// The maximum number of samples on each side of a comparison.
 const MAX_SAMPLES: f64 = 160.0;
-/// The relative slowdown that a comparison of neighbors has to detect; wider steps need fewer samples.
-const NEIGHBOR_SLOWDOWN: f64 = 0.128;
+/// The relative slowdown whose detection takes [`MAX_SAMPLES`]; larger ones take quadratically fewer.
+const MAX_SAMPLES_SLOWDOWN: f64 = 0.128;
 /// Keeps a few slow requests from deciding a comparison.
 const MIN_SAMPLES: f64 = 64.0;
 /// The throughput ratio that the lower limit must exceed to be chosen, so that noise rarely reduces the limit.
@@ -55,8 +55,9 @@
 /// A running comparison of two candidate limits.
 #[derive(Clone, Debug)]
 struct Comparison {
-    upper: usize,
-    lower: usize,
+    /// The index of the higher limit in [`LIMIT_FRACTIONS`], which is smaller than that of the lower limit.
+    upper_index: usize,
+    lower_index: usize,
     started_at: Now,
     /// The number of samples on each side.
     samples: u32,
@@ -105,7 +106,7 @@
 /// When a candidate is compared next, and the interval after that.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
-    at: Now,
+    due_at: Now,
     interval: Duration,
 }
 
@@ -120,8 +121,8 @@
 pub struct ConcurrencyTuner {
     slots: u32,
     /// The index of the best limit in [`LIMIT_FRACTIONS`].
-    candidate: usize,
-    number: u32,
+    best_index: usize,
+    comparison_number: u32,
     comparison: Option<Comparison>,
     /// When each candidate is compared with the limit again.
     schedule: [Schedule; LIMIT_FRACTIONS.len()],
@@ -133,8 +134,8 @@
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots.max(1),
-            candidate: 0,
-            number: 0,
+            best_index: 0,
+            comparison_number: 0,
             comparison: None,
             schedule: initial_schedule(Duration::ZERO, 0),
             next_at: Duration::ZERO,
@@ -144,22 +145,22 @@
     /// Discards all results, for a new incarnation of the backend server or a new number of slots.
     pub fn reset(&mut self, slots: u32) {
         *self = Self {
-            number: self.number + 1,
+            comparison_number: self.comparison_number + 1,
             ..Self::new(slots)
         };
     }
 
     /// The limit with the highest throughput found so far.
     pub fn best_limit(&self) -> u32 {
-        self.slots_of(self.candidate)
+        self.limit_at(self.best_index)
     }
 
     /// The limit to apply now. During a comparison, this is one of the two compared limits.
     pub fn limit(&self) -> u32 {
         let compared = self.comparison.as_ref();
         match compared.and_then(|compared| Some((compared, compared.next_side()?))) {
-            Some((compared, Side::Upper)) => self.slots_of(compared.upper),
-            Some((compared, Side::Lower)) => self.slots_of(compared.lower),
+            Some((compared, Side::Upper)) => self.limit_at(compared.upper_index),
+            Some((compared, Side::Lower)) => self.limit_at(compared.lower_index),
             None => self.best_limit(),
         }
     }
@@ -170,16 +171,16 @@
         if self.comparison.is_none() && in_flight >= self.best_limit() && now >= self.next_at {
             self.start_comparison(now);
         }
-        let (slots, number) = (self.slots, self.number);
+        let (slots, number) = (self.slots, self.comparison_number);
         let Some(comparison) = &mut self.comparison else {
             return TuningSample::default();
         };
         let side = comparison.next_side().filter(|side| {
-            let candidate = match side {
-                Side::Upper => comparison.upper,
-                Side::Lower => comparison.lower,
+            let index = match side {
+                Side::Upper => comparison.upper_index,
+                Side::Lower => comparison.lower_index,
             };
-            in_flight > min_in_flight(slots, candidate) && in_flight <= slots_of(slots, candidate)
+            in_flight > in_flight_above(slots, index) && in_flight <= limit_at(slots, index)
         });
         match side {
             Some(Side::Upper) => comparison.started_upper += 1,
@@ -198,7 +199,11 @@
         let Some((number, side)) = sample.sample else {
             return;
         };
-        let Some(comparison) = self.comparison.as_mut().filter(|_| number == self.number) else {
+        let Some(comparison) = self
+            .comparison
+            .as_mut()
+            .filter(|_| number == self.comparison_number)
+        else {
             return;
         };
         comparison.in_progress = comparison.in_progress.saturating_sub(1);
@@ -225,21 +230,21 @@
     /// Starts a comparison of the limit with the nearest candidate that is due.
     fn start_comparison(&mut self, now: Now) {
         let others =
-            (0..LIMIT_FRACTIONS.len()).filter(|other| self.slots_of(*other) != self.best_limit());
-        let due = others.filter(|other| self.schedule[*other].at <= now);
-        let Some(other) = due.min_by_key(|other| other.abs_diff(self.candidate)) else {
+            (0..LIMIT_FRACTIONS.len()).filter(|other| self.limit_at(*other) != self.best_limit());
+        let due = others.filter(|other| self.schedule[*other].due_at <= now);
+        let Some(other) = due.min_by_key(|other| other.abs_diff(self.best_index)) else {
             return;
         };
         let next = &mut self.schedule[other];
-        next.at = now + next.interval;
+        next.due_at = now + next.interval;
         next.interval = (next.interval * 2).min(MAX_INTERVAL.max(next.interval));
-        let (upper, lower) = (self.candidate.min(other), self.candidate.max(other));
-        let min_slowdown = self.slots_ratio(upper, lower) * MIN_GAIN_FACTOR - 1.0;
-        let samples = MAX_SAMPLES * (NEIGHBOR_SLOWDOWN / min_slowdown).powi(2);
-        self.number += 1;
+        let (upper_index, lower_index) = (self.best_index.min(other), self.best_index.max(other));
+        let min_slowdown = self.limit_ratio(upper_index, lower_index) * MIN_GAIN_FACTOR - 1.0;
+        let samples = MAX_SAMPLES * (MAX_SAMPLES_SLOWDOWN / min_slowdown).powi(2);
+        self.comparison_number += 1;
         self.comparison = Some(Comparison {
-            upper,
-            lower,
+            upper_index,
+            lower_index,
             started_at: now,
             samples: samples.clamp(MIN_SAMPLES, MAX_SAMPLES) as u32,
             started_upper: 0,
@@ -253,48 +258,52 @@
         let Some(comparison) = self.comparison.take() else {
             return;
         };
-        let (upper, lower) = (comparison.upper, comparison.lower);
+        let (upper_index, lower_index) = (comparison.upper_index, comparison.lower_index);
         let lower_is_better =
-            comparison.slowdown() > self.slots_ratio(upper, lower) * MIN_GAIN_FACTOR;
-        let better = if lower_is_better { lower } else { upper };
+            comparison.slowdown() > self.limit_ratio(upper_index, lower_index) * MIN_GAIN_FACTOR;
+        let better_index = if lower_is_better {
+            lower_index
+        } else {
+            upper_index
+        };
         self.next_at = now + COMPARISON_DELAY;
-        if better != self.candidate {
-            self.candidate = better;
-            self.schedule = initial_schedule(now, better);
+        if better_index != self.best_index {
+            self.best_index = better_index;
+            self.schedule = initial_schedule(now, better_index);
         }
     }
 
     /// The ratio of the upper candidate limit to the lower one.
-    fn slots_ratio(&self, upper: usize, lower: usize) -> f64 {
-        f64::from(self.slots_of(upper)) / f64::from(self.slots_of(lower))
+    fn limit_ratio(&self, upper_index: usize, lower_index: usize) -> f64 {
+        f64::from(self.limit_at(upper_index)) / f64::from(self.limit_at(lower_index))
     }
 
-    fn slots_of(&self, candidate: usize) -> u32 {
-        slots_of(self.slots, candidate)
+    fn limit_at(&self, index: usize) -> u32 {
+        limit_at(self.slots, index)
     }
 }
 
 /// Neighbors of the limit are due at once; distant candidates are due later and less often because trying them costs
 /// more throughput.
-fn initial_schedule(now: Now, candidate: usize) -> [Schedule; LIMIT_FRACTIONS.len()] {
+fn initial_schedule(now: Now, best_index: usize) -> [Schedule; LIMIT_FRACTIONS.len()] {
     std::array::from_fn(|other| {
-        let distance = other.abs_diff(candidate).saturating_sub(1) as u32;
+        let distance = other.abs_diff(best_index).saturating_sub(1) as u32;
         Schedule {
-            at: now + INITIAL_INTERVAL * (distance * distance * 2),
+            due_at: now + INITIAL_INTERVAL * (distance * distance * 2),
             interval: INITIAL_INTERVAL * (1 + distance * distance * 2),
         }
     })
 }
 
-fn slots_of(slots: u32, candidate: usize) -> u32 {
-    ((f64::from(slots) * LIMIT_FRACTIONS[candidate]) as u32).max(1)
+fn limit_at(slots: u32, index: usize) -> u32 {
+    ((f64::from(slots) * LIMIT_FRACTIONS[index]) as u32).max(1)
 }
 
 /// The exclusive lower bound of the requests in flight at which a request counts as a sample of a candidate.
-fn min_in_flight(slots: u32, candidate: usize) -> u32 {
-    let own = slots_of(slots, candidate);
-    match LIMIT_FRACTIONS.get(candidate + 1) {
-        Some(_) => slots_of(slots, candidate + 1).min(own - 1),
+fn in_flight_above(slots: u32, index: usize) -> u32 {
+    let own = limit_at(slots, index);
+    match LIMIT_FRACTIONS.get(index + 1) {
+        Some(_) => limit_at(slots, index + 1).min(own - 1),
         None => own - own.div_ceil(8),
     }
 }
--- a/crates/sorrelturn-policy/src/first_tries.rs
+++ b/crates/sorrelturn-policy/src/first_tries.rs
@@ -10,12 +10,13 @@
 /// The minimum number of recent requests with the full timeout for a retry to be detected.
 const MIN_FULL_TIMEOUTS: u32 = RECENT_REQUESTS / 3;
 
-/// Divides the bucket of retries in the lowest rank.
+/// Divides the shedding bucket of retries in the lowest rank.
 const RETRY_BUCKET_DIVISOR: u8 = 8;
-/// Divides the bucket of retries in higher ranks, whose callers lose more by a second refusal.
+/// Divides the shedding bucket of retries in higher ranks, whose callers lose more by a second refusal.
 const HIGHER_RANK_RETRY_BUCKET_DIVISOR: u8 = 4;
 
-/// Returns the priority bucket of a retry within its rank, where bucket 0 is shed first and rank 0 is the lowest.
+/// Returns the shedding bucket of a retry within its rank, where bucket 0 is shed first and rank 0 is the lowest; see
+/// [`refuses`](crate::refuses).
 ///
 /// Retries are shed before first attempts, so that more requests succeed at their first attempt.
 pub fn bucket_for_retry(bucket: u8, rank: usize) -> u8 {
@@ -25,7 +26,7 @@
     }
 }
 
-/// Returns the priority bucket of an at-most-once request within a rank that also has repeatable requests.
+/// Returns the shedding bucket of an at-most-once request within a rank that also has repeatable requests.
 ///
 /// It lies in the upper half of the rank, because a refusal costs the callers of at-most-once requests more.
 pub fn bucket_for_at_most_once(bucket: u8) -> u8 {
@@ -35,6 +36,7 @@
 /// Learns the timeout of the callers of one kind and detects retries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetryDetector {
+    /// The longest time left of the recent requests, in milliseconds.
     full_timeout_ms: u32,
     /// One bit for each recent request, set if it had the full timeout.
     recent: u32,
--- a/crates/sorrelturn-policy/src/freshness.rs
+++ b/crates/sorrelturn-policy/src/freshness.rs
@@ -3,7 +3,7 @@
 use crate::Now;
 use std::time::Duration;
 
-/// The latest time at which no newer configuration is known to have existed.
+/// The latest time as of which this daemon's configuration was confirmed to be the newest.
 ///
 /// This is the time at which the confirming request was sent, because its response may have been delayed.
 /// See `docs/design/credentials.md`.
--- a/crates/sorrelturn-policy/src/learned.rs
+++ b/crates/sorrelturn-policy/src/learned.rs
@@ -7,10 +7,10 @@
     time::Duration,
 };
 
-/// How long a threshold stays unchanged without an update, and the silence after which a shedding level adopts an
-/// update as it is.
+/// How long a threshold stays unchanged without an update, and the time without updates after which a shedding level
+/// is replaced by the next update instead of averaged with it.
 const THRESHOLD_HOLD_TIME: Duration = Duration::from_millis(300);
-/// How long a shedding level stays unchanged without an update; an entry that refuses most requests receives few.
+/// How long a shedding level stays unchanged without an update; an entry daemon that refuses most requests receives few.
 const LEVEL_HOLD_TIME: Duration = Duration::from_millis(1_000);
 /// After the hold time, the threshold falls by one step per interval, so that a few requests probe for recovery.
 const DECAY_INTERVAL: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 pub struct LearnedThreshold {
     /// The timestamp in milliseconds above the threshold in the lowest 16 bits.
     word: AtomicU64,
-    /// Whether this is a shedding level, which decays linearly and adopts the first update after a silence as it is.
+    /// Whether this is a shedding level, which decays linearly and is replaced by the first update after a silence.
     is_level: bool,
 }
 
--- a/crates/sorrelturn-policy/src/presence.rs
+++ b/crates/sorrelturn-policy/src/presence.rs
@@ -10,13 +10,13 @@
 const MAX_EARLIER_INCARNATIONS: usize = 8;
 
 /// Silence of the current incarnation after which one with an earlier start time may replace it.
-/// Backend servers announce themselves every 1.5 s, so a live one misses two announcements by then.
+/// Backend servers announce themselves every 1.5 s, so two announcements are overdue by then.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The result of processing an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PresenceChange {
-    /// The announcement changes nothing.
+    /// Whether a backend server accepts work stays the same.
     NoChange,
     /// The announcement is older than what is already known.
     Outdated,
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Records that the backend server with this id answered at the address; if it isn't the known
-    /// one, that one has ended. Returns whether this is new.
+    /// Records that the backend server with this id answered at the address of the backend server.
+    /// An unknown id replaces the current incarnation; returns whether it did.
     pub fn record_answer_from(&mut self, now: Now, id: &str) -> bool {
         let is_current = self
             .current
--- a/crates/sorrelturn-policy/src/retry_after.rs
+++ b/crates/sorrelturn-policy/src/retry_after.rs
@@ -8,14 +8,14 @@
 /// Maximum expected duration of an overload: if it ends early, callers must not stay away for long.
 const MAX_EXPECTED_OVERLOAD: Duration = Duration::from_secs(30);
 
-/// Time without a refusal after which an overload counts as over. Small entries refuse requests of
-/// a rare kind more than a second apart.
+/// Time without a refusal after which an overload counts as over. Entry daemons with little
+/// traffic refuse requests of a rare kind more than a second apart.
 const QUIET_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tracks how long an entry has been refusing requests of one kind.
+/// Tracks how long an entry daemon has been refusing requests of one kind.
 ///
-/// The gate beside the entry can't see that a service deeper in the call chain is overloaded, so
-/// the retry time is based on the refusals at the entry itself.
+/// The gate of an entry daemon can't see that a service deeper in the call chain is overloaded, so
+/// the retry time is based on the refusals at the entry daemon itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RefusalStreak {
     first: Now,
--- a/crates/sorrelturn-policy/src/retry_window.rs
+++ b/crates/sorrelturn-policy/src/retry_window.rs
@@ -12,8 +12,8 @@
 /// Fraction of the retry ratio that is used. The rest covers load that moves between daemons.
 const RATIO_FRACTION: f64 = 0.75;
 /// Fraction of the retry ratio that is used for the window ending now, the only one available after
-/// a start. Windows that end up to a quarter later or earlier contain at least half of its
-/// attempts.
+/// a start. It is lower because windows that end up to a quarter of a window earlier or later may
+/// contain only half as many attempts.
 const LAST_WINDOW_RATIO_FRACTION: f64 = 0.4;
 
 /// Attempts in one slice of a window.
@@ -81,12 +81,12 @@
         is_allowed
     }
 
-    /// Starts a slice and computes the limit that applies until it ends from the slices before it.
-    fn start_slice(&mut self, number: u64) {
-        let window = SLICES as u64;
+    /// Computes, from the preceding slices, the limit that applies during slice `number`.
+    fn update_limit(&mut self, number: u64) {
+        let window_slices = SLICES as u64;
         let first_attempts_in_window = |slices_ago: u64| {
             let end = number - 1 - slices_ago;
-            self.sum_between(end + 1 - window, end, |slice| slice.first_attempts)
+            self.sum_between(end + 1 - window_slices, end, |slice| slice.first_attempts)
         };
         let last = first_attempts_in_window(0);
         let minimum = (1..=LOOKBACK_SLICES as u64)
@@ -95,7 +95,7 @@
         let counted = (minimum * RATIO_FRACTION).max(last * LAST_WINDOW_RATIO_FRACTION);
         self.allowed = self.slack + self.ratio * counted;
         // Includes the slice before the window, whose end may lie in it.
-        self.retries = self.sum_between(number - window, number, |slice| slice.retries);
+        self.retries = self.sum_between(number - window_slices, number, |slice| slice.retries);
     }
 
     /// Sums over the slices from one number to another, both inclusive.
@@ -119,7 +119,7 @@
             self.slices.pop_front();
         }
         if self.slices.back().is_none_or(|slice| slice.number < number) {
-            self.start_slice(number);
+            self.update_limit(number);
             self.slices.push_back(Slice {
                 number,
                 ..Slice::default()
--- a/crates/sorrelturn-policy/src/routing.rs
+++ b/crates/sorrelturn-policy/src/routing.rs
@@ -9,11 +9,12 @@
 
 /// Consecutive failures after which an instance is ejected.
 const FAILURES_TO_EJECT: u32 = 5;
-/// Duration of the first ejection; each consecutive one lasts twice as long.
+/// Duration of the first ejection. It doubles with each further consecutive failure, also with those
+/// during an ejection.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Maximum number of times that the duration of an ejection doubles.
+/// Maximum number of doublings of the duration of an ejection.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
-/// Ejections are ignored if fewer than this percentage of the instances would remain: so many
+/// Ejections are ignored if fewer than this percentage of the instances would remain: that many
 /// rarely fail independently, and an empty service would be an outage.
 const MIN_AVAILABLE_PERCENT: usize = 50;
 /// Half-life of the weight of a reported load. It exceeds the usual pause between two calls to one
@@ -35,7 +36,7 @@
 /// Half-life of the error rate while no calls are made, so that an avoided instance is tried again.
 const ERROR_HALF_LIFE_MS: u64 = 1_000;
 /// Load, in percent, that is added to instances of other failure domains, so that calls stay in the
-/// local domain until it is loaded.
+/// same failure domain until it is loaded.
 const OTHER_DOMAIN_PENALTY_PERCENT: u64 = 40;
 
 /// State of one instance of a service, as seen by this daemon. Answers update it and every choice
@@ -45,18 +46,21 @@
     /// Incarnation of the instance.
     pub incarnation: Incarnation,
     /// Whether the instance is in this daemon's failure domain.
-    pub near: bool,
+    pub in_same_domain: bool,
     warm_at_ms: u64,
     cold_start_ms: u64,
     in_flight: AtomicU32,
     /// Calls in flight from this daemon when the instance last reported its load.
     in_flight_at_report: AtomicU32,
-    load: AtomicU32,
+    /// The last reported load.
+    load_percent: AtomicU32,
     load_at_ms: AtomicU64,
-    failures: AtomicU32,
-    errors: AtomicU32,
-    errors_at_ms: AtomicU64,
+    consecutive_failures: AtomicU32,
+    /// In units of 1/[`ERROR_SCALE`], as of `error_rate_at_ms`.
+    error_rate: AtomicU32,
+    error_rate_at_ms: AtomicU64,
     ejected_until_ms: AtomicU64,
+    /// 1 if the instance reported that it is leaving, otherwise 0.
     leaving: AtomicU32,
 }
 
@@ -83,20 +87,25 @@
 impl Instance {
     /// Creates an instance whose share of calls grows to the full one over `cold_start`, counted
     /// from `now`.
-    pub fn new(incarnation: Incarnation, near: bool, cold_start: Duration, now: Now) -> Self {
+    pub fn new(
+        incarnation: Incarnation,
+        in_same_domain: bool,
+        cold_start: Duration,
+        now: Now,
+    ) -> Self {
         let warm_up_ms = cold_start.as_millis() as u64;
         Self {
             incarnation,
-            near,
+            in_same_domain,
             warm_at_ms: now.as_millis() as u64 + warm_up_ms,
             cold_start_ms: warm_up_ms,
             in_flight: AtomicU32::new(0),
             in_flight_at_report: AtomicU32::new(0),
-            load: AtomicU32::new(0),
+            load_percent: AtomicU32::new(0),
             load_at_ms: AtomicU64::new(0),
-            failures: AtomicU32::new(0),
-            errors: AtomicU32::new(0),
-            errors_at_ms: AtomicU64::new(0),
+            consecutive_failures: AtomicU32::new(0),
+            error_rate: AtomicU32::new(0),
+            error_rate_at_ms: AtomicU64::new(0),
             ejected_until_ms: AtomicU64::new(0),
             leaving: AtomicU32::new(0),
         }
@@ -112,13 +121,13 @@
         let in_flight = self.in_flight.fetch_sub(1, Relaxed).saturating_sub(1);
         match report {
             InstanceReport::Answered { load } => {
-                if self.errors.load(Relaxed) != 0 {
+                if self.error_rate.load(Relaxed) != 0 {
                     self.record_error_sample(now, 0);
                 }
-                self.load.store(u32::from(load), Relaxed);
+                self.load_percent.store(u32::from(load), Relaxed);
                 self.in_flight_at_report.store(in_flight, Relaxed);
                 self.load_at_ms.store(now.as_millis() as u64, Relaxed);
-                self.failures.store(0, Relaxed);
+                self.consecutive_failures.store(0, Relaxed);
                 self.ejected_until_ms.store(0, Relaxed);
                 false
             }
@@ -129,14 +138,15 @@
             InstanceReport::BackendError => {
                 // Broken exchanges don't count as errors here; they lead to ejections.
                 self.record_error_sample(now, ERROR_SCALE);
-                self.failures.store(0, Relaxed);
+                self.consecutive_failures.store(0, Relaxed);
                 false
             }
             InstanceReport::Unreachable => {
                 // Nothing was sent, so an early ejection loses no work, while each further attempt
                 // at a silent VM would block until its timeout.
                 let failures_before_ejection = FAILURES_TO_EJECT.saturating_sub(1);
-                self.failures.fetch_max(failures_before_ejection, Relaxed);
+                self.consecutive_failures
+                    .fetch_max(failures_before_ejection, Relaxed);
                 self.record_failure(now)
             }
             InstanceReport::Failed => self.record_failure(now),
@@ -167,61 +177,61 @@
     /// error.
     fn record_error_sample(&self, now: Now, sample: u32) {
         let now_ms = now.as_millis() as u64;
-        let before = self.error_share_at(now_ms);
+        let before = self.error_rate_at(now_ms);
         let step = sample.abs_diff(before) / ERROR_SMOOTHING_CALLS;
         let after = if sample > before {
             before + step
         } else {
             before - step
         };
-        self.errors.store(after, Relaxed);
-        self.errors_at_ms.store(now_ms, Relaxed);
+        self.error_rate.store(after, Relaxed);
+        self.error_rate_at_ms.store(now_ms, Relaxed);
     }
 
     /// Returns the error rate in units of 1/[`ERROR_SCALE`].
-    fn error_share_at(&self, now_ms: u64) -> u32 {
-        let errors = self.errors.load(Relaxed);
-        if errors == 0 {
+    fn error_rate_at(&self, now_ms: u64) -> u32 {
+        let error_rate = self.error_rate.load(Relaxed);
+        if error_rate == 0 {
             return 0;
         }
-        let age = now_ms.saturating_sub(self.errors_at_ms.load(Relaxed));
+        let age = now_ms.saturating_sub(self.error_rate_at_ms.load(Relaxed));
         let halvings = (age / ERROR_HALF_LIFE_MS).min(31) as u32;
-        errors >> halvings
+        error_rate >> halvings
     }
 
     fn record_failure(&self, now: Now) -> bool {
-        let failures = self.failures.fetch_add(1, Relaxed) + 1;
-        if failures < FAILURES_TO_EJECT || self.is_ejected(now) {
+        let consecutive_failures = self.consecutive_failures.fetch_add(1, Relaxed) + 1;
+        if consecutive_failures < FAILURES_TO_EJECT || self.is_ejected(now) {
             return false;
         }
-        let doublings = (failures - FAILURES_TO_EJECT).min(MAX_EJECTION_DOUBLINGS);
+        let doublings = (consecutive_failures - FAILURES_TO_EJECT).min(MAX_EJECTION_DOUBLINGS);
         let until = now + FIRST_EJECTION * (1 << doublings);
         self.ejected_until_ms
             .store(until.as_millis() as u64, Relaxed);
         true
     }
 
-    /// Returns the load that a call would meet, in percent; older reports weigh less.
+    /// Returns the estimated load of the instance plus penalties, in percent; older reports weigh less.
     fn score(&self, now_ms: u64) -> u64 {
         let age = now_ms.saturating_sub(self.load_at_ms.load(Relaxed));
         let halvings = (age / LOAD_HALF_LIFE_MS).min(16) as u32;
-        let reported = u64::from(self.load.load(Relaxed)) >> halvings;
+        let reported = u64::from(self.load_percent.load(Relaxed)) >> halvings;
         let in_flight = self.in_flight.load(Relaxed);
         let unreported = in_flight.saturating_sub(self.in_flight_at_report.load(Relaxed));
         let load = reported + u64::from(unreported) * UNREPORTED_CALL_PERCENT;
-        let loaded = load.saturating_sub(HIGH_LOAD_PERCENT) * (HIGH_LOAD_FACTOR - 1);
-        let far = if self.near {
+        let high_load_penalty = load.saturating_sub(HIGH_LOAD_PERCENT) * (HIGH_LOAD_FACTOR - 1);
+        let domain_penalty = if self.in_same_domain {
             0
         } else {
             OTHER_DOMAIN_PENALTY_PERCENT
         };
-        let errors =
-            u64::from(self.error_share_at(now_ms)) * ERROR_PENALTY_PERCENT / u64::from(ERROR_SCALE);
-        load + loaded + far + errors
+        let error_penalty =
+            u64::from(self.error_rate_at(now_ms)) * ERROR_PENALTY_PERCENT / u64::from(ERROR_SCALE);
+        load + high_load_penalty + domain_penalty + error_penalty
     }
 
-    /// Returns the share of its calls that an instance accepts while it warms up, in percent.
-    fn warmth(&self, now_ms: u64) -> u64 {
+    /// Returns the percentage of its calls that a warming-up instance is given; the others go to the other candidate.
+    fn warm_up_percent(&self, now_ms: u64) -> u64 {
         let remaining_ms = self.warm_at_ms.saturating_sub(now_ms);
         if remaining_ms == 0 || self.cold_start_ms == 0 {
             return 100;
@@ -263,58 +273,67 @@
     choose_from_sample(counts.sample(rng), candidates, now_ms, rng)
 }
 
-/// Number of candidates in the local failure domain and in the others.
+/// Number of candidates in the same failure domain and in the others.
 #[derive(Clone, Copy, Default)]
 struct CandidateCounts {
-    near: usize,
-    far: usize,
+    same_domain: usize,
+    other_domains: usize,
 }
 
-/// The sampled candidates, by their positions among the near and among the far ones.
+/// The sampled candidates, by their positions among those in the same failure domain and among the
+/// others.
 struct Sample {
-    near: [usize; 2],
-    far: [usize; 2],
+    same_domain: [usize; 2],
+    other_domains: [usize; 2],
     /// Number of sampled candidates.
     count: usize,
 }
 
-/// Number of choices out of 256 that compare two near candidates. The others compare a near and a
-/// far one, so that load which exceeds the local capacity leaves the failure domain.
-const NEAR_PAIRS_PER_256: u8 = 32;
+/// Number of choices out of 256 that compare two candidates in the same failure domain. The others
+/// compare one of them with one in another domain, so that load which exceeds the capacity of the
+/// same failure domain leaves it.
+const SAME_DOMAIN_PAIRS_PER_256: u8 = 32;
 /// Position that stands for no candidate.
 const NOT_SAMPLED: usize = usize::MAX;
 
 impl CandidateCounts {
     fn of<'a>(candidates: impl Iterator<Item = &'a Instance>) -> Self {
-        let (mut near, mut all) = (0, 0);
+        let (mut same_domain, mut all) = (0, 0);
         for instance in candidates {
-            near += usize::from(instance.near);
+            same_domain += usize::from(instance.in_same_domain);
             all += 1;
         }
         Self {
-            near,
-            far: all - near,
+            same_domain,
+            other_domains: all - same_domain,
         }
     }
 
     fn all(self) -> usize {
-        self.near + self.far
+        self.same_domain + self.other_domains
     }
 
-    /// Samples two candidates: a near one, if there is any, and usually a far one, otherwise
-    /// another near one. The far one takes over when the near one is loaded; without a near one in
-    /// the sample, calls would cross failure domains needlessly.
+    /// Samples two candidates: one in the same failure domain, if there is any, and usually one in
+    /// another domain, otherwise a second one in the same domain. The one in another domain is
+    /// chosen when the other one is loaded; without a candidate in the same domain, calls would
+    /// cross failure domains needlessly.
     fn sample(self, rng: &mut fastrand::Rng) -> Sample {
-        let from_near = match self.near {
+        let from_same_domain = match self.same_domain {
             0 => 0,
-            near if self.far == 0 || (near > 1 && rng.u8(..) < NEAR_PAIRS_PER_256) => 2,
+            count
+                if self.other_domains == 0
+                    || (count > 1 && rng.u8(..) < SAME_DOMAIN_PAIRS_PER_256) =>
+            {
+                2
+            }
             _ => 1,
         };
-        let from_far = 2 - from_near;
+        let from_other_domains = 2 - from_same_domain;
         Sample {
-            near: sample_positions(self.near, from_near, rng),
-            far: sample_positions(self.far, from_far, rng),
-            count: self.near.min(from_near) + self.far.min(from_far),
+            same_domain: sample_positions(self.same_domain, from_same_domain, rng),
+            other_domains: sample_positions(self.other_domains, from_other_domains, rng),
+            count: self.same_domain.min(from_same_domain)
+                + self.other_domains.min(from_other_domains),
         }
     }
 }
@@ -332,23 +351,23 @@
     }
 }
 
-/// Chooses the sampled candidate with the lowest score; one that still warms up may pass the call
-/// on to the other.
+/// Chooses the sampled candidate with the lowest score; if it is still warming up, some of its calls
+/// go to the other candidate.
 fn choose_from_sample<'a>(
     sample: Sample,
     candidates: impl Iterator<Item = (usize, &'a Instance)>,
     now_ms: u64,
     rng: &mut fastrand::Rng,
 ) -> Option<usize> {
-    let (mut near, mut far) = (0, 0);
+    let (mut same_domain_index, mut other_domains_index) = (0, 0);
     let mut remaining = sample.count;
     let mut best: Option<(usize, &Instance, u64)> = None;
     let mut other: Option<(usize, &Instance)> = None;
     for (position, instance) in candidates {
-        let (index, sampled) = if instance.near {
-            (&mut near, &sample.near)
+        let (index, sampled) = if instance.in_same_domain {
+            (&mut same_domain_index, &sample.same_domain)
         } else {
-            (&mut far, &sample.far)
+            (&mut other_domains_index, &sample.other_domains)
         };
         let is_sampled = sampled.contains(index);
         let is_first_sampled = sampled[0] == *index;
@@ -376,10 +395,12 @@
         }
     }
     let (position, instance, _) = best?;
-    let warmth = instance.warmth(now_ms);
-    let accepts_despite_warm_up = warmth == 100 || rng.u64(..100) < warmth;
+    let warm_up_percent = instance.warm_up_percent(now_ms);
+    let is_given_call = warm_up_percent == 100 || rng.u64(..100) < warm_up_percent;
     match other {
-        Some((at, other)) if !accepts_despite_warm_up && other.warmth(now_ms) > warmth => Some(at),
+        Some((at, other)) if !is_given_call && other.warm_up_percent(now_ms) > warm_up_percent => {
+            Some(at)
+        }
         _ => Some(position),
     }
 }
