--- a/crates/sorrelturn-policy/src/load_level.rs
+++ b/crates/sorrelturn-policy/src/load_level.rs
@@ -1,6 +1,6 @@
 //! The shedding level of a service, which determines the share of each rank of its root requests
 //! that entry daemons refuse. The rank of a root request is the number of lower importances that
-//! root requests have; it differs from the position among all importances.
+//! root requests have, and is higher for requests of more important workspaces.
 //! See `docs/design/entry-admission.md`.
 
 use crate::Now;
--- a/crates/sorrelturn-policy/src/presence.rs
+++ b/crates/sorrelturn-policy/src/presence.rs
@@ -58,7 +58,7 @@
 /// An incarnation is identified by its id and its start time. Of two incarnations with one id, the
 /// one with the later start time is current. As clocks may step back, an incarnation with an
 /// earlier start time also becomes current once the known one has been silent for longer than a
-/// live one would be. Until then the daemon keeps using the same id. This is safe: requests carry
+/// live one would be. Until then the daemon keeps the current incarnation. This is safe: requests carry
 /// only the id, and a leaving announcement is acknowledged only for the current incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Presence {
--- a/crates/sorrelturn-policy/src/routing.rs
+++ b/crates/sorrelturn-policy/src/routing.rs
@@ -230,7 +230,8 @@
         load + high_load_penalty + domain_penalty + error_penalty
     }
 
-    /// Returns the percentage of its calls that a warming-up instance is given; the others go to the other candidate.
+    /// Returns the percentage of its calls that a warming-up instance is given; the others go to
+    /// the other candidate.
     fn warm_up_percent(&self, now_ms: u64) -> u64 {
         let remaining_ms = self.warm_at_ms.saturating_sub(now_ms);
         if remaining_ms == 0 || self.cold_start_ms == 0 {
--- a/crates/sorrelturn-policy/tests/admission.rs
+++ b/crates/sorrelturn-policy/tests/admission.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_critical_arrival_pushes_the_least_important_waiting_one_out() {
+fn an_important_arrival_evicts_the_least_important_queued_request() {
     let mut gate = gate(1, 2);
     assert_eq!(
         gate.arrive(ms(0), &arrival(1, Importance::Normal, 9)).0,
@@ -55,20 +55,20 @@
 }
 
 #[test]
-fn of_one_importance_the_one_that_holds_finished_work_goes_first() {
+fn nested_calls_are_admitted_first_within_an_importance() {
     let mut gate = gate(1, 4);
     gate.arrive(ms(0), &arrival(1, Importance::Normal, 0));
     gate.arrive(ms(0), &arrival(2, Importance::Normal, 255));
-    let holder = Arrival {
+    let nested_call = Arrival {
         is_nested_call: true,
         ..arrival(3, Importance::Normal, 0)
     };
-    gate.arrive(ms(0), &holder);
+    gate.arrive(ms(0), &nested_call);
     assert_eq!(gate.finish(ms(1), Outcome::Answered, ms(1)).admitted, [3]);
 }
 
 #[test]
-fn what_cannot_finish_before_its_deadline_is_refused_at_once() {
+fn a_request_that_cannot_finish_before_its_deadline_is_refused_at_once() {
     let mut gate = gate(1, 10);
     gate.arrive(ms(0), &arrival(1, Importance::Normal, 0));
     gate.finish(ms(50), Outcome::Answered, ms(50));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_limit_falls_when_the_backend_server_sheds_and_recovers() {
+fn the_limit_falls_on_overload_and_recovers() {
     let mut limit = AdaptiveLimit::new(100, Duration::ZERO, ms(0));
     for at in 0..200 {
         limit.observe(ms(at * 10), Outcome::Overloaded, ms(5), 100);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_cold_backend_server_is_brought_to_full_load_over_its_cold_start() {
+fn the_limit_of_a_cold_backend_server_rises_over_its_cold_start() {
     let mut limit = AdaptiveLimit::new(80, ms(1_000), ms(0));
     assert_eq!(limit.get(ms(0)), 20);
     assert_eq!(limit.get(ms(500)), 50);
@@ -145,7 +145,7 @@
             let id = now * 3 + offset;
             let importance = Importance::ALL[rng.usize(..4)];
             importance_of.insert(id, importance);
-            let (decision, pushed_out) = gate.arrive(ms(now), &arrival(id, importance, rng.u8(..)));
+            let (decision, evicted) = gate.arrive(ms(now), &arrival(id, importance, rng.u8(..)));
             match decision {
                 Decision::Admit => {
                     in_progress.push((id, now + 20));
@@ -154,7 +154,7 @@
                 Decision::Refuse(_) => counts.entry(importance).or_default().1 += 1,
                 Decision::Queue => {}
             }
-            if let Some(id) = pushed_out {
+            if let Some(id) = evicted {
                 counts.entry(importance_of[&id]).or_default().1 += 1;
             }
         }
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn the_threshold_rises_under_overload_and_is_gone_within_a_second_after() {
+fn the_threshold_rises_under_overload_and_is_zero_within_a_second_after() {
     let mut rng = fastrand::Rng::with_seed(2);
     let mut gate = gate(20, 20);
     overload(&mut gate, &mut rng);
@@ -200,36 +200,36 @@
 
 proptest! {
     #[test]
-    fn in_no_schedule_is_a_request_refused_while_a_less_important_one_waits(
+    fn in_no_schedule_is_a_request_refused_while_a_less_important_one_is_queued(
         steps in prop::collection::vec((0u8..4, any::<u8>(), any::<bool>(), 0u64..5), 1..200),
     ) {
         let mut gate = gate(3, 4);
         let mut now = 0;
-        let mut waiting: HashMap<u64, Arrival> = HashMap::new();
+        let mut queued: HashMap<u64, Arrival> = HashMap::new();
         for (id, (importance, bucket, finishes, elapsed)) in steps.into_iter().enumerate() {
             now += elapsed;
             if finishes && gate.in_flight() > 0 {
                 for id in gate.finish(ms(now), Outcome::Answered, ms(1)).admitted {
-                    waiting.remove(&id);
+                    queued.remove(&id);
                 }
             }
             let importance = Importance::ALL[usize::from(importance)];
             let arrival = arrival(id as u64, importance, bucket);
-            let (decision, pushed_out) = gate.arrive(ms(now), &arrival);
-            let refused = match (decision, pushed_out) {
+            let (decision, evicted) = gate.arrive(ms(now), &arrival);
+            let refused = match (decision, evicted) {
                 (Decision::Refuse(_), _) => Some(arrival),
-                (_, Some(id)) => waiting.remove(&id),
+                (_, Some(id)) => queued.remove(&id),
                 _ => None,
             };
             if decision == Decision::Queue {
-                waiting.insert(arrival.id, arrival);
+                queued.insert(arrival.id, arrival);
             }
             if let Some(refused) = refused {
-                for other in waiting.values() {
+                for other in queued.values() {
                     prop_assert!(other.priority >= refused.priority);
                 }
             }
-            prop_assert_eq!(gate.queued(), waiting.len());
+            prop_assert_eq!(gate.queued(), queued.len());
             prop_assert!(gate.in_flight() <= 3);
         }
     }
--- a/crates/sorrelturn-policy/tests/concurrency_tuner.rs
+++ b/crates/sorrelturn-policy/tests/concurrency_tuner.rs
@@ -102,7 +102,7 @@
 const DURATION: Now = Duration::from_secs(60);
 
 #[test]
-fn a_backend_server_that_slows_down_when_nearly_full_is_kept_below_that() {
+fn the_limit_stays_below_the_load_that_slows_the_backend_server_down() {
     // The ideal gain is (33 / 35) * 1.3 = 1.23.
     let server = OverloadedServer {
         knee_utilization: 0.95,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn where_nothing_slows_down_tuning_costs_about_one_percent() {
+fn without_a_slowdown_tuning_costs_at_most_one_and_a_half_percent() {
     for slots in [20, 35, 91, 400] {
         let server = OverloadedServer { slots, ..STEADY };
         let gain = server.gain(DURATION);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_backend_server_that_turns_slow_for_a_while_is_not_taken_for_one_that_is_too_full() {
+fn a_temporary_slowdown_does_not_lower_the_limit() {
     let server = OverloadedServer {
         temporary_slowdown: Some((Duration::from_secs(20), Duration::from_secs(40), 5.0)),
         ..STEADY
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_kind_that_takes_much_longer_decides_nothing_by_its_share() {
+fn a_slow_kind_does_not_bias_comparisons() {
     let mut tuner = ConcurrencyTuner::new(35);
     let mut now = Duration::ZERO;
     let mut rng = Rng::with_seed(4);
--- a/crates/sorrelturn-policy/tests/entry_admission.rs
+++ b/crates/sorrelturn-policy/tests/entry_admission.rs
@@ -54,7 +54,7 @@
 /// Guards against a level that oscillates when it takes effect late and each step refuses many
 /// requests.
 #[test]
-fn the_level_does_not_swing_where_few_instances_are_left() {
+fn the_level_does_not_oscillate_under_heavy_overload() {
     for load in [2.0, 3.0, 4.5] {
         let (demand, _) = simulate_steps(load, 60, 2_000);
         let final_demand = &demand[demand.len() - 2 * FINAL_STEPS..];
@@ -81,7 +81,7 @@
         let (used, level) = simulate(load, 30, 1_000);
         assert!(
             (0.85..=0.97).contains(&used),
-            "load {load}: {used} of the slots in demand"
+            "load {load}: demand for {used} of the slots"
         );
         assert!(level < max_level, "load {load}: {level}");
     }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn instances_that_hear_of_one_another_do_not_drift_apart() {
+fn levels_of_instances_with_unequal_load_do_not_diverge() {
     let mut busy = SheddingLevel::new(Duration::ZERO);
     let mut idle = SheddingLevel::new(Duration::ZERO);
     for step in 1..=1_000 {
@@ -128,10 +128,10 @@
     assert!(!refuses(u16::MAX, 1, 2, 250));
 }
 
-fn candidate(kind: &str, same_end: bool, count: u32) -> Candidate {
+fn candidate(kind: &str, has_same_deadline: bool, count: u32) -> Candidate {
     Candidate {
         kind: kind.to_owned(),
-        has_same_deadline: same_end,
+        has_same_deadline,
         count,
     }
 }
@@ -166,7 +166,7 @@
 /// Guards against slow detection after a start under load, when each instance of a large service
 /// has received only a few requests of a kind.
 #[test]
-fn a_call_is_known_by_a_few_requests_where_callers_would_hardly_send_them_from_there() {
+fn few_requests_suffice_to_detect_calls_if_callers_are_unlikely_to_use_only_these_vms() {
     // The shares of VMs in a fleet of 95 VMs.
     let share_of = |service: &str| match service {
         "archive" => 0.48,
@@ -180,8 +180,8 @@
     assert!(!origins.are_calls("look-up", 4, share_of));
     origins.record("look-up", "archive");
     assert!(origins.are_calls("look-up", 4, share_of));
-    // If callers are on all VMs, the first twenty requests come from the two largest services by
-    // chance in one of thirty cases.
+    // If callers are on all VMs, the first 20 requests come from the two largest services by
+    // chance in one of 30 cases.
     for at in 0..20 {
         origins.record("read", if at % 2 == 0 { "archive" } else { "seals" });
     }
@@ -224,41 +224,41 @@
 }
 
 #[test]
-fn a_request_with_less_time_than_its_like_was_tried_before() {
-    let mut tries = RetryDetector::default();
+fn less_time_left_than_usual_marks_a_retry() {
+    let mut detector = RetryDetector::default();
     for number in 0..40 {
-        assert!(!tries.observe(4_999 + number % 2));
+        assert!(!detector.observe(4_999 + number % 2));
     }
-    assert!(tries.observe(3_300));
-    assert!(tries.observe(4_980));
-    assert!(!tries.observe(4_995));
+    assert!(detector.observe(3_300));
+    assert!(detector.observe(4_980));
+    assert!(!detector.observe(4_995));
 }
 
 #[test]
-fn nothing_is_concluded_where_callers_begin_with_all_sorts_of_times() {
+fn no_retries_are_detected_if_timeouts_of_callers_vary() {
     let mut rng = fastrand::Rng::with_seed(3);
-    let mut tries = RetryDetector::default();
-    let concluded = (0..500)
-        .filter(|_| tries.observe(rng.u32(100..5_000)))
+    let mut detector = RetryDetector::default();
+    let detected = (0..500)
+        .filter(|_| detector.observe(rng.u32(100..5_000)))
         .count();
-    assert!(concluded < 10, "{concluded}");
+    assert!(detected < 10, "{detected}");
 }
 
 #[test]
-fn callers_that_wait_less_than_earlier_ones_are_first_tries_again() {
-    let mut tries = RetryDetector::default();
+fn first_attempts_with_a_shorter_timeout_than_before_are_not_retries() {
+    let mut detector = RetryDetector::default();
     for _ in 0..40 {
-        tries.observe(5_000);
+        detector.observe(5_000);
     }
     for _ in 0..64 {
-        tries.observe(1_000);
+        detector.observe(1_000);
     }
-    assert!(!tries.observe(1_000));
-    assert!(tries.observe(700));
+    assert!(!detector.observe(1_000));
+    assert!(detector.observe(700));
 }
 
 #[test]
-fn a_daemon_that_runs_late_asks_for_less_though_slots_are_free() {
+fn scheduling_lag_raises_the_level_even_if_slots_are_free() {
     let mut level = SheddingLevel::new(Duration::ZERO);
     for step in 1..=100 {
         level.arrived(0);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_learnt_level_outlasts_the_pauses_between_few_answers_and_then_falls() {
+fn a_learned_level_outlasts_the_pauses_between_few_answers_and_then_falls() {
     let learned = LearnedThreshold::for_shedding_level();
     let at = |ms| Duration::from_millis(ms);
     learned.observe(at(1_000), Priority(600));
@@ -297,8 +297,8 @@
     assert_eq!(learned.current(at(1_500)), Priority(20));
 }
 
-/// Guards against crediting the calls of few short requests to many long ones; a payment that ends
-/// together with a call does so by chance.
+/// Guards against crediting the calls of few short requests to many long ones; a payment whose
+/// deadline equals that of a call has it by chance.
 #[test]
 fn short_requests_keep_their_calls_beside_many_long_ones() {
     let mut rng = fastrand::Rng::with_seed(11);
--- a/crates/sorrelturn-policy/tests/presence.rs
+++ b/crates/sorrelturn-policy/tests/presence.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_backend_server_that_leaves_never_comes_back_by_late_news() {
+fn a_leaving_backend_server_never_becomes_ready_by_a_delayed_announcement() {
     let mut presence = Presence::default();
     assert_eq!(
         presence.receive(NOW, announcement("a", BackendState::Ready, 1)),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_new_run_takes_the_place_of_the_old_one_for_good() {
+fn a_new_incarnation_replaces_the_earlier_one_permanently() {
     let mut presence = Presence::default();
     presence.receive(NOW, announcement("a", BackendState::Ready, 7));
     assert_eq!(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn leaving_counts_even_if_announcements_are_reordered() {
+fn leaving_takes_effect_even_if_announcements_are_reordered() {
     let mut presence = Presence::default();
     presence.receive(NOW, announcement("a", BackendState::Ready, 9));
     assert_eq!(
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_restart_under_the_same_id_after_a_crash_takes_work_and_counts_anew() {
+fn a_restart_under_the_same_id_after_a_crash_becomes_ready_with_a_new_sequence() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(100, BackendState::Ready, 9));
     let change = presence.receive(at(2), with_start_time(200, BackendState::Ready, 1));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_restart_under_the_same_id_after_a_planned_end_takes_work() {
+fn a_restart_under_the_same_id_after_a_planned_end_becomes_ready() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(100, BackendState::Ready, 3));
     presence.receive(at(1), with_start_time(100, BackendState::Gone, u64::MAX));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn news_of_an_earlier_run_never_touches_the_later_one() {
+fn announcements_of_an_earlier_incarnation_never_change_the_later_one() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(100, BackendState::Ready, 3));
     presence.receive(at(1), with_start_time(200, BackendState::Ready, 1));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_run_after_a_step_back_of_the_clock_is_taken_once_the_known_one_is_silent() {
+fn an_incarnation_after_a_clock_step_back_becomes_current_once_the_known_one_is_silent() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(200, BackendState::Ready, 9));
     let early = presence.receive(at(2), with_start_time(100, BackendState::Ready, 1));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_live_incarnation_replaced_by_a_delayed_announcement_is_back_within_seconds() {
+fn a_live_incarnation_replaced_by_a_delayed_announcement_is_current_again_within_seconds() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(200, BackendState::Ready, 1));
     // The incarnation is frozen, and a delayed announcement of an earlier one arrives.
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_has_left_is_not_brought_back_by_an_earlier_run() {
+fn an_earlier_incarnation_does_not_replace_one_that_is_leaving() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(100, BackendState::Ready, 1));
     presence.receive(at(1), with_start_time(200, BackendState::Ready, 1));
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn announcements_without_a_start_time_are_foreign_where_others_have_one() {
+fn announcements_without_a_start_time_are_foreign_if_others_have_one() {
     let mut presence = Presence::default();
     presence.receive(at(0), with_start_time(100, BackendState::Ready, 1));
     let change = presence.receive(at(1), announcement("a", BackendState::Gone, 7));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_run_that_was_known_by_an_answer_gets_its_start_from_its_first_announcement() {
+fn an_incarnation_known_by_an_answer_gets_its_start_time_from_its_first_announcement() {
     let mut presence = Presence::default();
     assert!(presence.record_answer_from(at(0), "a"));
     let change = presence.receive(at(1), with_start_time(100, BackendState::Ready, 1));
--- a/crates/sorrelturn-policy/tests/quarantine.rs
+++ b/crates/sorrelturn-policy/tests/quarantine.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn after(updates: &[CrashUpdate]) -> Quarantine {
+fn quarantine_after(updates: &[CrashUpdate]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for update in updates {
         quarantine.receive(NOW, update);
@@ -46,7 +46,7 @@
 
 #[test]
 fn requests_in_progress_in_one_crash_are_not_quarantined() {
-    let quarantine = after(&[crash(1, 0, &[7, 8, 9])]);
+    let quarantine = quarantine_after(&[crash(1, 0, &[7, 8, 9])]);
     for number in [7, 8, 9] {
         assert!(!quarantine.is_quarantined(request(number)));
     }
@@ -54,7 +54,7 @@
 
 #[test]
 fn requests_in_progress_in_two_crashes_are_quarantined_and_those_in_one_are_not() {
-    let quarantine = after(&[crash(1, 0, &[7, 8]), crash(2, 0, &[7, 9])]);
+    let quarantine = quarantine_after(&[crash(1, 0, &[7, 8]), crash(2, 0, &[7, 9])]);
     assert!(quarantine.is_quarantined(request(7)));
     assert!(!quarantine.is_quarantined(request(8)));
     assert!(!quarantine.is_quarantined(request(9)));
@@ -62,14 +62,15 @@
 
 #[test]
 fn a_crash_that_is_reported_twice_counts_once() {
-    let quarantine = after(&[crash(1, 0, &[7]), crash(1, 30, &[7]), crash(1, 60, &[7, 8])]);
+    let quarantine =
+        quarantine_after(&[crash(1, 0, &[7]), crash(1, 30, &[7]), crash(1, 60, &[7, 8])]);
     assert!(!quarantine.is_quarantined(request(7)));
     assert!(!quarantine.is_quarantined(request(8)));
 }
 
 #[test]
 fn later_reports_of_a_crash_count_as_well() {
-    let quarantine = after(&[crash(1, 0, &[8]), crash(2, 0, &[7]), crash(1, 100, &[7])]);
+    let quarantine = quarantine_after(&[crash(1, 0, &[8]), crash(2, 0, &[7]), crash(1, 100, &[7])]);
     assert!(quarantine.is_quarantined(request(7)));
 }
 
@@ -79,7 +80,7 @@
     for at in 0..=crashes.len() {
         let mut updates = crashes.to_vec();
         updates.insert(at, cleared(7));
-        assert!(!after(&updates).is_quarantined(request(7)));
+        assert!(!quarantine_after(&updates).is_quarantined(request(7)));
     }
 }
 
@@ -97,7 +98,7 @@
 
 #[test]
 fn a_daemon_that_receives_only_the_evidence_quarantines_the_same_requests_and_no_others() {
-    let mut quarantine = after(&[crash(1, 0, &[7, 8, 9]), crash(3, 0, &[11])]);
+    let mut quarantine = quarantine_after(&[crash(1, 0, &[7, 8, 9]), crash(3, 0, &[11])]);
     let quarantined = quarantine
         .receive(NOW, &crash(2, 0, &[7, 8, 10]))
         .quarantined;
@@ -114,7 +115,7 @@
         crashes,
         cleared: Vec::new(),
     };
-    let other = after(&[evidence]);
+    let other = quarantine_after(&[evidence]);
     assert!(other.is_quarantined(request(7)) && other.is_quarantined(request(8)));
     let unrelated_crashes = [9, 10, 11].map(|number| crash(5, 0, &[number]));
     let mut other = other;
@@ -124,8 +125,8 @@
 }
 
 #[test]
-fn a_request_is_held_for_ten_minutes_after_the_last_crash_but_one() {
-    let mut quarantine = after(&[crash(1, 100_000, &[7]), crash(2, 40_000, &[7])]);
+fn a_request_is_quarantined_for_ten_minutes_after_the_last_crash_but_one() {
+    let mut quarantine = quarantine_after(&[crash(1, 100_000, &[7]), crash(2, 40_000, &[7])]);
     let remaining = quarantine.remaining_quarantine(NOW, request(7));
     assert_eq!(remaining, Some(Duration::from_secs(500)));
     quarantine.receive(NOW, &crash(3, 10_000, &[7]));
@@ -140,8 +141,8 @@
 }
 
 #[test]
-fn a_request_is_let_through_after_ten_minutes_though_nothing_more_is_heard() {
-    let quarantine = after(&[crash(1, 0, &[7]), crash(2, 0, &[7])]);
+fn a_request_is_released_after_ten_minutes_without_further_updates() {
+    let quarantine = quarantine_after(&[crash(1, 0, &[7]), crash(2, 0, &[7])]);
     assert_eq!(
         quarantine.remaining_quarantine(MUCH_LATER, request(7)),
         None
@@ -151,7 +152,7 @@
 /// Guards against daemons that keep entries alive forever by sending them to each other.
 #[test]
 fn reports_that_daemons_keep_exchanging_expire_everywhere() {
-    let mut one = after(&[crash(1, 0, &[7]), crash(2, 0, &[7]), cleared(8)]);
+    let mut one = quarantine_after(&[crash(1, 0, &[7]), crash(2, 0, &[7]), cleared(8)]);
     let mut two = Quarantine::default();
     let mut now = NOW;
     while now < MUCH_LATER {
@@ -166,8 +167,8 @@
 }
 
 #[test]
-fn a_crash_of_long_ago_is_not_taken_up_again() {
-    let quarantine = after(&[crash(1, 600_000, &[7]), crash(2, 0, &[7])]);
+fn an_expired_crash_is_not_recorded_again() {
+    let quarantine = quarantine_after(&[crash(1, 600_000, &[7]), crash(2, 0, &[7])]);
     assert!(!quarantine.is_quarantined(request(7)));
 }
 
@@ -196,13 +197,13 @@
     /// through another daemon.
     #[test]
     fn daemons_that_received_the_same_updates_agree(
-        (news, other) in any_updates().prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle())),
+        (updates, other) in any_updates().prop_flat_map(|updates| (Just(updates.clone()), Just(updates).prop_shuffle())),
         split in 0usize..20,
     ) {
-        let one = after(&news);
+        let one = quarantine_after(&updates);
         let split = split.min(other.len());
-        let mut two = after(&other[..split]);
-        let three = after(&other[split..]);
+        let mut two = quarantine_after(&other[..split]);
+        let three = quarantine_after(&other[split..]);
         two.receive(NOW, &three.snapshot(NOW));
         prop_assert_eq!(one.checksum(), two.checksum());
         for number in 0..8 {
@@ -210,20 +211,20 @@
         }
     }
 
-    /// Compares the quarantine with a plain version of its rule.
+    /// Compares the quarantine with a reference implementation.
     #[test]
-    fn a_request_is_quarantined_exactly_if_it_was_in_progress_in_two_crashes_and_never_finished(news in any_updates()) {
-        let quarantine = after(&news);
+    fn a_request_is_quarantined_exactly_if_it_was_in_progress_in_two_crashes_and_never_finished(updates in any_updates()) {
+        let quarantine = quarantine_after(&updates);
         for number in 0..8 {
-            let mut crashes: Vec<CrashId> = news
+            let mut crashes: Vec<CrashId> = updates
                 .iter()
-                .flat_map(|news| &news.crashes)
+                .flat_map(|update| &update.crashes)
                 .filter(|crash| crash.running.contains(&request(number)))
                 .map(|crash| crash.id)
                 .collect();
             crashes.sort_unstable();
             crashes.dedup();
-            let cleared = news.iter().flat_map(|news| &news.cleared);
+            let cleared = updates.iter().flat_map(|update| &update.cleared);
             let has_run = cleared.into_iter().any(|cleared| cleared.request == request(number));
             prop_assert_eq!(quarantine.is_quarantined(request(number)), crashes.len() >= 2 && !has_run);
         }
--- a/crates/sorrelturn-policy/tests/retries.rs
+++ b/crates/sorrelturn-policy/tests/retries.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn retries_are_paid_for_by_successes() {
+fn retries_are_limited_to_a_fraction_of_successes() {
     let mut bucket = RetryBucket::new(0.1);
     let in_advance = (0..100).filter(|_| bucket.take()).count();
     assert_eq!(in_advance, 10);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn retry_after_grows_with_the_pressure_and_spreads_callers() {
+fn retry_after_grows_with_the_overload_duration_and_spreads_callers() {
     let mut rng = fastrand::Rng::with_seed(3);
     let short = RetryAfter::compute(None, &mut rng);
     assert!(short <= Duration::from_millis(1_500));
--- a/crates/sorrelturn-policy/tests/retry_window.rs
+++ b/crates/sorrelturn-policy/tests/retry_window.rs
@@ -1,6 +1,6 @@
 //! All daemons together stay within the bound on retries, though each counts only its own attempts.
 //! Retries per window may reach a fifth of the requests of that window, the one before it or the
-//! one half a window earlier, whichever is the most, plus a slack for all daemons.
+//! one half a window earlier, whichever is the maximum, plus a slack for all daemons.
 
 use proptest::prelude::*;
 use sorrelturn_policy::RetryWindow;
@@ -14,10 +14,10 @@
 const STEPS_PER_WINDOW: usize = 40;
 /// Minimum number of daemons that the slack is divided among; half of the slack is reserved for
 /// restarts.
-const MIN_SHARERS: usize = 12;
+const MIN_DAEMONS: usize = 12;
 
 fn new_window(daemons: usize) -> RetryWindow {
-    let share = SLACK * 0.5 / daemons.max(MIN_SHARERS) as f64;
+    let share = SLACK * 0.5 / daemons.max(MIN_DAEMONS) as f64;
     RetryWindow::new(WINDOW, RATIO, share)
 }
 
@@ -88,7 +88,7 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn all_daemons_together_keep_the_bound_whatever_comes(
+    fn all_daemons_together_keep_the_bound_under_any_load(
         daemons in 2usize..=14,
         periods in prop::collection::vec(period(), 1..12),
     ) {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn earlier_attempts_pay_for_retries_when_a_service_begins_to_refuse_most_calls() {
+fn earlier_attempts_allow_retries_when_a_service_begins_to_refuse_most_calls() {
     let healthy = Period {
         steps: 60,
         load: 280,
@@ -127,13 +127,12 @@
     let (first, retries) = steps[60..]
         .iter()
         .fold((0.0, 0.0), |sum, step| (sum.0 + step.0, sum.1 + step.1));
-    // The attempts before the failure pay for most of the wanted retries; a budget of 12 % of
-    // successes would pay for a tenth.
+    // The attempts before the failure allow most of the wanted retries.
     assert!(retries > first * 0.7, "{retries} for {first}");
 }
 
 #[test]
-fn a_daemon_that_starts_anew_may_use_its_share_of_the_slack_at_once_and_no_more() {
+fn a_restarted_daemon_may_use_its_share_of_the_slack_at_once_and_no_more() {
     let mut window = new_window(14);
     let now = Duration::from_secs(1);
     let allowed = (0..20).filter(|_| window.try_retry(now)).count();
@@ -147,7 +146,7 @@
 }
 
 #[test]
-fn calls_of_a_repeated_request_are_counted_whoever_made_it() {
+fn calls_of_a_repeated_request_count_as_retries_whoever_repeated_it() {
     let now = Duration::from_secs(1);
     let allowed_retries = |repeated: f64| {
         let mut window = RetryWindow::new(WINDOW, RATIO, 0.0);
@@ -162,7 +161,7 @@
     };
     let without = allowed_retries(0.0);
     assert!((50..=80).contains(&without), "{without}");
-    // A tenth of the calls are repeats already and use up as much of the limit.
+    // A tenth of the calls count as retries.
     let with = allowed_retries(0.1);
     assert!(with <= without / 2, "{with} of {without}");
 }
--- a/crates/sorrelturn-policy/tests/routing.rs
+++ b/crates/sorrelturn-policy/tests/routing.rs
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn a_leaving_instance_gets_nothing_even_if_it_is_the_last() {
+fn a_leaving_instance_gets_no_calls_even_if_it_is_the_last() {
     let instances = service(1);
     report(&instances[0], ms(0), InstanceReport::Leaving);
     assert_eq!(shares(&instances, ms(0)), [0]);
 }
 
 #[test]
-fn an_instance_that_was_asked_already_is_not_asked_again() {
+fn an_instance_that_was_tried_is_not_tried_again() {
     let instances = service(2);
     let mut rng = fastrand::Rng::with_seed(2);
     for _ in 0..100 {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_own_failure_domain_is_preferred_until_it_is_loaded() {
+fn the_same_failure_domain_is_preferred_until_it_is_loaded() {
     let mut instances = service(2);
     instances.extend((2..4).map(|id| Instance::new(Incarnation(id), false, NONE, NONE)));
     let idle = shares(&instances, NONE);
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn calls_stay_in_the_own_failure_domain_while_it_has_room() {
+fn calls_stay_in_the_same_failure_domain_while_it_has_free_capacity() {
     let instances: Vec<Instance> = (0..6)
         .map(|number| Instance::new(Incarnation(number), number < 2, ms(0), ms(0)))
         .collect();
     let shares = shares(&instances, ms(0));
-    let far: usize = shares[2..].iter().sum();
-    assert_eq!(far, 0, "{shares:?}");
+    let other: usize = shares[2..].iter().sum();
+    assert_eq!(other, 0, "{shares:?}");
 }
 
 #[test]
-fn an_instance_whose_backend_server_turns_calls_away_is_avoided_and_tried_again() {
+fn an_instance_whose_backend_server_refuses_calls_is_avoided_and_tried_again_later() {
     let instances = service(3);
     for _ in 0..40 {
         report(&instances[0], ms(0), InstanceReport::BackendError);
@@ -134,56 +134,63 @@
 }
 
 #[test]
-fn an_instance_that_nothing_can_be_sent_to_is_ejected_at_once() {
+fn an_unreachable_instance_is_ejected_at_once() {
     let instances = service(3);
     report(&instances[0], ms(0), InstanceReport::Unreachable);
     assert!(instances[0].is_ejected(ms(1)));
     assert!(!instances[0].is_ejected(ms(1_000)));
 }
 
-fn near_and_far() -> [Instance; 2] {
-    [true, false].map(|near| Instance::new(Incarnation(u64::from(near)), near, NONE, NONE))
+fn same_and_other_domain() -> [Instance; 2] {
+    [true, false].map(|in_same_domain| {
+        Instance::new(
+            Incarnation(u64::from(in_same_domain)),
+            in_same_domain,
+            NONE,
+            NONE,
+        )
+    })
 }
 
 #[test]
-fn a_far_instance_that_is_not_asked_does_not_look_idle() {
-    let [near, far] = near_and_far();
-    report(&far, ms(500), InstanceReport::Answered { load: 70 });
-    report(&near, ms(1_000), InstanceReport::Answered { load: 70 });
-    assert_eq!(shares(&[near, far], ms(1_000)), [1_000, 0]);
+fn an_unused_instance_in_another_domain_does_not_look_idle() {
+    let [same, other] = same_and_other_domain();
+    report(&other, ms(500), InstanceReport::Answered { load: 70 });
+    report(&same, ms(1_000), InstanceReport::Answered { load: 70 });
+    assert_eq!(shares(&[same, other], ms(1_000)), [1_000, 0]);
 }
 
 #[test]
-fn own_calls_that_the_last_report_holds_already_count_once() {
-    let [near, far] = near_and_far();
+fn own_calls_included_in_the_last_report_count_once() {
+    let [same, other] = same_and_other_domain();
     for _ in 0..40 {
-        near.started();
+        same.started();
     }
-    report(&near, ms(0), InstanceReport::Answered { load: 30 });
-    assert_eq!(shares(&[near, far], ms(0)), [1_000, 0]);
+    report(&same, ms(0), InstanceReport::Answered { load: 30 });
+    assert_eq!(shares(&[same, other], ms(0)), [1_000, 0]);
 }
 
 #[test]
 fn own_calls_since_the_last_report_count() {
-    let [near, far] = near_and_far();
-    report(&near, ms(0), InstanceReport::Answered { load: 30 });
+    let [same, other] = same_and_other_domain();
+    report(&same, ms(0), InstanceReport::Answered { load: 30 });
     for _ in 0..20 {
-        near.started();
+        same.started();
     }
-    assert_eq!(shares(&[near, far], ms(0)), [0, 1_000]);
+    assert_eq!(shares(&[same, other], ms(0)), [0, 1_000]);
 }
 
 #[test]
-fn the_own_failure_domain_is_left_earlier_the_fuller_its_instance_is() {
-    for (near_load, far_load, stays) in [(60, 30, true), (95, 60, false), (95, 90, true)] {
-        let [near, far] = near_and_far();
-        report(&near, ms(0), InstanceReport::Answered { load: near_load });
-        report(&far, ms(0), InstanceReport::Answered { load: far_load });
+fn calls_leave_the_same_failure_domain_when_its_instance_is_more_loaded() {
+    for (same_load, other_load, stays) in [(60, 30, true), (95, 60, false), (95, 90, true)] {
+        let [same, other] = same_and_other_domain();
+        report(&same, ms(0), InstanceReport::Answered { load: same_load });
+        report(&other, ms(0), InstanceReport::Answered { load: other_load });
         let expected = if stays { [1_000, 0] } else { [0, 1_000] };
         assert_eq!(
-            shares(&[near, far], ms(0)),
+            shares(&[same, other], ms(0)),
             expected,
-            "{near_load} {far_load}"
+            "{same_load} {other_load}"
         );
     }
 }
