--- a/crates/sorrelturn-policy/tests/routing.rs
+++ b/crates/sorrelturn-policy/tests/routing.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn an_instance_that_fails_in_a_row_is_ejected_and_comes_back() {
+fn an_instance_is_ejected_after_consecutive_failures_and_is_used_again_later() {
     let instances = service(4);
     for _ in 0..5 {
         report(&instances[0], ms(0), InstanceReport::Failed);
