--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -428,7 +428,7 @@
 fn take_retry_budget(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
     let caller_pays = !is_root || call.in_force.caller_pays_retry(call.context.caller);
-    caller_pays && lock(&kind_state.retries).take(node.now())
+    caller_pays && lock(&kind_state.retries).try_retry(node.now())
 }
 
 /// Returns whether to send a token to its owner again, to query the outcome.
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -208,7 +208,7 @@
             return false;
         }
         let state = self.in_force.kind_state(&self.kind);
-        let taken = lock(&state.retries).take(self.node.now());
+        let taken = lock(&state.retries).try_retry(self.node.now());
         if taken {
             self.record_event(
                 &events::SENT_AGAIN,
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -58,10 +58,10 @@
 
 /// The Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
 pub(crate) fn retry_after(node: &Node) -> Duration {
-    let pressure_duration = node
+    let overload_duration = node
         .admission
-        .with_gate(|gate, now| gate.pressure_duration(now));
-    RetryAfter::compute(pressure_duration, &mut fastrand::Rng::new())
+        .with_gate(|gate, now| gate.overload_duration(now));
+    RetryAfter::compute(overload_duration, &mut fastrand::Rng::new())
 }
 
 async fn admit(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
