--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -103,7 +103,7 @@
     heard_slots(node, routed, slots);
     if leaves {
         let save = state::save(node, routed);
-        member_record::within(node, ACKNOWLEDGE_TIME, save).await;
+        member_record::write_within(node, ACKNOWLEDGE_TIME, save).await;
     }
     accepted()
 }
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -224,7 +224,7 @@
     let no_longer_leaving = node.stop_leaving(LeavingCause::Backend);
     // A daemon that leaves for another reason tells so already.
     if no_longer_leaving || !node.is_leaving() {
-        gossip::spread_own_record(node);
+        gossip::push_own_record(node);
     }
     let node = Arc::clone(node);
     let ex = Arc::clone(&node.ex);
@@ -240,7 +240,7 @@
     routed.saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
     node.start_leaving(LeavingCause::Backend);
-    gossip::spread_own_record(node);
+    gossip::push_own_record(node);
 }
 
 /// An earlier run of this daemon acknowledged that its backend server leaves.
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -6,7 +6,7 @@
     fleet::gossip,
     fleet::metered::Metered,
     fleet::quota,
-    fleet::suspects,
+    fleet::suspected_requests,
     net::serve::{Accepted, Closing},
     net::stream::BoxStream,
     node::{Node, lock},
@@ -46,13 +46,13 @@
         /// The records of some groups.
         async fn members(buckets: Vec<u8>) -> Vec<MemberRecord>;
         /// Records that are news to the sender.
-        async fn news(records: Vec<MemberRecord>);
+        async fn update_members(records: Vec<MemberRecord>);
         /// The sender has this version in force; answers with the version here.
         async fn announce(from: String, version: u64) -> u64;
         /// Lends shares of quotas, and draws from one.
-        async fn draw(draw: AcquireRequest) -> AcquireReply;
+        async fn acquire(draw: AcquireRequest) -> AcquireReply;
         /// What the sender knows of crashes of backend servers.
-        async fn crashes(news: CrashUpdate);
+        async fn update_crashes(news: CrashUpdate);
         /// The manifest in force.
         async fn manifest() -> Option<SignedManifest>;
         /// The route table in force, as operators wrote it.
@@ -80,8 +80,8 @@
 impl Control for Server {
     async fn exchange(self, _: context::Context, digest: Digest) -> DigestReply {
         let from = digest.from.instance.clone();
-        gossip::visited_by(&self.node, &from);
-        gossip::heard_member(&self.node, digest.from);
+        gossip::record_visitor(&self.node, &from);
+        gossip::receive_member_record(&self.node, digest.from);
         fetch::heard_version(
             &self.node,
             digest.version,
@@ -90,13 +90,13 @@
         let knowledge_age_ms = self.node.knowledge.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
         let differs = members.total() != digest.members;
-        let suspects = &self.node.suspects;
-        let crashes_differ = suspects.sum(self.node.now()) != digest.crashes;
+        let suspects = &self.node.suspected_requests;
+        let crashes_differ = suspects.checksum(self.node.now()) != digest.crashes;
         DigestReply {
             knowledge_age_ms,
             version: lock(&self.node.spread).in_force(),
             members: differs.then_some(members),
-            crashes: crashes_differ.then(|| suspects.news(self.node.now())),
+            crashes: crashes_differ.then(|| suspects.snapshot(self.node.now())),
         }
     }
 
@@ -104,9 +104,9 @@
         lock(&self.node.membership).in_buckets(&buckets)
     }
 
-    async fn news(self, _: context::Context, records: Vec<MemberRecord>) {
+    async fn update_members(self, _: context::Context, records: Vec<MemberRecord>) {
         for record in records {
-            gossip::heard_member(&self.node, record);
+            gossip::receive_member_record(&self.node, record);
         }
     }
 
@@ -115,12 +115,12 @@
         lock(&self.node.spread).in_force()
     }
 
-    async fn draw(self, _: context::Context, draw: AcquireRequest) -> AcquireReply {
+    async fn acquire(self, _: context::Context, draw: AcquireRequest) -> AcquireReply {
         quota::answer(&self.node, &draw)
     }
 
-    async fn crashes(self, _: context::Context, news: CrashUpdate) {
-        suspects::heard(&self.node, &news);
+    async fn update_crashes(self, _: context::Context, news: CrashUpdate) {
+        suspected_requests::receive_update(&self.node, &news);
     }
 
     async fn manifest(self, _: context::Context) -> Option<SignedManifest> {
@@ -155,7 +155,7 @@
         if leaving {
             gossip::leave(&self.node, LeavingCause::VmList);
         } else {
-            gossip::stay(&self.node, LeavingCause::VmList);
+            gossip::revoke_leave(&self.node, LeavingCause::VmList);
         }
     }
 
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -7,9 +7,9 @@
     config::knowledge,
     fleet::control::ControlClient,
     fleet::control_client::{self as control, ControlError},
-    fleet::next_run,
+    fleet::next_incarnation,
     fleet::reports,
-    fleet::suspects,
+    fleet::suspected_requests,
     node::{Node, lock},
 };
 use smol::Timer;
@@ -33,7 +33,7 @@
 /// After so many exchanges one neighbour is replaced, so that the graph keeps mixing.
 const EXCHANGES_PER_NEIGHBOUR: u32 = 30;
 /// A record arrived from wherever; if it is news, it goes on.
-pub(crate) fn heard_member(node: &Arc<Node>, record: MemberRecord) {
+pub(crate) fn receive_member_record(node: &Arc<Node>, record: MemberRecord) {
     let own = record.instance == node.settings.instance;
     if own && record.incarnation != node.incarnation {
         state::heard_of_earlier_run(node, record.backend.as_ref());
@@ -42,17 +42,17 @@
         return;
     }
     if own {
-        spread_own_record(node);
+        push_own_record(node);
         return;
     }
     if record.state == MemberState::Gone {
-        next_run::look_for(node, &record);
+        next_incarnation::start_search(node, &record);
     }
     push_news(node, vec![record]);
 }
 
 /// A daemon compared notes with this one, so this one is its neighbour.
-pub(crate) fn visited_by(node: &Node, instance: &str) {
+pub(crate) fn record_visitor(node: &Node, instance: &str) {
     let mut visitors = lock(&node.visitors);
     if visitors.len() < MOST_VISITORS || visitors.contains_key(instance) {
         visitors.insert(instance.to_owned(), node.now());
@@ -60,7 +60,7 @@
 }
 
 /// Sends the own record out after it changed.
-pub(crate) fn spread_own_record(node: &Arc<Node>) {
+pub(crate) fn push_own_record(node: &Arc<Node>) {
     push_news(node, vec![(**node.own_record.load()).clone()]);
     reports::report_soon(node);
 }
@@ -68,20 +68,20 @@
 /// Starts leaving, whatever the cause, and tells the neighbours at once.
 pub(crate) fn leave(node: &Arc<Node>, cause: LeavingCause) {
     if node.start_leaving(cause) {
-        spread_own_record(node);
+        push_own_record(node);
     }
 }
 
 /// Takes a reason for leaving back, and tells the neighbours if none is left.
-pub(crate) fn stay(node: &Arc<Node>, cause: LeavingCause) {
+pub(crate) fn revoke_leave(node: &Arc<Node>, cause: LeavingCause) {
     if node.stop_leaving(cause) {
-        spread_own_record(node);
+        push_own_record(node);
     }
 }
 
 fn push_news(node: &Arc<Node>, records: Vec<MemberRecord>) {
     tell_neighbours(node, move |client, cx| async move {
-        client.news(cx, records).await
+        client.update_members(cx, records).await
     });
 }
 
@@ -116,9 +116,9 @@
 }
 
 /// Tells some peers what was learnt of crashes of backend servers.
-pub(crate) fn tell_of_crashes(node: &Arc<Node>, news: CrashUpdate) {
+pub(crate) fn push_crash_update(node: &Arc<Node>, news: CrashUpdate) {
     tell_neighbours(node, move |client, cx| async move {
-        client.crashes(cx, news).await
+        client.update_crashes(cx, news).await
     });
 }
 
@@ -198,7 +198,7 @@
         from: (**node.own_record.load()).clone(),
         version: lock(&node.spread).in_force(),
         members: own.total(),
-        crashes: node.suspects.sum(node.now()),
+        crashes: node.suspected_requests.checksum(node.now()),
     };
     let reply = control::call(node, peer, |client, cx| async move {
         client.exchange(cx, digest).await
@@ -207,10 +207,10 @@
     fetch::heard_version(node, reply.version, Source::Peer(peer.instance.clone()));
     knowledge::told(node, sent, reply.version, reply.knowledge_age_ms);
     if let Some(theirs) = reply.crashes {
-        suspects::heard(node, &theirs);
-        let ours = node.suspects.news(node.now());
+        suspected_requests::receive_update(node, &theirs);
+        let ours = node.suspected_requests.snapshot(node.now());
         control::call(node, peer, |client, cx| async move {
-            client.crashes(cx, ours).await
+            client.update_crashes(cx, ours).await
         })
         .await?;
     }
@@ -236,13 +236,13 @@
         .collect();
     for record in &records {
         if node.outrank_earlier_run(record) {
-            spread_own_record(node);
+            push_own_record(node);
         }
     }
     node.merge_members(records);
     if !unknown_there.is_empty() {
         control::call(node, peer, |client, cx| async move {
-            client.news(cx, unknown_there).await
+            client.update_members(cx, unknown_there).await
         })
         .await?;
     }
--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -22,7 +22,7 @@
 pub(crate) async fn join(node: &Arc<Node>) {
     let mut is_new = false;
     if let Ok(changes) = node.platform.list(keys::MEMBERS).await {
-        store::note_left_out(node, keys::MEMBERS, &changes);
+        store::log_unreadable_entries(node, keys::MEMBERS, &changes);
         let records: Vec<MemberRecord> = changes
             .objects
             .iter()
@@ -37,7 +37,8 @@
                 state::heard_of_earlier_run(node, record.backend.as_ref());
             }
             if record.instance == node.settings.instance && record.incarnation != node.incarnation {
-                let delete = outcomes::delete_earlier_run(Arc::clone(node), record.incarnation);
+                let delete =
+                    outcomes::delete_earlier_incarnation(Arc::clone(node), record.incarnation);
                 node.ex.spawn(delete).detach();
             }
         }
--- a/crates/sorrelturn-daemon/src/fleet/next_run.rs
+++ b/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
@@ -30,7 +30,7 @@
 const MOST_LOOKS: u32 = 6;
 
 /// Looks for the next run of a daemon that said that it has gone, if it falls to this one.
-pub(crate) fn look_for(node: &Arc<Node>, gone: &MemberRecord) {
+pub(crate) fn start_search(node: &Arc<Node>, gone: &MemberRecord) {
     if !falls_to_us(node, &gone.instance) {
         return;
     }
@@ -71,9 +71,9 @@
 }
 
 /// An answer came from another run than the one that the call was meant for.
-pub(crate) fn met(node: &Arc<Node>, route: &Arc<Route>) {
+pub(crate) fn query_new_incarnation(node: &Arc<Node>, route: &Arc<Route>) {
     // Many calls are under way at once; one of them asks.
-    if route.is_asked_anew.swap(true, Ordering::Relaxed) {
+    if route.is_incarnation_queried.swap(true, Ordering::Relaxed) {
         return;
     }
     let (node, route) = (Arc::clone(node), Arc::clone(route));
@@ -82,7 +82,7 @@
         if gossip::exchange(&node, &route.record).await.is_ok() {
             note_found(&node, &route.record);
         } else {
-            route.is_asked_anew.store(false, Ordering::Relaxed);
+            route.is_incarnation_queried.store(false, Ordering::Relaxed);
         }
     };
     ex.spawn(ask).detach();
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -192,7 +192,7 @@
     }
 
     /// Drops the idle connections; the calls on others go on.
-    pub(crate) fn forget(&self) {
+    pub(crate) fn drop_idle(&self) {
         self.watched.forget_idle();
         self.unwatched.forget_idle();
     }
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -69,13 +69,13 @@
     }
 
     /// The part of this daemon's shares that it lends.
-    pub(crate) fn part_lent(&self, now: Now) -> f64 {
+    pub(crate) fn leased_fraction(&self, now: Now) -> f64 {
         lock(&self.entry).leased_fraction(now)
     }
 }
 
 /// Whether a request of a workspace may run; takes one of its quota.
-pub(crate) async fn take(
+pub(crate) async fn admit(
     node: &Arc<Node>,
     workspace: &WorkspaceEntry,
     request: RequestId,
@@ -245,7 +245,8 @@
         None
     };
     let drawn = async {
-        let call = |client: control::ControlClient, cx| async move { client.draw(cx, draw).await };
+        let call =
+            |client: control::ControlClient, cx| async move { client.acquire(cx, draw).await };
         control::call(node, &record, call).await.ok()
     };
     drawn.or(too_late).await
--- a/crates/sorrelturn-daemon/src/fleet/routes.rs
+++ b/crates/sorrelturn-daemon/src/fleet/routes.rs
@@ -19,7 +19,7 @@
     /// The connection to it.
     pub(crate) link: PeerLink,
     /// Another run has answered in its place and is asked who it is.
-    pub(crate) is_asked_anew: AtomicBool,
+    pub(crate) is_incarnation_queried: AtomicBool,
 }
 
 /// A snapshot of all instances.
@@ -34,7 +34,7 @@
 impl Routes {
     /// How many services there are. One whose last instance stops or is away still counts: where requests
     /// come from is told by it, and that doesn't change meanwhile.
-    pub(crate) fn services(&self) -> usize {
+    pub(crate) fn service_count(&self) -> usize {
         self.services.len()
     }
 
@@ -89,7 +89,7 @@
                     Arc::new(Route {
                         stats: Instance::new(record.incarnation, near, warm_up, clock.now()),
                         link: PeerLink::new(record.peer_addr, clock),
-                        is_asked_anew: AtomicBool::new(false),
+                        is_incarnation_queried: AtomicBool::new(false),
                         record: record.clone(),
                     })
                 }
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspected_requests.rs
@@ -26,7 +26,7 @@
 const MOST_NAMED: usize = 16;
 
 /// What this daemon knows.
-pub(crate) struct Suspects {
+pub(crate) struct SuspectedRequests {
     quarantine: Mutex<Quarantine>,
     /// Whether any request is suspected, which is rare: else requests take no lock for it.
     any: AtomicBool,
@@ -36,7 +36,7 @@
     proven: Box<[AtomicU64; PROVEN]>,
 }
 
-impl Default for Suspects {
+impl Default for SuspectedRequests {
     fn default() -> Self {
         Self {
             quarantine: Mutex::default(),
@@ -47,9 +47,9 @@
     }
 }
 
-impl Suspects {
+impl SuspectedRequests {
     /// For how long a request is kept from backend servers, if it is.
-    pub(crate) fn held_for(&self, now: Now, request: RequestNames) -> Option<Duration> {
+    pub(crate) fn remaining_quarantine(&self, now: Now, request: RequestNames) -> Option<Duration> {
         if !self.any.load(Ordering::Relaxed) {
             return None;
         }
@@ -61,7 +61,7 @@
     }
 
     /// A sum over all that is known by now; daemons with equal sums know the same.
-    pub(crate) fn sum(&self, now: Now) -> u64 {
+    pub(crate) fn checksum(&self, now: Now) -> u64 {
         let mut quarantine = lock(&self.quarantine);
         quarantine.remove_expired(now);
         self.any.store(!quarantine.is_empty(), Ordering::Relaxed);
@@ -69,7 +69,7 @@
     }
 
     /// All that is known.
-    pub(crate) fn news(&self, now: Now) -> CrashUpdate {
+    pub(crate) fn snapshot(&self, now: Now) -> CrashUpdate {
         lock(&self.quarantine).snapshot(now)
     }
 
@@ -83,19 +83,19 @@
 }
 
 /// The backend server beside this daemon crashed.
-pub(crate) fn crashed_here(node: &Arc<Node>, report: CrashReport) {
-    *lock(&node.suspects.own_crash) = Some(report.id);
+pub(crate) fn record_own_crash(node: &Arc<Node>, report: CrashReport) {
+    *lock(&node.suspected_requests.own_crash) = Some(report.id);
     let news = CrashUpdate {
         crashes: vec![report],
         cleared: Vec::new(),
     };
-    heard(node, &news);
+    receive_update(node, &news);
 }
 
 /// Takes what another daemon knows; what is new here goes on to the neighbours.
-pub(crate) fn heard(node: &Arc<Node>, news: &CrashUpdate) {
+pub(crate) fn receive_update(node: &Arc<Node>, news: &CrashUpdate) {
     let now = node.now();
-    let suspects = &node.suspects;
+    let suspects = &node.suspected_requests;
     let mut quarantine = lock(&suspects.quarantine);
     let QuarantineUpdate {
         mut new_reports,
@@ -118,13 +118,13 @@
         .cleared
         .extend(innocent.into_iter().map(just_cleared));
     if !new_reports.is_empty() {
-        gossip::tell_of_crashes(node, new_reports);
+        gossip::push_crash_update(node, new_reports);
     }
 }
 
 /// The daemons beside the backend servers that crashed write down what that proved, and no others.
 fn save_if_own(node: &Arc<Node>, proof: Vec<CrashReport>) {
-    let own = *lock(&node.suspects.own_crash);
+    let own = *lock(&node.suspected_requests.own_crash);
     let Some(own) = own.filter(|own| proof.iter().any(|crash| crash.id == *own)) else {
         return;
     };
@@ -133,8 +133,8 @@
 }
 
 /// A request ran to its end here, whatever its answer was: it isn't what crashes backend servers.
-pub(crate) fn ran_whole(node: &Arc<Node>, request: RequestNames) {
-    let suspects = &node.suspects;
+pub(crate) fn record_completed(node: &Arc<Node>, request: RequestNames) {
+    let suspects = &node.suspected_requests;
     for name in request.iter() {
         suspects.place(name).store(name.0, Ordering::Relaxed);
     }
@@ -155,7 +155,7 @@
         crashes: Vec::new(),
         cleared: cleared.into_iter().map(just_cleared).collect(),
     };
-    gossip::tell_of_crashes(node, news);
+    gossip::push_crash_update(node, news);
 }
 
 fn just_cleared(request: RequestFingerprint) -> ClearedRequest {
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -157,7 +157,7 @@
         match result {
             Ok(changes) => {
                 since = Some(changes.revision);
-                store::note_left_out(node, prefix, &changes);
+                store::log_unreadable_entries(node, prefix, &changes);
                 changed(changes);
                 Timer::after(pause_after).await;
             }
@@ -259,7 +259,7 @@
     follow(node, keys::MEMBERS, pause_after, silent, |changes| {
         for object in changes.objects {
             if let Some(record) = member_record::read(node, &object) {
-                gossip::heard_member(node, record);
+                gossip::receive_member_record(node, record);
             }
         }
     })
@@ -359,9 +359,9 @@
 async fn declare_gone(node: &Arc<Node>, mut record: MemberRecord) {
     record.sequence += 1;
     record.state = MemberState::Gone;
-    gossip::heard_member(node, record.clone());
+    gossip::receive_member_record(node, record.clone());
     if let Err(error) = member_record::put(node, &record, Expected::Anything).await {
-        member_record::note_unsaved(node, &record, error);
+        member_record::log_unsaved(node, &record, error);
     }
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -12,7 +12,7 @@
     fleet::control_client::ControlLinks,
     fleet::quota::Quota,
     fleet::routes::Routes,
-    fleet::suspects::Suspects,
+    fleet::suspected_requests::SuspectedRequests,
     net::connections::Connections,
     net::stream::FleetKeys,
     net::timers::Timers,
@@ -63,7 +63,7 @@
     /// What broke off at the backend server.
     pub(crate) crashes: Crashes,
     /// Requests that may crash backend servers.
-    pub(crate) suspects: Suspects,
+    pub(crate) suspected_requests: SuspectedRequests,
     /// Present where kinds are told by routes and the backend server announces itself.
     pub(crate) routed: Option<Routed>,
     pub(crate) room: Arc<Room>,
--- a/crates/sorrelturn-daemon/src/operators/workspaces.rs
+++ b/crates/sorrelturn-daemon/src/operators/workspaces.rs
@@ -69,7 +69,7 @@
     WorkspacesReport {
         instance: node.settings.instance.clone(),
         knowledge_age_ms: node.knowledge.age_ms(node.now()),
-        part_lent: node.quota.part_lent(node.now()),
+        part_lent: node.quota.leased_fraction(node.now()),
         workspaces,
     }
 }
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -5,7 +5,7 @@
     config::fetch,
     config::in_force::{InForce, KindState},
     config::knowledge,
-    fleet::next_run,
+    fleet::next_incarnation,
     fleet::routes::Route,
     node::{Node, lock},
     operators::export,
@@ -130,7 +130,9 @@
     if call.context.token.is_some() {
         return None;
     }
-    let held_for = node.suspects.held_for(node.now(), call.context.names)?;
+    let held_for = node
+        .suspected_requests
+        .remaining_quarantine(node.now(), call.context.names)?;
     node.events.record(
         &events::REFUSED,
         Some(call.context.request),
@@ -162,7 +164,7 @@
     }
     let was_silent = matches!(result, Err(Failure::NeverCame | Failure::AnswerLost));
     if on_its_way.finish(report(&result)) {
-        route.link.forget();
+        route.link.drop_idle();
         node.note(
             &events::EJECTED,
             vec![Field::new("member", &route.record.instance)],
@@ -316,7 +318,7 @@
 ) {
     if answer.incarnation != route.record.incarnation {
         if answer.incarnation != Incarnation::default() {
-            next_run::met(node, route);
+            next_incarnation::query_new_incarnation(node, route);
         }
         return;
     }
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -6,7 +6,7 @@
     backend::state::{self, Routed, Word},
     clock::unix_ns,
     config::in_force::InForce,
-    fleet::{gossip, suspects},
+    fleet::{gossip, suspected_requests},
     net::pool::{Lease, SendError},
     node::{Carried, Node, lock},
     operators::export,
@@ -95,8 +95,8 @@
 
     /// Whether it is kept from backend servers, since it crashes them.
     fn is_held(&self) -> bool {
-        let suspects = &self.node.suspects;
-        let held_for = suspects.held_for(self.node.now(), self.context.names);
+        let suspects = &self.node.suspected_requests;
+        let held_for = suspects.remaining_quarantine(self.node.now(), self.context.names);
         held_for.is_some()
     }
 
@@ -394,7 +394,7 @@
                 if whole {
                     lease.give_back();
                     at_work.ended();
-                    suspects::ran_whole(&hop.node, hop.context.names);
+                    suspected_requests::record_completed(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
                     slot.release(if whole { outcome } else { Outcome::Cancelled });
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -107,7 +107,7 @@
 fn is_call(node: &Node, routed: &Routed, kind: &str) -> bool {
     let routes = node.routes.load();
     let share_of = |service: &str| routes.share_of(service);
-    lock(&routed.origins).are_calls(kind, routes.services(), share_of)
+    lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
 /// A route that isn't in force here may be in force where the request began, which decides that;
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -15,7 +15,7 @@
     fleet::quota::{self, Quota},
     fleet::reports,
     fleet::routes::Routes,
-    fleet::suspects::Suspects,
+    fleet::suspected_requests::SuspectedRequests,
     fleet::watch,
     net::connections::Connections,
     net::listeners::Listeners,
@@ -184,7 +184,7 @@
         spawn(Box::pin(watch::run(Arc::clone(node))));
         spawn(Box::pin(export::run(Arc::clone(node))));
         spawn(Box::pin(notice_lags(Arc::clone(node))));
-        gossip::spread_own_record(node);
+        gossip::push_own_record(node);
     }
 
     /// The settings file may have changed. What the daemon listens on and whom it talks to is taken
@@ -284,9 +284,9 @@
 /// Tells peers and the store that this run is over, which ends at `last` in any case.
 async fn say_gone(node: &Arc<Node>, last: Now) {
     node.set_own_state(MemberState::Gone);
-    gossip::spread_own_record(node);
+    gossip::push_own_record(node);
     let time = LAST_WRITE_TIME.min(last.saturating_sub(node.now()));
-    member_record::within(node, time, member_record::write_own(node)).await;
+    member_record::write_within(node, time, member_record::write_own(node)).await;
 }
 
 fn node(
@@ -337,7 +337,7 @@
         routed: settings.routes.as_ref().map(|_| Routed::new(dialect)),
         backend: Backend::new(settings.backend.address, connect_time, clock),
         crashes: Crashes::default(),
-        suspects: Suspects::default(),
+        suspected_requests: SuspectedRequests::default(),
         room: Arc::new(Room::new(
             clock,
             timers.clone(),
@@ -397,7 +397,7 @@
         if paused >= PAUSE {
             let fields = vec![Field::new("paused_ms", paused.as_millis())];
             node.note(&events::PAUSE_NOTICED, fields);
-            gossip::spread_own_record(&node);
+            gossip::push_own_record(&node);
         }
     }
 }
--- a/crates/sorrelturn-daemon/src/store/member_record.rs
+++ b/crates/sorrelturn-daemon/src/store/member_record.rs
@@ -55,7 +55,7 @@
 pub(crate) async fn write_own(node: &Node) -> bool {
     let record = node.own_record.load_full();
     if let Err(error) = put(node, &record, Expected::Anything).await {
-        note_unsaved(node, &record, error);
+        log_unsaved(node, &record, error);
         return false;
     }
     node.own_record.load().sequence == record.sequence
@@ -63,7 +63,7 @@
 
 /// Waits for a write of the own record, and no longer than `limit`; if that is over, a line in the log
 /// says so. Returns whether the store has the record.
-pub(crate) async fn within(
+pub(crate) async fn write_within(
     node: &Node,
     limit: Duration,
     write: impl Future<Output = bool>,
@@ -71,14 +71,14 @@
     let too_late = async {
         Timer::after(limit).await;
         let error = format!("no answer within {limit:?}");
-        note_unsaved(node, &node.own_record.load(), error);
+        log_unsaved(node, &node.own_record.load(), error);
         false
     };
     write.or(too_late).await
 }
 
 /// Says in the log that the store doesn't have this state of a record, and why.
-pub(crate) fn note_unsaved(node: &Node, record: &MemberRecord, error: String) {
+pub(crate) fn log_unsaved(node: &Node, record: &MemberRecord, error: String) {
     let fields = vec![
         Field::new("member", &record.instance),
         Field::new("sequence", record.sequence),
--- a/crates/sorrelturn-daemon/src/store/mod.rs
+++ b/crates/sorrelturn-daemon/src/store/mod.rs
@@ -9,7 +9,7 @@
 use sorrelturn_telemetry::{Field, events};
 
 /// Says in the log how many entries of a list or a watch couldn't be read at all; all others hold.
-pub(crate) fn note_left_out(node: &Node, prefix: &str, changes: &Changes) {
+pub(crate) fn log_unreadable_entries(node: &Node, prefix: &str, changes: &Changes) {
     if changes.left_out > 0 {
         let fields = vec![
             Field::new("key", prefix),
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -119,7 +119,7 @@
 }
 
 /// Deletes what an earlier run of this instance recorded, once none of its tokens can be asked for.
-pub(crate) async fn delete_earlier_run(node: Arc<Node>, earlier: Incarnation) {
+pub(crate) async fn delete_earlier_incarnation(node: Arc<Node>, earlier: Incarnation) {
     let ttl = Duration::from_secs(node.settings.once.ttl_s);
     Timer::after(ttl + SEGMENT_DURATION).await;
     // Without the closing record nothing is called not run, whatever segments are left; whoever has
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -1,7 +1,7 @@
 //! Requests that are held, in the platform's store: all daemons may be killed at once, and then nobody remembers what
 //! crashed backend servers. See `docs/design/quarantine.md`.
 
-use crate::{clock::unix_ms, fleet::suspects, node::Node, store};
+use crate::{clock::unix_ms, fleet::suspected_requests, node::Node, store};
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 use sorrelturn_platform::{Expected, Object, keys};
@@ -48,7 +48,7 @@
     let objects = loop {
         match node.platform.list(keys::QUARANTINE).await {
             Ok(changes) => {
-                store::note_left_out(&node, keys::QUARANTINE, &changes);
+                store::log_unreadable_entries(&node, keys::QUARANTINE, &changes);
                 break changes.objects;
             }
             // The watch of the store says in the log that it is away.
@@ -72,7 +72,7 @@
                 ..crash
             }));
     }
-    suspects::heard(&node, &news);
+    suspected_requests::receive_update(&node, &news);
 }
 
 fn read_one(node: &Node, object: &Object) -> Option<Record> {
