--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! Control messages between daemons, by `tarpc`. See `docs/design/between-daemons.md`.
+//! RPC service for control messages between daemons, built on `tarpc`. See `docs/design/between-daemons.md`.
 
 use crate::{
     config::fetch,
@@ -29,9 +29,9 @@
     tokio_util::codec::{Framed, LengthDelimitedCodec},
 };
 
-/// The largest control message, in bytes; a section has a megabyte at the most.
-const MESSAGE_LIMIT_BYTES: usize = 8 << 20;
-/// The calls that daemons make to one another.
+/// Leaves ample space for bundle sections, which are limited to one megabyte.
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
+/// Calls between daemons. Methods are identified by position on the wire, so their order is fixed.
 #[allow(
     missing_docs,
     reason = "the macro generates items that can't be documented"
@@ -41,31 +41,31 @@
 
     #[tarpc::service]
     pub trait Control {
-        /// Compares what two daemons know.
+        /// Compares the membership, bundle version and crash reports of two daemons.
         async fn exchange(digest: Digest) -> DigestReply;
-        /// The records of some groups.
+        /// Returns the member records in the given buckets.
         async fn members(buckets: Vec<u8>) -> Vec<MemberRecord>;
-        /// Records that are news to the sender.
+        /// Delivers member records that are new to the sender or missing at this daemon.
         async fn update_members(records: Vec<MemberRecord>);
-        /// The sender has this version in force; answers with the version here.
+        /// Announces the bundle version in force at the sender and returns the version in force here.
         async fn announce(from: String, version: u64) -> u64;
-        /// Lends shares of quotas, and draws from one.
-        async fn acquire(draw: AcquireRequest) -> AcquireReply;
-        /// What the sender knows of crashes of backend servers.
-        async fn update_crashes(news: CrashUpdate);
-        /// The manifest in force.
+        /// Leases quota shares to the allocator and acquires grants from it.
+        async fn acquire(request: AcquireRequest) -> AcquireReply;
+        /// Delivers backend server crashes and cleared requests known to the sender.
+        async fn update_crashes(update: CrashUpdate);
+        /// Returns the signed manifest in force, if the configuration is a signed bundle.
         async fn manifest() -> Option<SignedManifest>;
-        /// The route table in force, as operators wrote it.
+        /// Returns the source text of the route table in force, if the configuration is one.
         async fn routes() -> Option<String>;
-        /// Sections by content.
+        /// Returns the sections with the given hashes that are part of the bundle in force.
         async fn sections(hashes: Vec<ContentHash>) -> Vec<SectionBytes>;
-        /// The list of VMs says that this instance leaves, or that it stays.
+        /// Reports whether the VM list marks this instance as leaving.
         async fn vm_state(leaving: bool);
-        /// A report to a watcher.
+        /// Delivers the status report of a member to a watcher.
         async fn report(report: Report);
-        /// Whether the daemon is alive, and in which run.
+        /// Returns the incarnation of the daemon; used as a liveness check.
         async fn ping() -> Incarnation;
-        /// What happened to a request, here and further down.
+        /// Returns the events of a request at this daemon and at the daemons that it forwarded the request to.
         async fn explain(request: String, hops_left: u8) -> Vec<EventRecord>;
     }
 }
@@ -115,12 +115,12 @@
         lock(&self.node.spread).in_force()
     }
 
-    async fn acquire(self, _: context::Context, draw: AcquireRequest) -> AcquireReply {
-        quota::answer(&self.node, &draw)
+    async fn acquire(self, _: context::Context, request: AcquireRequest) -> AcquireReply {
+        quota::answer(&self.node, &request)
     }
 
-    async fn update_crashes(self, _: context::Context, news: CrashUpdate) {
-        suspected_requests::receive_update(&self.node, &news);
+    async fn update_crashes(self, _: context::Context, update: CrashUpdate) {
+        suspected_requests::receive_update(&self.node, &update);
     }
 
     async fn manifest(self, _: context::Context) -> Option<SignedManifest> {
@@ -180,10 +180,10 @@
     }
 }
 
-/// Serves the control calls of one connection.
+/// Serves control calls on one connection until it ends or the listener closes.
 pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
-    // Control messages come at any time, so it never rests.
+    // Control messages may arrive at any time, so the connection never counts as idle.
     let _carries = conn.carries();
     let Ok(stream) = node.keys.accept(tcp).await else {
         node.note(&events::BAD_PEER, vec![Field::new("port", "control")]);
@@ -194,7 +194,7 @@
         node: Arc::clone(&node),
     };
     let ex = Arc::clone(&node.ex);
-    let answer = async move {
+    let serve_calls = async move {
         let mut calls = std::pin::pin!(channel.execute(server.serve()));
         while let Some(call) = calls.next().await {
             ex.spawn(Compat::new(call)).detach();
@@ -203,19 +203,22 @@
     let closed = async {
         let _ = closing.recv().await;
     };
-    Compat::new(answer.or(closed)).await;
+    Compat::new(serve_calls.or(closed)).await;
 }
 
-type Wire<Item, SinkItem> =
+type ControlTransport<Item, SinkItem> =
     tarpc::serde_transport::Transport<Compat<Metered>, Item, SinkItem, Bincode<Item, SinkItem>>;
 
-pub(crate) fn transport<Item, SinkItem>(node: &Arc<Node>, stream: BoxStream) -> Wire<Item, SinkItem>
+pub(crate) fn transport<Item, SinkItem>(
+    node: &Arc<Node>,
+    stream: BoxStream,
+) -> ControlTransport<Item, SinkItem>
 where
     Item: for<'de> Deserialize<'de>,
     SinkItem: Serialize,
 {
     let codec = LengthDelimitedCodec::builder()
-        .max_frame_length(MESSAGE_LIMIT_BYTES)
+        .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
     let metered = Metered {
         node: Arc::clone(node),
--- a/crates/sorrelturn-daemon/src/fleet/control_client.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control_client.rs
@@ -1,4 +1,4 @@
-//! Control calls to other daemons, over connections that are kept while they are used.
+//! Client for control calls to other daemons. Connections are reused until they are idle.
 
 pub(crate) use crate::fleet::control::ControlClient;
 use crate::{
@@ -17,22 +17,20 @@
 };
 use tarpc::{client, context};
 
-/// The longest time for one control call.
-const CALL_TIME: Duration = Duration::from_secs(1);
-/// A connection that nobody used for this long is closed.
-const IDLE_TIME: Duration = Duration::from_secs(60);
-/// Why a control call has no answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Reasons why a control call failed.
 #[derive(Debug, Display)]
 pub(crate) enum ControlError {
-    /// no connection to the daemon: {0}
+    /// can't connect to the daemon: {0}
     NoConnection(std::io::Error),
-    /// the call broke off: {0}
-    Broke(String),
-    /// no answer in time
-    TooLate,
+    /// control call interrupted: {0}
+    Interrupted(String),
+    /// control call timed out
+    Timeout,
 }
 
-/// The connections to other daemons' control ports.
+/// Open connections to the control ports of other daemons, with the time of their last use.
 #[derive(Default)]
 pub(crate) struct ControlLinks {
     open: Mutex<HashMap<Incarnation, (ControlClient, Now)>>,
@@ -41,38 +39,38 @@
 impl ControlLinks {
     fn get(&self, now: Now, incarnation: Incarnation) -> Option<ControlClient> {
         let mut open = lock(&self.open);
-        let (client, used) = open.get_mut(&incarnation)?;
-        *used = now;
+        let (client, last_used) = open.get_mut(&incarnation)?;
+        *last_used = now;
         Some(client.clone())
     }
 
-    fn keep(&self, now: Now, incarnation: Incarnation, client: &ControlClient) {
+    fn insert(&self, now: Now, incarnation: Incarnation, client: &ControlClient) {
         let mut open = lock(&self.open);
         open.insert(incarnation, (client.clone(), now));
     }
 
-    /// Closes connections that nobody used for a while.
+    /// Closes connections that were unused for [`IDLE_TIMEOUT`].
     pub(crate) fn close_idle(&self, now: Now) {
-        lock(&self.open).retain(|_, (_, used)| now.saturating_sub(*used) < IDLE_TIME);
+        lock(&self.open).retain(|_, (_, last_used)| now.saturating_sub(*last_used) < IDLE_TIMEOUT);
     }
 
-    fn drop_link(&self, incarnation: Incarnation) {
+    fn remove(&self, incarnation: Incarnation) {
         lock(&self.open).remove(&incarnation);
     }
 }
 
-/// Makes one control call to a daemon.
+/// Makes one control call to a daemon, connecting first if necessary. A failure drops the connection.
 pub(crate) async fn call<T, F>(
     node: &Arc<Node>,
     to: &MemberRecord,
-    make: impl FnOnce(ControlClient, context::Context) -> F,
+    call: impl FnOnce(ControlClient, context::Context) -> F,
 ) -> Result<T, ControlError>
 where
     F: Future<Output = Result<T, client::RpcError>>,
 {
-    let too_late = async {
-        Timer::after(CALL_TIME).await;
-        Err(ControlError::TooLate)
+    let timeout = async {
+        Timer::after(CALL_TIMEOUT).await;
+        Err(ControlError::Timeout)
     };
     let result = async {
         let client = match node.control_links.get(node.now(), to.incarnation) {
@@ -80,15 +78,15 @@
             None => connect(node, to).await?,
         };
         let mut cx = context::current();
-        cx.deadline = Instant::now() + CALL_TIME;
-        Compat::new(make(client, cx))
+        cx.deadline = Instant::now() + CALL_TIMEOUT;
+        Compat::new(call(client, cx))
             .await
-            .map_err(|error| ControlError::Broke(error.to_string()))
+            .map_err(|error| ControlError::Interrupted(error.to_string()))
     }
-    .or(too_late)
+    .or(timeout)
     .await;
     if result.is_err() {
-        node.control_links.drop_link(to.incarnation);
+        node.control_links.remove(to.incarnation);
     }
     result
 }
@@ -102,12 +100,13 @@
         .connect(tcp)
         .await
         .map_err(ControlError::NoConnection)?;
-    let new = ControlClient::new(client::Config::default(), transport(node, stream));
+    let new_client = ControlClient::new(client::Config::default(), transport(node, stream));
     let dispatch = async {
-        let _ = Compat::new(new.dispatch).await;
+        let _ = Compat::new(new_client.dispatch).await;
     };
     node.ex.spawn(dispatch).detach();
     let now = node.now();
-    node.control_links.keep(now, to.incarnation, &new.client);
-    Ok(new.client)
+    node.control_links
+        .insert(now, to.incarnation, &new_client.client);
+    Ok(new_client.client)
 }
--- a/crates/sorrelturn-daemon/src/fleet/mod.rs
+++ b/crates/sorrelturn-daemon/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Which daemons there are, and what they tell one another.
+//! Fleet membership and communication between daemons.
 
 pub(crate) mod control;
 pub(crate) mod control_client;
