--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! News between daemons: records of members and versions of bundles.
+//! Gossip between daemons: member records, bundle versions and crash reports.
 //! See `docs/design/spread.md` and `docs/design/membership.md`.
 
 use crate::{
@@ -19,20 +19,17 @@
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 use tarpc::{client::RpcError, context::Context};
 
-/// How often a daemon compares what it knows with a neighbour.
-const EXCHANGE_EVERY: Duration = Duration::from_secs(2);
-/// After one that failed, it compares with the next one so soon: a VM that was cut off shall know within the operators'
-/// three seconds what the others learnt meanwhile, and a call to one that is silent takes a second of them.
-const EXCHANGE_AGAIN: Duration = Duration::from_millis(500);
-/// How many neighbours a daemon keeps connections to and sends news to.
-const NEIGHBOURS: usize = PUSH_FAN_OUT;
-/// So long a visitor is told of news: it comes round every ten seconds.
-const VISITOR_TIME: Duration = Duration::from_secs(15);
-/// The most visitors that are told of news.
-const MOST_VISITORS: usize = 10;
-/// After so many exchanges one neighbour is replaced, so that the graph keeps mixing.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay after a failed exchange, short so that a VM catches up soon after a network partition.
+const EXCHANGE_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Number of neighbours that a daemon keeps connections to and pushes updates to.
+const NEIGHBOUR_COUNT: usize = PUSH_FAN_OUT;
+/// How long a visitor receives updates after its last exchange.
+const VISITOR_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_VISITORS: usize = 10;
+/// One neighbour is replaced after this many exchanges, so that the gossip graph keeps changing.
 const EXCHANGES_PER_NEIGHBOUR: u32 = 30;
-/// A record arrived from wherever; if it is news, it goes on.
+/// Merges a member record from any source and pushes it to the neighbours if it is new.
 pub(crate) fn receive_member_record(node: &Arc<Node>, record: MemberRecord) {
     let own = record.instance == node.settings.instance;
     if own && record.incarnation != node.incarnation {
@@ -48,51 +45,52 @@
     if record.state == MemberState::Gone {
         next_incarnation::start_search(node, &record);
     }
-    push_news(node, vec![record]);
+    push_members(node, vec![record]);
 }
 
-/// A daemon compared notes with this one, so this one is its neighbour.
+/// Records that another daemon chose this one as a neighbour, so that updates are also pushed to it.
 pub(crate) fn record_visitor(node: &Node, instance: &str) {
     let mut visitors = lock(&node.visitors);
-    if visitors.len() < MOST_VISITORS || visitors.contains_key(instance) {
+    if visitors.len() < MAX_VISITORS || visitors.contains_key(instance) {
         visitors.insert(instance.to_owned(), node.now());
     }
 }
 
-/// Sends the own record out after it changed.
+/// Pushes the changed record of this daemon to the neighbours and reports it to the watchers.
 pub(crate) fn push_own_record(node: &Arc<Node>) {
-    push_news(node, vec![(**node.own_record.load()).clone()]);
+    push_members(node, vec![(**node.own_record.load()).clone()]);
     reports::report_soon(node);
 }
 
-/// Starts leaving, whatever the cause, and tells the neighbours at once.
+/// Starts leaving for the given cause and notifies the neighbours if the state changed.
 pub(crate) fn leave(node: &Arc<Node>, cause: LeavingCause) {
     if node.start_leaving(cause) {
         push_own_record(node);
     }
 }
 
-/// Takes a reason for leaving back, and tells the neighbours if none is left.
+/// Revokes one cause for leaving and notifies the neighbours if no other cause remains.
 pub(crate) fn revoke_leave(node: &Arc<Node>, cause: LeavingCause) {
     if node.stop_leaving(cause) {
         push_own_record(node);
     }
 }
 
-fn push_news(node: &Arc<Node>, records: Vec<MemberRecord>) {
-    tell_neighbours(node, move |client, cx| async move {
+fn push_members(node: &Arc<Node>, records: Vec<MemberRecord>) {
+    push_to_targets(node, move |client, cx| async move {
         client.update_members(cx, records).await
     });
 }
 
-/// News goes to the neighbours and to those whose neighbour this daemon is, over connections that
-/// stay open; a fresh one for each piece of news would cost a handshake and its memory. Without the
-/// visitors, a daemon that nobody happens to have chosen would hear everything last.
-fn targets(node: &Node) -> Vec<MemberRecord> {
+/// Returns the recipients of updates: the neighbours and recent visitors.
+///
+/// Visitors are included because a daemon that no other daemon chose as a neighbour would otherwise receive updates
+/// last.
+fn push_recipients(node: &Node) -> Vec<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
-    refill(node, &mut neighbours);
+    refill_neighbours(node, &mut neighbours);
     let mut visitors = lock(&node.visitors);
-    visitors.retain(|_, seen| node.now().saturating_sub(*seen) < VISITOR_TIME);
+    visitors.retain(|_, last_seen| node.now().saturating_sub(*last_seen) < VISITOR_TIMEOUT);
     let membership = lock(&node.membership);
     neighbours
         .iter()
@@ -107,90 +105,91 @@
         .collect()
 }
 
-/// Tells some peers of a version that just came in force here.
+/// Announces a bundle version that came in force at this daemon.
 pub(crate) fn announce(node: &Arc<Node>, version: u64) {
     let from = node.settings.instance.clone();
-    tell_neighbours(node, move |client, cx| async move {
+    push_to_targets(node, move |client, cx| async move {
         client.announce(cx, from, version).await
     });
 }
 
-/// Tells some peers what was learnt of crashes of backend servers.
-pub(crate) fn push_crash_update(node: &Arc<Node>, news: CrashUpdate) {
-    tell_neighbours(node, move |client, cx| async move {
-        client.update_crashes(cx, news).await
+/// Pushes new crashes of backend servers and cleared requests.
+pub(crate) fn push_crash_update(node: &Arc<Node>, update: CrashUpdate) {
+    push_to_targets(node, move |client, cx| async move {
+        client.update_crashes(cx, update).await
     });
 }
 
-/// Makes one control call to each of those who are told of news, and waits for none of them.
-fn tell_neighbours<T, F>(
+/// Makes one control call to each push target in the background and ignores failures.
+fn push_to_targets<T, F>(
     node: &Arc<Node>,
-    make: impl FnOnce(ControlClient, Context) -> F + Clone + Send + 'static,
+    call: impl FnOnce(ControlClient, Context) -> F + Clone + Send + 'static,
 ) where
     T: Send + 'static,
     F: Future<Output = Result<T, RpcError>> + Send + 'static,
 {
-    for target in targets(node) {
-        let (node, make) = (Arc::clone(node), make.clone());
+    for target in push_recipients(node) {
+        let (node, call) = (Arc::clone(node), call.clone());
         let ex = Arc::clone(&node.ex);
-        let tell = async move {
-            let _ = control::call(&node, &target, make).await;
+        let push = async move {
+            let _ = control::call(&node, &target, call).await;
         };
-        ex.spawn(tell).detach();
+        ex.spawn(push).detach();
     }
 }
 
-/// Compares notes with neighbours, one after another; with the first one at once, since a run that has just started
-/// knows nothing of requests that crash backend servers.
+/// Runs periodic exchanges with the neighbours in turn.
+///
+/// The first exchange starts at once, since a new incarnation has no crash reports yet.
 pub(crate) async fn run_exchanges(node: Arc<Node>) {
-    let mut exchanges = 0;
+    let mut exchange_count = 0;
     loop {
         let mut answered = true;
         if let Some(record) = next_neighbour(&node) {
-            exchanges += 1;
+            exchange_count += 1;
             answered = exchange(&node, &record).await.is_ok();
-            if !answered || exchanges % EXCHANGES_PER_NEIGHBOUR == 0 {
+            if !answered || exchange_count % EXCHANGES_PER_NEIGHBOUR == 0 {
                 lock(&node.neighbours).retain(|instance| *instance != record.instance);
             }
         }
-        let pause = if answered {
-            EXCHANGE_EVERY
+        let delay = if answered {
+            EXCHANGE_INTERVAL
         } else {
-            EXCHANGE_AGAIN
+            EXCHANGE_RETRY_DELAY
         };
         let jitter = 0.75 + fastrand::f64() / 2.0;
-        Timer::after(pause.mul_f64(jitter)).await;
+        Timer::after(delay.mul_f64(jitter)).await;
         lock(&node.membership).forget_gone(node.now());
         node.control_links.close_idle(node.now());
     }
 }
 
-/// The neighbour whose turn it is; it goes to the end of the row.
+/// Returns the next neighbour in rotation.
 fn next_neighbour(node: &Node) -> Option<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
-    refill(node, &mut neighbours);
+    refill_neighbours(node, &mut neighbours);
     let instance = neighbours.pop_front()?;
     let record = lock(&node.membership).get(&instance).cloned()?;
     neighbours.push_back(instance);
     Some(record)
 }
 
-fn refill(node: &Node, neighbours: &mut VecDeque<String>) {
-    if neighbours.len() >= NEIGHBOURS {
+fn refill_neighbours(node: &Node, neighbours: &mut VecDeque<String>) {
+    if neighbours.len() >= NEIGHBOUR_COUNT {
         return;
     }
     let own = node.own_record.load();
     let membership = lock(&node.membership);
     let mut rng = fastrand::Rng::new();
-    let fresh = push_targets(membership.present(), &own, 2 * NEIGHBOURS, &mut rng);
+    let fresh = push_targets(membership.present(), &own, 2 * NEIGHBOUR_COUNT, &mut rng);
     for record in fresh {
-        if neighbours.len() < NEIGHBOURS && !neighbours.contains(&record.instance) {
+        if neighbours.len() < NEIGHBOUR_COUNT && !neighbours.contains(&record.instance) {
             neighbours.push_back(record.instance.clone());
         }
     }
 }
 
-/// One exchange; brings both sides to the same members and starts a fetch of a higher bundle.
+/// Synchronizes members and crash reports with a peer and starts fetching its bundle if the version is higher.
 pub(crate) async fn exchange(node: &Arc<Node>, peer: &MemberRecord) -> Result<(), ControlError> {
     let sent = node.now();
     let own = lock(&node.membership).digest();
@@ -217,15 +216,15 @@
     let Some(theirs) = reply.members else {
         return Ok(());
     };
-    // The other side may have learnt of this daemon by this very exchange, so compare anew.
+    // The membership may have changed since the digest was sent, so compare with the current one.
     let differing = lock(&node.membership).digest().differing(&theirs);
-    let asked = differing.clone();
+    let requested = differing.clone();
     let records = control::call(node, peer, |client, cx| async move {
-        client.members(cx, asked).await
+        client.members(cx, requested).await
     })
     .await?;
     let ours = lock(&node.membership).in_buckets(&differing);
-    let unknown_there: Vec<MemberRecord> = ours
+    let newer_records: Vec<MemberRecord> = ours
         .into_iter()
         .filter(|own| {
             records
@@ -240,9 +239,9 @@
         }
     }
     node.merge_members(records);
-    if !unknown_there.is_empty() {
+    if !newer_records.is_empty() {
         control::call(node, peer, |client, cx| async move {
-            client.update_members(cx, unknown_there).await
+            client.update_members(cx, newer_records).await
         })
         .await?;
     }
