--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -1,4 +1,4 @@
-//! Joining the fleet: becoming known, and finding members and a bundle.
+//! Joining the fleet: registering this daemon and discovering members and a bundle.
 
 use crate::{
     backend::state,
@@ -13,12 +13,12 @@
 use sorrelturn_protocol::{Incarnation, MemberRecord, MemberState};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// How many peers a daemon asks for a bundle when it starts.
-const PEERS_ASKED: usize = 5;
-/// How often a daemon without a bundle looks for one.
-const BUNDLE_PAUSE: Duration = Duration::from_millis(500);
+/// Number of peers queried for a bundle in each round.
+const BUNDLE_PEER_COUNT: usize = 5;
+/// Delay between two searches while there is no bundle.
+const BUNDLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Makes itself known, and finds members and a bundle.
+/// Loads the known members from the store and publishes the record of this daemon.
 pub(crate) async fn join(node: &Arc<Node>) {
     let mut is_new = false;
     if let Ok(changes) = node.platform.list(keys::MEMBERS).await {
@@ -44,8 +44,8 @@
         }
         node.merge_members(records);
     }
-    let leaves = lock(&node.leaving).cause().is_some();
-    node.set_own_state(if leaves {
+    let is_leaving = lock(&node.leaving).cause().is_some();
+    node.set_own_state(if is_leaving {
         MemberState::Leaving
     } else {
         MemberState::Live
@@ -57,34 +57,36 @@
     }
 }
 
-/// Looks for a bundle until there is one: in the store and at peers of several failure domains,
-/// because the store may be down and a peer may be behind.
+/// Searches for a bundle until one is in force.
+///
+/// Both the store and peers in several failure domains are queried, because the store may be down and a peer may be
+/// outdated.
 pub(crate) async fn find_bundle(node: Arc<Node>) {
     while node.in_force.load().is_none() {
         for seed in &node.settings.seeds {
-            let stranger = seed_record(&node, *seed);
-            if gossip::exchange(&node, &stranger).await.is_ok() {
-                let _ = fetch::fetch_from_member(&node, Some(&stranger)).await;
+            let seed_member = seed_record(&node, *seed);
+            if gossip::exchange(&node, &seed_member).await.is_ok() {
+                let _ = fetch::fetch_from_member(&node, Some(&seed_member)).await;
             }
         }
         let peers: Vec<MemberRecord> = {
             let own = node.own_record.load();
             let membership = lock(&node.membership);
             let mut rng = fastrand::Rng::new();
-            let picked = push_targets(membership.present(), &own, PEERS_ASKED, &mut rng);
-            picked.into_iter().cloned().collect()
+            let targets = push_targets(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
+            targets.into_iter().cloned().collect()
         };
         for peer in &peers {
             let _ = fetch::fetch_from_member(&node, Some(peer)).await;
         }
         let _ = fetch::fetch_from(&node, &Source::Store).await;
         if node.in_force.load().is_none() {
-            Timer::after(BUNDLE_PAUSE).await;
+            Timer::after(BUNDLE_RETRY_DELAY).await;
         }
     }
 }
 
-/// A daemon of which only the control address is known.
+/// Returns a placeholder record for a seed, of which only the control address is known.
 fn seed_record(node: &Node, control_addr: SocketAddr) -> MemberRecord {
     let own = node.own_record.load();
     let mut incarnation = [0; 8];
--- a/crates/sorrelturn-daemon/src/fleet/metered.rs
+++ b/crates/sorrelturn-daemon/src/fleet/metered.rs
@@ -1,4 +1,4 @@
-//! Control connections with a counter of their bytes, for the budget of 3 KB a second.
+//! Byte counting for control connections.
 
 use crate::{net::stream::BoxStream, node::Node};
 use smol::io::{AsyncRead, AsyncWrite};
@@ -9,7 +9,7 @@
     task::{Context, Poll},
 };
 
-/// Counts the bytes of control messages.
+/// Stream that adds the bytes read and written to the node's counter of control traffic.
 pub(crate) struct Metered {
     pub(crate) node: Arc<Node>,
     pub(crate) stream: BoxStream,
--- a/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
+++ b/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
@@ -1,9 +1,9 @@
-//! Finding the next run of a daemon that has ended. See `docs/design/membership.md`.
+//! Discovery of the next incarnation of a daemon that has stopped. See `docs/design/membership.md`.
 //!
-//! A daemon that starts finds the others through the platform's store. In an outage of the store it
-//! knows nobody, and nobody asks it either once its last run has said that it has gone. So a few of
-//! those who heard that look at its address for a while, and whoever meets a new run at the address
-//! of an old one compares notes with it.
+//! A starting daemon discovers the others through the platform's store. During an outage of the store it knows no
+//! members, and no member contacts it after its previous incarnation announced that it is gone. Therefore a few
+//! daemons that received this announcement probe its address for a while. A daemon that finds a new incarnation at a
+//! known address runs an exchange with it.
 
 use crate::{
     fleet::gossip,
@@ -19,50 +19,47 @@
     time::Duration,
 };
 
-/// How many daemons look for the next run of one that has gone; one of them may be cut off or end itself.
-const WHO_LOOK: usize = 3;
-/// The pause before the first look: a process that ends is started again after about a second, and a
-/// look costs a connection that is refused.
-const FIRST_PAUSE: Duration = Duration::from_millis(700);
-/// Each further pause is longer by this factor, as the hope for a next run fades.
-const LONGER: f64 = 1.5;
-/// So many looks take 14 s: an outage of the store and a restart of a VM last seconds.
-const MOST_LOOKS: u32 = 6;
+/// Several daemons search, since one of them may be unreachable or stop itself.
+const SEARCHER_COUNT: usize = 3;
+/// Delay before the first probe, about the time of a process restart.
+const INITIAL_DELAY: Duration = Duration::from_millis(700);
+const DELAY_FACTOR: f64 = 1.5;
+const MAX_PROBES: u32 = 6;
 
-/// Looks for the next run of a daemon that said that it has gone, if it falls to this one.
+/// Starts searching for the next incarnation of a member that is gone, if this daemon is one of its successors.
 pub(crate) fn start_search(node: &Arc<Node>, gone: &MemberRecord) {
-    if !falls_to_us(node, &gone.instance) {
+    if !is_successor(node, &gone.instance) {
         return;
     }
     let (node, gone) = (Arc::clone(node), gone.clone());
     let ex = Arc::clone(&node.ex);
-    ex.spawn(async move { look(&node, &gone).await }).detach();
+    ex.spawn(async move { search(&node, &gone).await }).detach();
 }
 
-fn falls_to_us(node: &Node, instance: &str) -> bool {
+fn is_successor(node: &Node, instance: &str) -> bool {
     let membership = lock(&node.membership);
     let own = node.own_record.load();
     let others = membership.present();
-    successors(others, &own, instance, WHO_LOOK).contains(&node.settings.instance.as_str())
+    successors(others, &own, instance, SEARCHER_COUNT).contains(&node.settings.instance.as_str())
 }
 
-async fn look(node: &Arc<Node>, gone: &MemberRecord) {
-    let mut pause = FIRST_PAUSE;
-    for _ in 0..MOST_LOOKS {
-        Timer::after(pause).await;
-        pause = pause.mul_f64(LONGER);
+async fn search(node: &Arc<Node>, gone: &MemberRecord) {
+    let mut delay = INITIAL_DELAY;
+    for _ in 0..MAX_PROBES {
+        Timer::after(delay).await;
+        delay = delay.mul_f64(DELAY_FACTOR);
         if !is_still_gone(node, gone) {
             return;
         }
-        // The run that stops may still answer while its last connections end.
+        // The stopping incarnation may still answer while its last connections close.
         if gossip::exchange(node, gone).await.is_ok() && !is_still_gone(node, gone) {
-            note_found(node, gone);
+            log_found(node, gone);
             return;
         }
     }
 }
 
-/// Whether nothing newer was heard of it.
+/// Whether no update about the member arrived since it was declared gone.
 fn is_still_gone(node: &Node, gone: &MemberRecord) -> bool {
     let membership = lock(&node.membership);
     membership.get(&gone.instance).is_some_and(|known| {
@@ -70,25 +67,25 @@
     })
 }
 
-/// An answer came from another run than the one that the call was meant for.
+/// Runs an exchange with an instance that answered with another incarnation than expected.
 pub(crate) fn query_new_incarnation(node: &Arc<Node>, route: &Arc<Route>) {
-    // Many calls are under way at once; one of them asks.
+    // Many concurrent calls may see the new incarnation; only the first one queries it.
     if route.is_incarnation_queried.swap(true, Ordering::Relaxed) {
         return;
     }
     let (node, route) = (Arc::clone(node), Arc::clone(route));
     let ex = Arc::clone(&node.ex);
-    let ask = async move {
+    let query = async move {
         if gossip::exchange(&node, &route.record).await.is_ok() {
-            note_found(&node, &route.record);
+            log_found(&node, &route.record);
         } else {
             route.is_incarnation_queried.store(false, Ordering::Relaxed);
         }
     };
-    ex.spawn(ask).detach();
+    ex.spawn(query).detach();
 }
 
-fn note_found(node: &Node, earlier: &MemberRecord) {
+fn log_found(node: &Node, earlier: &MemberRecord) {
     let fields = vec![
         Field::new("member", &earlier.instance),
         Field::new("earlier", earlier.incarnation),
