--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other daemons, for calls. See `docs/design/between-daemons.md`.
+//! Connections to other daemons for forwarding calls. See `docs/design/between-daemons.md`.
 
 use crate::{
     clock::Clock,
@@ -17,49 +17,44 @@
 };
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
-/// The longest time for a new connection. Peers are about 1 ms apart; an opening packet that was
-/// lost is sent again after a second, and by then another instance has long answered.
-const CONNECT_TIME: Duration = Duration::from_millis(250);
-/// A message of at most so many bytes is taken by its reader's daemon whatever the reader does. Behind a
-/// longer one a slow reader can hold a connection still for long, which the options below don't bear.
-const READ_AT_ONCE_BYTES: u64 = BUF_LIMIT_BYTES as u64;
-/// A peer that doesn't acknowledge what was sent for so long is silent. Two losses of one packet in a
-/// row, 200 and 400 ms, still pass.
-const SILENT_TIME: Duration = Duration::from_millis(700);
-/// While an answer is waited for, the peer's kernel is asked this often whether it is there.
-const KEEPALIVE_EVERY: Duration = Duration::from_secs(1);
-/// And so many times without an answer before the connection is given up.
-const KEEPALIVE_TRIES: u32 = 2;
-/// The longest time for a peer's word what became of an attempt; one that is there and not busy beyond
-/// measure takes a hundredth of it.
-const ASK_TIME: Duration = Duration::from_millis(500);
-/// When it is asked again: the attempt is at work, or the peer stands still. The pause doubles, up to what the
-/// peer's memory of attempts is made for.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-const ASK_AGAIN_MOST: Duration = Duration::from_secs(2);
-/// An answer that is on its way comes within this time.
-const ANSWER_TRAVELS: Duration = Duration::from_millis(50);
-/// The most connections to one daemon; its backend server has fewer slots.
+/// Shorter than the kernel's first SYN retransmission, so that a call moves on to another instance.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Largest message that the peer's daemon buffers completely.
+///
+/// A slow reader can stall the connection for a longer message, which the options below would treat as a failure.
+const MAX_BUFFERED_MESSAGE_BYTES: u64 = BUF_LIMIT_BYTES as u64;
+/// Time without an acknowledgement after which a peer counts as unresponsive. Two consecutive losses of a packet are
+/// tolerated.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(700);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
+const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Initial delay before the status is queried again. The delay doubles with each query.
+const STATUS_QUERY_DELAY: Duration = Duration::from_millis(500);
+const MAX_STATUS_QUERY_DELAY: Duration = Duration::from_secs(2);
+/// Time for a response in transit to arrive after the attempt is reported as finished.
+const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(50);
+/// Maximum per daemon and pool, above the slots of a backend server.
 const MAX_CONNECTIONS: usize = 1_024;
 
-/// The connections to one daemon, opened when they are needed.
+/// Connections to one daemon, opened on demand.
 pub(crate) struct PeerLink {
     clock: Clock,
     addr: SocketAddr,
-    /// Their kernels end them when the peer is silent.
-    watched: Arc<Pool>,
-    /// For long requests, which the peer may read slowly.
-    unwatched: Arc<Pool>,
+    /// Connections with kernel timeouts that close them when the peer is unresponsive.
+    pool_with_timeouts: Arc<Pool>,
+    /// Connections without these timeouts, for long requests that the peer may read slowly.
+    pool_without_timeouts: Arc<Pool>,
 }
 
-/// What sending to a peer needs of the daemon.
+/// Parts of the daemon that are needed to send to a peer.
 pub(crate) struct Runtime<'a> {
     pub(crate) ex: &'a Executor<'static>,
     pub(crate) timers: &'a Timers,
     pub(crate) keys: &'a FleetKeys,
 }
 
-/// An attempt, and the run of the daemon that it is sent to.
+/// An attempt and the incarnation of the daemon that it is sent to.
 #[derive(Clone, Copy)]
 pub(crate) struct SentAttempt {
     pub(crate) owner: Incarnation,
@@ -69,14 +64,14 @@
 /// A connection that carries one call to a peer.
 pub(crate) struct PeerLease {
     lease: Lease,
-    /// The answer is long: the connection is watched again when it is through.
-    watch_again: bool,
+    /// Whether to enable the timeouts again after the response, which is long.
+    reenable_timeouts: bool,
 }
 
 impl PeerLease {
-    /// The exchange was whole: the connection can carry another one.
+    /// Returns the connection to its pool after a complete exchange.
     pub(crate) fn give_back(self) {
-        if self.watch_again && notice_silence(self.lease.socket()).is_err() {
+        if self.reenable_timeouts && enable_timeouts(self.lease.socket()).is_err() {
             return;
         }
         self.lease.give_back();
@@ -88,55 +83,61 @@
         Self {
             clock,
             addr,
-            watched: Pool::new(MAX_CONNECTIONS, clock),
-            unwatched: Pool::new(MAX_CONNECTIONS, clock),
+            pool_with_timeouts: Pool::new(MAX_CONNECTIONS, clock),
+            pool_without_timeouts: Pool::new(MAX_CONNECTIONS, clock),
         }
     }
 
-    /// Sends a call and waits for the head of its answer.
+    /// Sends a call and waits for the head of its response.
     ///
-    /// The peer's silence is noticed until then; a long answer is as slow as its reader.
+    /// An unresponsive peer is detected up to that point; the body of a long response may be as slow as its reader.
     ///
-    /// Where the kernels don't notice it, since something between them takes what it loses, the owner is asked
-    /// what became of the attempt.
+    /// The kernels don't detect it if a device on the path acknowledges packets and then loses them. If the response is
+    /// overdue, the status of the attempt is therefore queried from its owner.
     pub(crate) async fn send(
         &self,
         runtime: &Runtime<'_>,
         req: Request<Body>,
         attempt: SentAttempt,
     ) -> Result<(Response<Incoming>, PeerLease), SendError> {
-        let is_watched = is_read_at_once(req.body());
-        let connect = || self.connect(runtime.keys, is_watched);
-        let pool = if is_watched {
-            &self.watched
+        let has_timeouts = is_buffered_by_reader(req.body());
+        let connect = || self.connect(runtime.keys, has_timeouts);
+        let pool = if has_timeouts {
+            &self.pool_with_timeouts
         } else {
-            &self.unwatched
+            &self.pool_without_timeouts
         };
         let sent = self.clock.now();
-        let answered = pool.send(runtime.ex, req, CONNECT_TIME, connect);
-        let silent = async {
-            if !is_watched {
-                // Behind a long request, its answer may take as long as it is.
+        let response = pool.send(runtime.ex, req, CONNECT_TIMEOUT, connect);
+        let unresponsive = async {
+            if !has_timeouts {
+                // The response to a long request may legitimately take long.
                 return smol::future::pending().await;
             }
             pool.in_doubt(runtime.timers, sent).await;
-            // Boxed, since it is rare: each request would take the memory for it.
-            let error = Box::pin(self.fate_of(runtime, attempt, sent)).await;
+            // Boxed because it is rare and would enlarge the future of each request.
+            let error = Box::pin(self.attempt_outcome(runtime, attempt, sent)).await;
             pool.forget_unheard_since(sent);
             Err(error)
         };
-        let (res, lease) = answered.or(silent).await?;
-        let watch_again = is_watched && !is_read_at_once(res.body());
-        if watch_again && bear_silence(lease.socket()).is_err() {
+        let (res, lease) = response.or(unresponsive).await?;
+        let reenable_timeouts = has_timeouts && !is_buffered_by_reader(res.body());
+        if reenable_timeouts && disable_timeouts(lease.socket()).is_err() {
             return Err(SendError::Broke);
         }
-        Ok((res, PeerLease { lease, watch_again }))
+        Ok((
+            res,
+            PeerLease {
+                lease,
+                reenable_timeouts,
+            },
+        ))
     }
 
-    async fn connect(&self, keys: &FleetKeys, is_watched: bool) -> io::Result<Opened> {
+    async fn connect(&self, keys: &FleetKeys, has_timeouts: bool) -> io::Result<Opened> {
         let tcp = TcpStream::connect(self.addr).await?;
-        if is_watched {
-            notice_silence(&tcp)?;
+        if has_timeouts {
+            enable_timeouts(&tcp)?;
         }
         let stream = keys.connect(tcp.clone()).await?;
         Ok(Opened {
@@ -145,78 +146,82 @@
         })
     }
 
-    /// Asks what became of an attempt until it is known that its answer won't come.
-    async fn fate_of(&self, runtime: &Runtime<'_>, attempt: SentAttempt, sent: Now) -> SendError {
-        let mut pause = ASK_AGAIN;
+    /// Queries the status of an attempt until it is certain that its response won't arrive.
+    async fn attempt_outcome(
+        &self,
+        runtime: &Runtime<'_>,
+        attempt: SentAttempt,
+        sent: Now,
+    ) -> SendError {
+        let mut delay = STATUS_QUERY_DELAY;
         loop {
-            let too_late = async {
-                runtime.timers.after(ASK_TIME).await;
+            let timeout = async {
+                runtime.timers.after(STATUS_QUERY_TIMEOUT).await;
                 None
             };
-            match self.ask(runtime, attempt, sent).or(too_late).await {
+            match self.query_status(runtime, attempt, sent).or(timeout).await {
                 Some(AttemptStatus::NeverCame) => return SendError::NeverCame,
                 Some(AttemptStatus::Over) => {
-                    runtime.timers.after(ANSWER_TRAVELS).await;
+                    runtime.timers.after(RESPONSE_TRANSIT_TIME).await;
                     return SendError::AnswerLost;
                 }
-                // Of a peer that answers nowhere nothing is known.
+                // The status is unknown if the peer doesn't answer.
                 Some(AttemptStatus::AtWork) | None => {}
             }
-            runtime.timers.after(pause).await;
-            pause = (pause * 2).min(ASK_AGAIN_MOST);
+            runtime.timers.after(delay).await;
+            delay = (delay * 2).min(MAX_STATUS_QUERY_DELAY);
         }
     }
 
-    /// Asks over a new connection, which is kept.
-    async fn ask(
+    /// Queries the status of an attempt once, over a new connection that then stays in the pool.
+    async fn query_status(
         &self,
         runtime: &Runtime<'_>,
         attempt: SentAttempt,
         sent: Now,
     ) -> Option<AttemptStatus> {
-        let question = AttemptStatusQuery {
+        let query = AttemptStatusQuery {
             owner: attempt.owner,
             attempt: attempt.id,
             sent_ms_ago: self.clock.since(sent).as_millis() as u32,
         };
         let mut req = Request::new(body::full(""));
-        headers::set(req.headers_mut(), ATTEMPT_STATUS, &question.encode());
+        headers::set(req.headers_mut(), ATTEMPT_STATUS, &query.encode());
         let connect = self.connect(runtime.keys, true);
-        let answered = self
-            .watched
-            .send_new(runtime.ex, req, CONNECT_TIME, connect);
-        let (res, lease) = answered.await.ok()?;
+        let response = self
+            .pool_with_timeouts
+            .send_new(runtime.ex, req, CONNECT_TIMEOUT, connect);
+        let (res, lease) = response.await.ok()?;
         lease.give_back();
-        let fate = res.headers().get(ATTEMPT_STATUS)?;
-        AttemptStatus::decode(fate.as_bytes()).ok()
+        let status = res.headers().get(ATTEMPT_STATUS)?;
+        AttemptStatus::decode(status.as_bytes()).ok()
     }
 
-    /// Drops the idle connections; the calls on others go on.
+    /// Drops the idle connections; calls in progress on others continue.
     pub(crate) fn drop_idle(&self) {
-        self.watched.forget_idle();
-        self.unwatched.forget_idle();
+        self.pool_with_timeouts.forget_idle();
+        self.pool_without_timeouts.forget_idle();
     }
 }
 
-fn is_read_at_once(body: &impl hyper::body::Body) -> bool {
-    let most = body.size_hint().upper();
-    most.is_some_and(|bytes| bytes <= READ_AT_ONCE_BYTES)
+fn is_buffered_by_reader(body: &impl hyper::body::Body) -> bool {
+    let max_bytes = body.size_hint().upper();
+    max_bytes.is_some_and(|bytes| bytes <= MAX_BUFFERED_MESSAGE_BYTES)
 }
 
-/// Has the kernel end a connection whose other end says nothing: a VM without power or behind a cut
-/// doesn't even refuse.
-fn notice_silence(tcp: &TcpStream) -> io::Result<()> {
+/// Makes the kernel close a connection whose peer is unresponsive, such as a VM that lost power or network.
+fn enable_timeouts(tcp: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(tcp);
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_EVERY)
-        .with_interval(KEEPALIVE_EVERY)
-        .with_retries(KEEPALIVE_TRIES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(SILENT_TIME))
+    socket.set_tcp_user_timeout(Some(UNRESPONSIVE_TIMEOUT))
 }
 
-/// Undoes [`notice_silence`] while a long answer is read.
-fn bear_silence(tcp: &TcpStream) -> io::Result<()> {
+/// Reverts [`enable_timeouts`] while a long response is read.
+fn disable_timeouts(tcp: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(tcp);
     socket.set_keepalive(false)?;
     socket.set_tcp_user_timeout(None)
