--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -1,4 +1,4 @@
-//! Drawing grants from accountants, and being one. See `docs/design/quotas.md`.
+//! Acquiring quota grants from allocators and acting as an allocator. See `docs/design/quotas.md`.
 
 use crate::{
     config::in_force::InForce,
@@ -23,35 +23,39 @@
     time::Duration,
 };
 
-/// How often it is looked who the accountants are and which loans are due, as a part of a loan's time, and at least.
-const LOOK_PART: f64 = 0.2;
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// A draw that isn't answered by then won't be: some milliseconds are usual.
-const DRAW_TIME: Duration = Duration::from_millis(150);
-/// How often another accountant is asked when one doesn't answer.
-const DRAW_TRIES: u32 = 2;
+/// Interval of renewals as a fraction of the lease duration.
+const RENEWAL_INTERVAL_FRACTION: f64 = 0.2;
+const MAX_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Number of allocators that are tried before a request is refused.
+const MAX_ACQUIRE_ATTEMPTS: u32 = 2;
 
-/// What a daemon lends, holds and grants.
+/// State of a daemon as quota client and as quota allocator.
 pub(crate) struct Quota {
-    entry: Mutex<QuotaClient>,
-    accountant: Mutex<QuotaAllocator>,
-    /// What became of the requests of workspaces at this entry.
+    client: Mutex<QuotaClient>,
+    allocator: Mutex<QuotaAllocator>,
+    /// Outcomes of quota checks at this daemon by workspace.
     pub(crate) counts: WorkspaceCounts,
-    terms: ValidityConfig,
+    validity: ValidityConfig,
     bound: Bound,
-    /// The accountants of the shards, by run.
-    accountants: Mutex<HashMap<Incarnation, MemberRecord>>,
+    /// Records of the shards' allocators by incarnation.
+    allocators: Mutex<HashMap<Incarnation, MemberRecord>>,
 }
 
 impl Quota {
-    pub(crate) fn new(run: Incarnation, bound: Bound, terms: ValidityConfig, now: Now) -> Self {
+    pub(crate) fn new(
+        incarnation: Incarnation,
+        bound: Bound,
+        validity: ValidityConfig,
+        now: Now,
+    ) -> Self {
         Self {
-            entry: Mutex::new(QuotaClient::new(run, terms, now)),
-            accountant: Mutex::new(QuotaAllocator::new(run, terms, now)),
+            client: Mutex::new(QuotaClient::new(incarnation, validity, now)),
+            allocator: Mutex::new(QuotaAllocator::new(incarnation, validity, now)),
             counts: WorkspaceCounts::default(),
-            terms,
+            validity,
             bound,
-            accountants: Mutex::default(),
+            allocators: Mutex::default(),
         }
     }
 
@@ -60,21 +64,23 @@
             rate: quota.rate,
             burst: quota.burst,
         };
-        self.bound.bucket(limit, self.terms.grant_validity)
+        self.bound.bucket(limit, self.validity.grant_validity)
     }
 
-    /// For how long shares are lent at a time.
-    fn lease(&self) -> Duration {
-        lock(&self.entry).lease_duration()
+    /// Duration of one lease of shares.
+    fn lease_duration(&self) -> Duration {
+        lock(&self.client).lease_duration()
     }
 
-    /// The part of this daemon's shares that it lends.
+    /// Fraction of this daemon's shares that is leased to allocators.
     pub(crate) fn leased_fraction(&self, now: Now) -> f64 {
-        lock(&self.entry).leased_fraction(now)
+        lock(&self.client).leased_fraction(now)
     }
 }
 
-/// Whether a request of a workspace may run; takes one of its quota.
+/// Admits a request of a workspace by consuming one grant of its quota.
+///
+/// Returns the refusal if the quota is used up or no allocator answers.
 pub(crate) async fn admit(
     node: &Arc<Node>,
     workspace: &WorkspaceEntry,
@@ -83,87 +89,95 @@
     if workspace.quota.is_none() {
         return Ok(());
     }
-    let taken = draw(node, workspace)
+    let acquired = acquire_grant(node, workspace)
         .await
-        .map_err(|refused| match refused {
-            Refused::UsedUp(room_in) => used_up(node, workspace, request, room_in),
-            Refused::Unknown => Reply::not_run(Refusal::QuotaUnknown).come_back(node.quota.lease()),
+        .map_err(|error| match error {
+            AcquireError::UsedUp(retry_after) => used_up(node, workspace, request, retry_after),
+            AcquireError::Unknown => {
+                Reply::not_run(Refusal::QuotaUnknown).come_back(node.quota.lease_duration())
+            }
         });
-    node.quota.counts.count(workspace, |usage| match &taken {
+    node.quota.counts.count(workspace, |usage| match &acquired {
         Ok(()) => usage.let_in += 1,
         Err(reply) if reply.context.refusal == Some(Refusal::QuotaUsedUp) => usage.over_quota += 1,
         Err(_) => usage.undecided += 1,
     });
-    taken
+    acquired
 }
 
-/// Why a request may not run now.
-enum Refused {
-    /// The quota is used up; there is probably room after this time.
+/// Reasons why no grant could be acquired.
+enum AcquireError {
+    /// The quota is used up; a retry is likely to succeed after this time.
     UsedUp(Duration),
-    /// Nobody says.
+    /// No allocator gave a usable reply.
     Unknown,
 }
 
-/// Uses a grant that is held, or draws one.
-async fn draw(node: &Arc<Node>, workspace: &WorkspaceEntry) -> Result<(), Refused> {
+/// Uses a grant that is available locally or acquires new ones from an allocator.
+async fn acquire_grant(node: &Arc<Node>, workspace: &WorkspaceEntry) -> Result<(), AcquireError> {
     {
-        let mut entry = lock(&node.quota.entry);
+        let mut client = lock(&node.quota.client);
         let now = node.now();
-        if entry.use_grant(now, workspace.id) {
+        if client.use_grant(now, workspace.id) {
             return Ok(());
         }
-        if let Some(room_in) = entry.retry_after(now, workspace.id) {
-            return Err(Refused::UsedUp(room_in));
+        if let Some(retry_after) = client.retry_after(now, workspace.id) {
+            return Err(AcquireError::UsedUp(retry_after));
         }
     }
-    for _ in 0..DRAW_TRIES {
+    for _ in 0..MAX_ACQUIRE_ATTEMPTS {
         let sent = node.now();
-        let target = lock(&node.quota.entry).target(sent, Shard::of(workspace.id));
+        let target = lock(&node.quota.client).target(sent, Shard::of(workspace.id));
         let Some(target) = target else {
             break;
         };
-        let Some(drawn) = ask(node, target, Some(workspace.id)).await else {
-            lock(&node.quota.entry).mark_unresponsive(node.now(), target.allocator);
-            look(node);
+        let Some(reply) = send_request(node, target, Some(workspace.id)).await else {
+            lock(&node.quota.client).mark_unresponsive(node.now(), target.allocator);
+            update_allocators(node);
             continue;
         };
         let now = node.now();
-        if lock(&node.quota.entry).accept_reply(now, sent, workspace.id, &drawn) {
+        if lock(&node.quota.client).accept_reply(now, sent, workspace.id, &reply) {
             return Ok(());
         }
-        return match drawn.outcome {
-            Outcome::UsedUp(room_in) => Err(Refused::UsedUp(room_in)),
-            // Granted too late to be used, or unknown to an accountant whose table is another.
+        return match reply.outcome {
+            Outcome::UsedUp(retry_after) => Err(AcquireError::UsedUp(retry_after)),
+            // The grants arrived too late, or the allocator's configuration doesn't contain the workspace.
             Outcome::Granted(_) | Outcome::Nothing => break,
         };
     }
-    Err(Refused::Unknown)
+    Err(AcquireError::Unknown)
 }
 
 fn used_up(
     node: &Node,
     workspace: &WorkspaceEntry,
     request: RequestId,
-    room_in: Duration,
+    retry_after: Duration,
 ) -> Reply {
     node.events.record(
         &events::QUOTA_USED_UP,
         Some(request),
         vec![
             Field::new("workspace", &workspace.name),
-            Field::new("room_in_ms", room_in.as_millis()),
+            Field::new("room_in_ms", retry_after.as_millis()),
         ],
     );
-    Reply::not_run(Refusal::QuotaUsedUp).come_back(room_in)
+    Reply::not_run(Refusal::QuotaUsedUp).come_back(retry_after)
 }
 
-/// Keeps the loans of this daemon's shares while there are quotas, until it says that it is gone: the others divide
-/// the quotas among themselves then.
+/// Renews the leases of this daemon's shares while any workspace has a quota.
+///
+/// Ends once this daemon is gone, so that the other members divide the quotas among themselves.
 pub(crate) async fn run(node: Arc<Node>) {
     while node.own_record.load().state != MemberState::Gone {
-        let lease = node.quota.lease();
-        Timer::after(lease.mul_f64(LOOK_PART).min(LOOK_EVERY)).await;
+        let lease_duration = node.quota.lease_duration();
+        Timer::after(
+            lease_duration
+                .mul_f64(RENEWAL_INTERVAL_FRACTION)
+                .min(MAX_RENEWAL_INTERVAL),
+        )
+        .await;
         let in_force = node.in_force.load();
         if !in_force
             .as_ref()
@@ -172,10 +186,10 @@
             continue;
         }
         drop(in_force);
-        look(&node);
-        let due = lock(&node.quota.entry).due_renewals(node.now());
-        for shard in due {
-            let target = lock(&node.quota.entry).target(node.now(), shard);
+        update_allocators(&node);
+        let due_shards = lock(&node.quota.client).due_renewals(node.now());
+        for shard in due_shards {
+            let target = lock(&node.quota.client).target(node.now(), shard);
             if let Some(target) = target {
                 let (node, ex) = (Arc::clone(&node), Arc::clone(&node.ex));
                 ex.spawn(async move { renew(&node, target).await }).detach();
@@ -190,83 +204,85 @@
 }
 
 async fn renew(node: &Arc<Node>, target: AcquireTarget) {
-    match ask(node, target, None).await {
-        Some(drawn) => lock(&node.quota.entry).record_reading(node.now(), drawn.clock_reading),
-        None => lock(&node.quota.entry).mark_unresponsive(node.now(), target.allocator),
+    match send_request(node, target, None).await {
+        Some(reply) => lock(&node.quota.client).record_reading(node.now(), reply.clock_reading),
+        None => lock(&node.quota.client).mark_unresponsive(node.now(), target.allocator),
     }
 }
 
-/// Finds out anew who the accountants are.
-fn look(node: &Node) {
+/// Updates the preferred allocators from the current membership.
+fn update_allocators(node: &Node) {
     let now = node.now();
-    let mut entry = lock(&node.quota.entry);
+    let mut client = lock(&node.quota.client);
     let membership = lock(&node.membership);
     let live: Vec<&MemberRecord> = membership
         .present()
         .filter(|record| record.state == MemberState::Live)
-        .filter(|record| !entry.is_unresponsive(now, record.incarnation))
+        .filter(|record| !client.is_unresponsive(now, record.incarnation))
         .collect();
-    let of_shard = |shard| {
-        let named = live.iter();
+    let allocator_of = |shard| {
+        let candidates = live.iter();
         preferred_allocator(
             shard,
-            named.map(|record| (record.instance.as_str(), record.incarnation)),
+            candidates.map(|record| (record.instance.as_str(), record.incarnation)),
         )
     };
-    entry.set_preferred(members(&membership), of_shard);
-    let accountants = Shard::all().filter_map(of_shard);
-    let mut known = lock(&node.quota.accountants);
-    // One that is not preferred any more may still hold a loan.
+    client.set_preferred(member_count(&membership), allocator_of);
+    let allocators = Shard::all().filter_map(allocator_of);
+    let mut known = lock(&node.quota.allocators);
+    // An allocator that is no longer preferred may still hold a lease, so older records are retained for a while.
     if known.len() > 4 * sorrelturn_quota::SHARD_COUNT {
         known.clear();
     }
-    for run in accountants {
-        let record = live.iter().find(|record| record.incarnation == run);
-        known.extend(record.map(|record| (run, (**record).clone())));
+    for incarnation in allocators {
+        let record = live.iter().find(|record| record.incarnation == incarnation);
+        known.extend(record.map(|record| (incarnation, (**record).clone())));
     }
 }
 
-/// Asks an accountant; `None` if it doesn't answer in time.
-async fn ask(
+/// Sends an acquire request to an allocator. Returns `None` if it doesn't answer in time.
+async fn send_request(
     node: &Arc<Node>,
     target: AcquireTarget,
     workspace: Option<CallerId>,
 ) -> Option<AcquireReply> {
-    let members = members(&lock(&node.membership));
-    let draw = lock(&node.quota.entry).acquire_request(target, members, workspace);
+    let members = member_count(&lock(&node.membership));
+    let request = lock(&node.quota.client).acquire_request(target, members, workspace);
     if target.allocator == node.incarnation {
-        return Some(answer(node, &draw));
+        return Some(answer(node, &request));
     }
-    let record = lock(&node.quota.accountants)
+    let record = lock(&node.quota.allocators)
         .get(&target.allocator)
         .cloned()?;
-    let too_late = async {
-        node.timers.after(DRAW_TIME).await;
+    let timeout = async {
+        node.timers.after(ACQUIRE_TIMEOUT).await;
         None
     };
-    let drawn = async {
+    let reply = async {
         let call =
-            |client: control::ControlClient, cx| async move { client.acquire(cx, draw).await };
+            |client: control::ControlClient, cx| async move { client.acquire(cx, request).await };
         control::call(node, &record, call).await.ok()
     };
-    drawn.or(too_late).await
+    reply.or(timeout).await
 }
 
-/// Among how many members the quotas are divided. Those that have just gone count: where a whole fleet is restarted,
-/// each of the first ones would else take itself for the only one.
-fn members(membership: &Membership) -> u32 {
+/// Number of members that the quotas are divided among.
+///
+/// Members that have recently gone count: otherwise, when a whole fleet restarts, the first members would each divide
+/// the quotas among too few.
+fn member_count(membership: &Membership) -> u32 {
     membership.all().count() as u32
 }
 
-/// Answers a daemon that lends its shares or draws.
-pub(crate) fn answer(node: &Node, draw: &AcquireRequest) -> AcquireReply {
+/// Answers an acquire request of a daemon, as the allocator.
+pub(crate) fn answer(node: &Node, request: &AcquireRequest) -> AcquireReply {
     let in_force = node.in_force.load();
-    let workspace = draw.workspace.and_then(|id| {
+    let workspace = request.workspace.and_then(|id| {
         let bundle = &in_force.as_ref()?.bundle;
         bundle.workspace(id).cloned()
     });
     let quota = workspace.and_then(|workspace| workspace.quota);
     let limit = quota.map(|quota| node.quota.bucket(quota));
-    let members = members(&lock(&node.membership));
-    lock(&node.quota.accountant).acquire(node.now(), draw, limit, members)
+    let members = member_count(&lock(&node.membership));
+    lock(&node.quota.allocator).acquire(node.now(), request, limit, members)
 }
