--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -159,7 +159,7 @@
     };
     if node.put_in_force(bundle, origin) {
         gossip::announce(node, manifest.version);
-        reports::report_soon(node);
+        reports::spawn_report(node);
     }
     Ok(())
 }
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -59,7 +59,7 @@
 /// Pushes the changed record of this daemon to the neighbours and reports it to the watchers.
 pub(crate) fn push_own_record(node: &Arc<Node>) {
     push_members(node, vec![(**node.own_record.load()).clone()]);
-    reports::report_soon(node);
+    reports::spawn_report(node);
 }
 
 /// Starts leaving for the given cause and notifies the neighbours if the state changed.
--- a/crates/sorrelturn-daemon/src/fleet/reports.rs
+++ b/crates/sorrelturn-daemon/src/fleet/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the watchers of the own failure domain, from which they write its status.
+//! Status reports to the watchers of the own failure domain, which aggregate them.
 
 use crate::{
     fleet::control_client as control,
@@ -9,24 +9,23 @@
 use sorrelturn_protocol::MemberRecord;
 use std::{sync::Arc, time::Duration};
 
-/// How often a daemon looks whether it should report.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reports to the watchers of the own failure domain when nothing was reported for a while.
+/// Reports to the watchers whenever the report interval has elapsed since the last report.
 pub(crate) async fn run_reports(node: Arc<Node>) {
     loop {
         let jitter = 0.75 + fastrand::f64() / 2.0;
-        let due = node.counts.reported.elapsed_since(node.now());
-        if due >= report_interval(node.domain_members()) {
+        let elapsed = node.counts.reported.elapsed_since(node.now());
+        if elapsed >= report_interval(node.domain_members()) {
             report(&node).await;
         }
-        Timer::after(LOOK_EVERY.mul_f64(jitter)).await;
+        Timer::after(CHECK_INTERVAL.mul_f64(jitter)).await;
     }
 }
 
-pub(crate) fn report_soon(node: &Arc<Node>) {
+pub(crate) fn spawn_report(node: &Arc<Node>) {
     if node.settings.routes.is_some() {
-        // Nobody reads the status of failure domains there, and each write is priced.
+        // With a route table, the status of failure domains is not published.
         return;
     }
     let node = Arc::clone(node);
--- a/crates/sorrelturn-daemon/src/fleet/routes.rs
+++ b/crates/sorrelturn-daemon/src/fleet/routes.rs
@@ -1,4 +1,4 @@
-//! The instances that calls can go to, as one snapshot that requests read without a lock.
+//! Snapshot of the instances that calls can be routed to, which requests read without locking.
 
 use crate::{clock::Clock, fleet::peers::PeerLink};
 use sorrelturn_fleet::Membership;
@@ -10,40 +10,41 @@
     time::Duration,
 };
 
-/// One instance with its statistics and its connection.
+/// An instance with its statistics and connections.
 pub(crate) struct Route {
-    /// What it says of itself.
+    /// Member record published by the instance.
     pub(crate) record: MemberRecord,
-    /// What is known here of its load and failures.
+    /// Load and failures observed by this daemon.
     pub(crate) stats: Instance,
-    /// The connection to it.
+    /// Connections to the instance.
     pub(crate) link: PeerLink,
-    /// Another run has answered in its place and is asked who it is.
+    /// Whether another incarnation answered and an exchange with it was started.
     pub(crate) is_incarnation_queried: AtomicBool,
 }
 
-/// A snapshot of all instances.
+/// Snapshot of all instances.
 #[derive(Default)]
 pub(crate) struct Routes {
     by_service: HashMap<String, Vec<Arc<Route>>>,
     by_incarnation: HashMap<Incarnation, Arc<Route>>,
-    /// The services that members belong to or belonged to.
+    /// All services that have or had members.
     services: BTreeSet<String>,
 }
 
 impl Routes {
-    /// How many services there are. One whose last instance stops or is away still counts: where requests
-    /// come from is told by it, and that doesn't change meanwhile.
+    /// Number of services, including those without present instances.
+    ///
+    /// The detection of request origins relies on a number that doesn't fall during a restart or an outage.
     pub(crate) fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// The instances of a service that take calls.
+    /// Live instances of a service.
     pub(crate) fn of_service(&self, service: &str) -> &[Arc<Route>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The part of all VMs with instances that take calls that a service has; all of them where none is known.
+    /// Fraction of all live instances that belong to a service, or 1 if the service has none.
     pub(crate) fn share_of(&self, service: &str) -> f64 {
         let all: usize = self.by_service.values().map(Vec::len).sum();
         let own = self.of_service(service).len();
@@ -53,14 +54,14 @@
         own as f64 / all as f64
     }
 
-    /// The instance of an incarnation, whether it takes new calls or not.
+    /// Instance with the given incarnation, whether or not it accepts new calls.
     pub(crate) fn of_incarnation(&self, incarnation: Incarnation) -> Option<&Arc<Route>> {
         self.by_incarnation.get(&incarnation)
     }
 
-    /// A snapshot of changed members; what is known of unchanged ones stays.
+    /// Builds a new snapshot from the membership and reuses the routes of unchanged members.
     ///
-    /// `cold_start` gives the warm-up time of a service.
+    /// `cold_start` returns the warm-up time of a service.
     pub(crate) fn rebuild(
         &self,
         membership: &Membership,
@@ -72,22 +73,22 @@
             services: self.services.clone(),
             ..Self::default()
         };
-        let known_before = !self.by_incarnation.is_empty();
+        let had_members = !self.by_incarnation.is_empty();
         for record in membership.present() {
             let known = self.by_incarnation.get(&record.incarnation);
             let route = match known {
                 Some(route) if route.record == *record => Arc::clone(route),
                 _ => {
-                    // A daemon that just started knows nobody; all others are warm to it.
-                    let fresh = known.is_none() && known_before;
-                    let warm_up = if fresh {
+                    // For a daemon that has just started, all members are new but count as warmed up.
+                    let is_new = known.is_none() && had_members;
+                    let warm_up = if is_new {
                         cold_start(&record.service)
                     } else {
                         Duration::ZERO
                     };
-                    let near = record.failure_domain == own_domain;
+                    let is_near = record.failure_domain == own_domain;
                     Arc::new(Route {
-                        stats: Instance::new(record.incarnation, near, warm_up, clock.now()),
+                        stats: Instance::new(record.incarnation, is_near, warm_up, clock.now()),
                         link: PeerLink::new(record.peer_addr, clock),
                         is_incarnation_queried: AtomicBool::new(false),
                         record: record.clone(),
--- a/crates/sorrelturn-daemon/src/fleet/suspected_requests.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspected_requests.rs
@@ -1,4 +1,4 @@
-//! What the fleet knows of requests that crash backend servers. See `docs/design/quarantine.md`.
+//! Requests suspected of crashing backend servers, as known to the fleet. See `docs/design/quarantine.md`.
 
 use crate::{
     fleet::gossip,
@@ -19,126 +19,128 @@
     time::Duration,
 };
 
-/// How many names of requests that ran to their end are remembered, 32 KB of them: some ten seconds of the busiest backend
-/// server, in which what is asked for often comes again.
-const PROVEN: usize = 4_096;
-/// So many held requests are named in a line of the log; a crash may have hundreds beside its cause.
-const MOST_NAMED: usize = 16;
+/// Number of slots for fingerprints of completed requests.
+const COMPLETED_CAPACITY: usize = 4_096;
+/// Maximum number of fingerprints in one log line.
+const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// What this daemon knows.
+/// Suspected, quarantined and completed requests known to this daemon.
 pub(crate) struct SuspectedRequests {
     quarantine: Mutex<Quarantine>,
-    /// Whether any request is suspected, which is rare: else requests take no lock for it.
-    any: AtomicBool,
-    /// The last crash of the own backend server.
+    /// Whether any request is suspected. Lets requests skip the lock in the usual case.
+    has_suspects: AtomicBool,
+    /// Last crash of this daemon's backend server.
     own_crash: Mutex<Option<CrashId>>,
-    /// Requests that ran to their end here, each at a place of its own; a later one takes the place.
-    proven: Box<[AtomicU64; PROVEN]>,
+    /// Fingerprints of requests completed here, indexed by fingerprint; a later one overwrites an earlier one.
+    completed: Box<[AtomicU64; COMPLETED_CAPACITY]>,
 }
 
 impl Default for SuspectedRequests {
     fn default() -> Self {
         Self {
             quarantine: Mutex::default(),
-            any: AtomicBool::new(false),
+            has_suspects: AtomicBool::new(false),
             own_crash: Mutex::default(),
-            proven: Box::new(array::from_fn(|_| AtomicU64::new(0))),
+            completed: Box::new(array::from_fn(|_| AtomicU64::new(0))),
         }
     }
 }
 
 impl SuspectedRequests {
-    /// For how long a request is kept from backend servers, if it is.
+    /// Remaining time for which a request is quarantined, or `None` if it isn't.
     pub(crate) fn remaining_quarantine(&self, now: Now, request: RequestNames) -> Option<Duration> {
-        if !self.any.load(Ordering::Relaxed) {
+        if !self.has_suspects.load(Ordering::Relaxed) {
             return None;
         }
         let quarantine = lock(&self.quarantine);
-        let held = request
+        let remaining = request
             .iter()
             .filter_map(|name| quarantine.remaining_quarantine(now, name));
-        held.max()
+        remaining.max()
     }
 
-    /// A sum over all that is known by now; daemons with equal sums know the same.
+    /// Removes expired entries and returns a checksum; daemons with equal checksums have the same entries.
     pub(crate) fn checksum(&self, now: Now) -> u64 {
         let mut quarantine = lock(&self.quarantine);
         quarantine.remove_expired(now);
-        self.any.store(!quarantine.is_empty(), Ordering::Relaxed);
+        self.has_suspects
+            .store(!quarantine.is_empty(), Ordering::Relaxed);
         quarantine.checksum()
     }
 
-    /// All that is known.
+    /// Returns all crashes and cleared requests.
     pub(crate) fn snapshot(&self, now: Now) -> CrashUpdate {
         lock(&self.quarantine).snapshot(now)
     }
 
-    fn place(&self, request: RequestFingerprint) -> &AtomicU64 {
-        &self.proven[request.0 as usize % PROVEN]
+    fn slot(&self, request: RequestFingerprint) -> &AtomicU64 {
+        &self.completed[request.0 as usize % COMPLETED_CAPACITY]
     }
 
-    fn has_run(&self, request: RequestFingerprint) -> bool {
-        self.place(request).load(Ordering::Relaxed) == request.0
+    fn is_completed(&self, request: RequestFingerprint) -> bool {
+        self.slot(request).load(Ordering::Relaxed) == request.0
     }
 }
 
-/// The backend server beside this daemon crashed.
+/// Records a crash of this daemon's backend server.
 pub(crate) fn record_own_crash(node: &Arc<Node>, report: CrashReport) {
     *lock(&node.suspected_requests.own_crash) = Some(report.id);
-    let news = CrashUpdate {
+    let update = CrashUpdate {
         crashes: vec![report],
         cleared: Vec::new(),
     };
-    receive_update(node, &news);
+    receive_update(node, &update);
 }
 
-/// Takes what another daemon knows; what is new here goes on to the neighbours.
-pub(crate) fn receive_update(node: &Arc<Node>, news: &CrashUpdate) {
+/// Merges an update from another daemon and pushes what is new to the neighbours.
+pub(crate) fn receive_update(node: &Arc<Node>, update: &CrashUpdate) {
     let now = node.now();
     let suspects = &node.suspected_requests;
     let mut quarantine = lock(&suspects.quarantine);
     let QuarantineUpdate {
         mut new_reports,
         mut quarantined,
-    } = quarantine.receive(now, news);
+    } = quarantine.receive(now, update);
     suspects
-        .any
+        .has_suspects
         .store(!quarantine.is_empty(), Ordering::Relaxed);
-    // Who has seen it run knows better than those who have seen it at work in crashes.
-    let innocent: Vec<RequestFingerprint> = quarantined
-        .extract_if(.., |request| suspects.has_run(*request))
+    // A completion seen here outweighs reports that the request was in progress during crashes.
+    let cleared: Vec<RequestFingerprint> = quarantined
+        .extract_if(.., |request| suspects.is_completed(*request))
         .filter(|request| quarantine.clear(now, *request))
         .collect();
-    let proof = quarantine.evidence_for(now, &quarantined);
+    let evidence = quarantine.evidence_for(now, &quarantined);
     drop(quarantine);
-    note(node, &events::REQUESTS_HELD, &quarantined);
-    note(node, &events::REQUESTS_CLEARED, &innocent);
-    save_if_own(node, proof);
+    log_requests(node, &events::REQUESTS_HELD, &quarantined);
+    log_requests(node, &events::REQUESTS_CLEARED, &cleared);
+    save_if_own_crash(node, evidence);
     new_reports
         .cleared
-        .extend(innocent.into_iter().map(just_cleared));
+        .extend(cleared.into_iter().map(newly_cleared));
     if !new_reports.is_empty() {
         gossip::push_crash_update(node, new_reports);
     }
 }
 
-/// The daemons beside the backend servers that crashed write down what that proved, and no others.
-fn save_if_own(node: &Arc<Node>, proof: Vec<CrashReport>) {
-    let own = *lock(&node.suspected_requests.own_crash);
-    let Some(own) = own.filter(|own| proof.iter().any(|crash| crash.id == *own)) else {
+/// Saves the evidence for a quarantine if it includes the last crash of this daemon's backend server.
+fn save_if_own_crash(node: &Arc<Node>, evidence: Vec<CrashReport>) {
+    let own_crash = *lock(&node.suspected_requests.own_crash);
+    let Some(own_crash) =
+        own_crash.filter(|own_crash| evidence.iter().any(|crash| crash.id == *own_crash))
+    else {
         return;
     };
-    let save = quarantine::save(Arc::clone(node), own, proof);
+    let save = quarantine::save(Arc::clone(node), own_crash, evidence);
     node.ex.spawn(save).detach();
 }
 
-/// A request ran to its end here, whatever its answer was: it isn't what crashes backend servers.
+/// Records that a request completed here, with any response, and clears it if it is quarantined.
 pub(crate) fn record_completed(node: &Arc<Node>, request: RequestNames) {
     let suspects = &node.suspected_requests;
     for name in request.iter() {
-        suspects.place(name).store(name.0, Ordering::Relaxed);
+        suspects.slot(name).store(name.0, Ordering::Relaxed);
     }
-    if !suspects.any.load(Ordering::Relaxed) {
+    if !suspects.has_suspects.load(Ordering::Relaxed) {
         return;
     }
     let mut quarantine = lock(&suspects.quarantine);
@@ -150,30 +152,30 @@
     if cleared.is_empty() {
         return;
     }
-    note(node, &events::REQUESTS_CLEARED, &cleared);
-    let news = CrashUpdate {
+    log_requests(node, &events::REQUESTS_CLEARED, &cleared);
+    let update = CrashUpdate {
         crashes: Vec::new(),
-        cleared: cleared.into_iter().map(just_cleared).collect(),
+        cleared: cleared.into_iter().map(newly_cleared).collect(),
     };
-    gossip::push_crash_update(node, news);
+    gossip::push_crash_update(node, update);
 }
 
-fn just_cleared(request: RequestFingerprint) -> ClearedRequest {
+fn newly_cleared(request: RequestFingerprint) -> ClearedRequest {
     ClearedRequest { request, age_ms: 0 }
 }
 
-fn note(node: &Node, kind: &'static EventKind, requests: &[RequestFingerprint]) {
+fn log_requests(node: &Node, kind: &'static EventKind, requests: &[RequestFingerprint]) {
     if requests.is_empty() {
         return;
     }
-    let named: Vec<String> = requests
+    let fingerprints: Vec<String> = requests
         .iter()
-        .take(MOST_NAMED)
+        .take(MAX_LOGGED_REQUESTS)
         .map(ToString::to_string)
         .collect();
     let fields = vec![
         Field::new("requests", requests.len()),
-        Field::new("fingerprints", named.join(",")),
+        Field::new("fingerprints", fingerprints.join(",")),
     ];
     node.note(kind, fields);
 }
