--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! Watching the platform for a failure domain. See `docs/design/spread.md`.
+//! Watching the platform's store and VM list on behalf of a failure domain. See `docs/design/spread.md`.
 
 use crate::{
     clock::unix_ms,
@@ -31,51 +31,47 @@
     time::Duration,
 };
 
-/// How often a daemon that stands by asks those before it.
-const RANK_EVERY: Duration = Duration::from_secs(1);
-/// How long one watch waits; a watch counts as a call for the platform.
-const WATCH_TIME: Duration = Duration::from_secs(10);
-/// How often a watcher reads the head besides, because a watch may have stopped silently.
-const READ_EVERY: Duration = Duration::from_secs(2);
-/// The same where calls are priced: a watch that was cut ends with an error, and of the six or more
-/// watchers of a fleet one is enough.
-const PRICED_READ_EVERY: Duration = Duration::from_secs(5);
-/// How long a watch waits where calls are priced: the longest that the users' platform allows.
-const PRICED_WATCH_TIME: Duration = Duration::from_secs(30);
-/// The pause between two watches of the members where calls are priced. Each news ends a watch; when a
-/// fleet starts, all its members are news within seconds. Neighbours tell one another meanwhile.
-const PRICED_NEWS_PAUSE: Duration = Duration::from_secs(1);
-/// The pause after a failed call to the platform.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How often a member is asked whether it is there.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-/// A member that was silent for so long has gone: cuts and pauses of VMs last a few seconds, and until
-/// then it costs its peers a try now and then.
-const SILENCE_OF_THE_GONE: Duration = Duration::from_secs(15);
-/// How often the status of the failure domain is written.
-const STATUS_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which a daemon checks whether those ranked before it are alive.
+const RANK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Duration of one long-poll watch.
+const WATCH_DURATION: Duration = Duration::from_secs(10);
+/// Interval of direct reads, since a watch may have stalled without an error.
+const READ_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval of direct reads if calls to the platform are priced.
+const PRICED_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Duration of one long-poll watch if calls to the platform are priced.
+const PRICED_WATCH_DURATION: Duration = Duration::from_secs(30);
+/// Delay between two watches of the members if calls to the platform are priced. Batches the many updates at the start
+/// of a fleet.
+const PRICED_WATCH_DELAY: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which one member is pinged.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without an answer after which a member is declared gone, longer than usual network partitions and VM pauses.
+const GONE_TIMEOUT: Duration = Duration::from_secs(15);
+const STATUS_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Decides every second whether this daemon watches, and watches.
+/// Watches the platform whenever this daemon is one of the watchers of its failure domain.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        while !is_due(&node).await {
-            Timer::after(RANK_EVERY).await;
+        while !should_watch(&node).await {
+            Timer::after(RANK_CHECK_INTERVAL).await;
         }
         node.counts.watching.store(true, Ordering::Relaxed);
         node.note(&events::WATCHER_STARTED, Vec::new());
-        let until_relieved = async {
-            while is_due(&node).await {
-                Timer::after(RANK_EVERY).await;
+        let until_replaced = async {
+            while should_watch(&node).await {
+                Timer::after(RANK_CHECK_INTERVAL).await;
             }
         };
-        watch_all(&node).or(until_relieved).await;
+        watch_all(&node).or(until_replaced).await;
         node.counts.watching.store(false, Ordering::Relaxed);
         node.note(&events::WATCHER_ENDED, Vec::new());
     }
 }
 
-/// Whether fewer than the wanted number of daemons before this one are alive.
-async fn is_due(node: &Arc<Node>) -> bool {
+/// Whether fewer than [`WATCHER_COUNT`] daemons ranked before this one are alive.
+async fn should_watch(node: &Arc<Node>) -> bool {
     let before: Option<Vec<MemberRecord>> = {
         let membership = lock(&node.membership);
         let ranked = ranked(membership.present(), &node.settings.failure_domain);
@@ -85,17 +81,17 @@
     let Some(before) = before else {
         return false;
     };
-    let mut alive = 0;
+    let mut alive_count = 0;
     for record in before {
-        if alive == WATCHER_COUNT {
+        if alive_count == WATCHER_COUNT {
             break;
         }
-        alive += usize::from(answers(node, &record).await);
+        alive_count += usize::from(is_alive(node, &record).await);
     }
-    alive < WATCHER_COUNT
+    alive_count < WATCHER_COUNT
 }
 
-async fn answers(node: &Arc<Node>, record: &MemberRecord) -> bool {
+async fn is_alive(node: &Arc<Node>, record: &MemberRecord) -> bool {
     control::call(
         node,
         record,
@@ -106,128 +102,136 @@
 }
 
 async fn watch_all(node: &Arc<Node>) {
-    let told = Told::default();
-    let (head_is_silent, restart_head) = channel::bounded(1);
-    let (members_are_silent, restart_members) = channel::bounded(1);
-    let silent = || {
-        // One that is there already says the same.
-        let _ = head_is_silent.try_send(());
-        let _ = members_are_silent.try_send(());
+    let watched = WatchedRevision::default();
+    let (restart_head_tx, restart_head) = channel::bounded(1);
+    let (restart_members_tx, restart_members) = channel::bounded(1);
+    let restart_watches = || {
+        // A full channel already holds a restart request.
+        let _ = restart_head_tx.try_send(());
+        let _ = restart_members_tx.try_send(());
     };
-    let follow = watch_head(node, &told, &restart_head)
-        .or(read_head(node, &told, silent))
+    let watch_store = watch_head(node, &watched, &restart_head)
+        .or(read_head(node, &watched, restart_watches))
         .or(watch_members(node, &restart_members));
     if node.settings.routes.is_some() {
-        return follow.or(sweep(node)).await;
+        return watch_store.or(sweep(node)).await;
     }
-    follow.or(read_vm_list(node)).or(write_status(node)).await;
+    watch_store
+        .or(read_vm_list(node))
+        .or(write_status(node))
+        .await;
 }
 
-/// The revision of the store up to which a watch has told what changed.
+/// Store revision up to which the watch of the head has reported changes.
 #[derive(Default)]
-struct Told(AtomicU64);
+struct WatchedRevision(AtomicU64);
 
-/// Waits for changes under a prefix, for ever. When `silent` says so, the watch that waits isn't heard any
-/// more and is left.
-async fn follow(
+/// Watches a prefix indefinitely and passes changes to `on_changes`.
+///
+/// A message on `restart` abandons the current watch, which has stalled, and starts with a new list.
+async fn watch_prefix(
     node: &Arc<Node>,
     prefix: &str,
-    pause_after: Duration,
-    silent: &Receiver<()>,
-    changed: impl Fn(Changes),
+    delay_after: Duration,
+    restart: &Receiver<()>,
+    on_changes: impl Fn(Changes),
 ) {
     let mut since = None;
-    let mut lost = false;
-    let wait = match node.settings.routes {
-        Some(_) => PRICED_WATCH_TIME,
-        None => WATCH_TIME,
+    let mut is_lost = false;
+    let duration = match node.settings.routes {
+        Some(_) => PRICED_WATCH_DURATION,
+        None => WATCH_DURATION,
     };
     loop {
         let result = match since {
             None => node.platform.list(prefix).await,
             Some(since) => {
-                let left = async {
-                    let _ = silent.recv().await;
+                let restarted = async {
+                    let _ = restart.recv().await;
                     Err(PlatformError::WatchStalled)
                 };
-                node.platform.watch(prefix, since, wait).or(left).await
+                node.platform
+                    .watch(prefix, since, duration)
+                    .or(restarted)
+                    .await
             }
         };
-        note_platform(node, &mut lost, result.as_ref().err());
+        log_platform_state(node, &mut is_lost, result.as_ref().err());
         match result {
             Ok(changes) => {
                 since = Some(changes.revision);
                 store::log_unreadable_entries(node, prefix, &changes);
-                changed(changes);
-                Timer::after(pause_after).await;
+                on_changes(changes);
+                Timer::after(delay_after).await;
             }
             Err(_) => {
                 since = None;
-                pause().await;
+                wait_before_retry().await;
             }
         }
     }
 }
 
-async fn pause() {
-    Timer::after(RETRY_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+async fn wait_before_retry() {
+    Timer::after(RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
 }
 
-fn note_platform(node: &Node, lost: &mut bool, error: Option<&PlatformError>) {
-    match (error, *lost) {
+fn log_platform_state(node: &Node, is_lost: &mut bool, error: Option<&PlatformError>) {
+    match (error, *is_lost) {
         (Some(error), false) => {
             node.note(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
         }
         (None, true) => node.note(&events::PLATFORM_BACK, Vec::new()),
         _ => {}
     }
-    *lost = error.is_some();
+    *is_lost = error.is_some();
 }
 
-async fn watch_head(node: &Arc<Node>, told: &Told, silent: &Receiver<()>) {
+async fn watch_head(node: &Arc<Node>, watched: &WatchedRevision, restart: &Receiver<()>) {
     let head = head_key(node).to_owned();
-    follow(node, &head, Duration::ZERO, silent, |changes| {
-        told.0.store(changes.revision, Ordering::Relaxed);
+    watch_prefix(node, &head, Duration::ZERO, restart, |changes| {
+        watched.0.store(changes.revision, Ordering::Relaxed);
         for object in changes.objects {
-            heard_head(node, &object);
+            receive_head(node, &object);
         }
     })
     .await;
 }
 
-/// Reads the head now and then. If it is newer than what the watch has told, the watch is silent, and the
-/// others on their way to the store are likely to be.
-async fn read_head(node: &Arc<Node>, told: &Told, silent: impl Fn()) {
-    let pause = match node.settings.routes {
-        Some(_) => PRICED_READ_EVERY,
-        None => READ_EVERY,
+/// Reads the head periodically and restarts all watches if it is newer than what the watch has reported.
+///
+/// If one watch has stalled, the other watches have probably stalled too.
+async fn read_head(node: &Arc<Node>, watched: &WatchedRevision, restart_watches: impl Fn()) {
+    let interval = match node.settings.routes {
+        Some(_) => PRICED_READ_INTERVAL,
+        None => READ_INTERVAL,
     };
     loop {
-        Timer::after(pause.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        Timer::after(interval.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         if let Some(routes) = &node.settings.routes {
             let read = knowledge::read_table(node, &routes.object).await;
-            if node.knowledge.newest() > told.0.load(Ordering::Relaxed) {
-                silent();
+            if node.knowledge.newest() > watched.0.load(Ordering::Relaxed) {
+                restart_watches();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
                 node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
             }
         } else if let Ok(Some(object)) = node.platform.get(head_key(node)).await {
-            if object.version > told.0.load(Ordering::Relaxed) {
-                silent();
+            if object.version > watched.0.load(Ordering::Relaxed) {
+                restart_watches();
             }
-            heard_head(node, &object);
+            receive_head(node, &object);
         }
     }
 }
 
-/// The object by which a new bundle is noticed.
+/// Key of the object that changes with each new bundle or route table.
 fn head_key(node: &Node) -> &str {
     let routes = node.settings.routes.as_ref();
     routes.map_or(keys::BUNDLE_HEAD, |routes| &routes.object)
 }
 
-fn heard_head(node: &Arc<Node>, object: &Object) {
+fn receive_head(node: &Arc<Node>, object: &Object) {
     let value = object.value.as_str();
     if node.settings.routes.is_some() {
         match fetch::take_routes(node, value) {
@@ -245,18 +249,18 @@
             &events::BUNDLE_REFUSED,
             vec![Field::new(
                 "error",
-                "the head in the store is not signed by a trusted operator",
+                "the bundle head in the store is not signed by a trusted operator",
             )],
         ),
     }
 }
 
-async fn watch_members(node: &Arc<Node>, silent: &Receiver<()>) {
-    let pause_after = match node.settings.routes {
-        Some(_) => PRICED_NEWS_PAUSE,
+async fn watch_members(node: &Arc<Node>, restart: &Receiver<()>) {
+    let delay_after = match node.settings.routes {
+        Some(_) => PRICED_WATCH_DELAY,
         None => Duration::ZERO,
     };
-    follow(node, keys::MEMBERS, pause_after, silent, |changes| {
+    watch_prefix(node, keys::MEMBERS, delay_after, restart, |changes| {
         for object in changes.objects {
             if let Some(record) = member_record::read(node, &object) {
                 gossip::receive_member_record(node, record);
@@ -267,9 +271,9 @@
 }
 
 async fn read_vm_list(node: &Arc<Node>) {
-    let mut not_believed = Vec::new();
+    let mut rejected_services = Vec::new();
     loop {
-        Timer::after(READ_EVERY).await;
+        Timer::after(READ_INTERVAL).await;
         let Ok(vms) = node.platform.vms().await else {
             continue;
         };
@@ -277,42 +281,43 @@
             .iter()
             .map(|vm| (vm.instance.as_str(), vm.state == VmState::Leaving))
             .collect();
-        let advice = diff_vm_list(
+        let diff = diff_vm_list(
             &lock(&node.membership),
             &node.settings.failure_domain,
             &listed,
         );
-        if advice.rejected_services != not_believed && !listed.is_empty() {
-            for service in &advice.rejected_services {
+        if diff.rejected_services != rejected_services && !listed.is_empty() {
+            for service in &diff.rejected_services {
                 let fields = vec![Field::new("service", service)];
                 node.note(&events::VM_LIST_NOT_BELIEVED, fields);
             }
         }
-        act_on(node, &advice).await;
-        not_believed = advice.rejected_services;
+        apply_vm_list(node, &diff).await;
+        rejected_services = diff.rejected_services;
     }
 }
 
-/// Takes members out that answer nobody, where no list tells which VMs there are. One member of the
-/// own failure domain is asked each time, so the cost doesn't grow with the fleet.
+/// Removes unresponsive members if the platform has no VM list.
+///
+/// Pings one member of the own failure domain at a time, so that the cost doesn't grow with the fleet.
 async fn sweep(node: &Arc<Node>) {
-    let mut silent_since: BTreeMap<String, Now> = BTreeMap::new();
+    let mut unresponsive_since: BTreeMap<String, Now> = BTreeMap::new();
     let mut last = String::new();
     loop {
-        Timer::after(SWEEP_EVERY).await;
+        Timer::after(SWEEP_INTERVAL).await;
         let Some(record) = next_member(node, &last) else {
             continue;
         };
         last.clone_from(&record.instance);
-        if answers(node, &record).await {
-            silent_since.remove(&record.instance);
+        if is_alive(node, &record).await {
+            unresponsive_since.remove(&record.instance);
             continue;
         }
-        let since = *silent_since
+        let since = *unresponsive_since
             .entry(record.instance.clone())
             .or_insert_with(|| node.now());
-        if node.now() >= since + SILENCE_OF_THE_GONE {
-            silent_since.remove(&record.instance);
+        if node.now() >= since + GONE_TIMEOUT {
+            unresponsive_since.remove(&record.instance);
             let fields = vec![Field::new("member", &record.instance)];
             node.note(&events::MEMBER_SWEPT, fields);
             declare_gone(node, record).await;
@@ -320,21 +325,22 @@
     }
 }
 
-/// The present member of the own failure domain after `last`, itself left out.
+/// Returns the next present member of the own failure domain after `last` by name, wrapping around and excluding this
+/// daemon.
 fn next_member(node: &Node, last: &str) -> Option<MemberRecord> {
     let membership = lock(&node.membership);
-    let of_domain = || {
+    let domain_members = || {
         membership
             .present()
             .filter(|record| record.failure_domain == node.settings.failure_domain)
             .filter(|record| record.instance != node.settings.instance)
     };
-    let next = of_domain().find(|record| record.instance.as_str() > last);
-    next.or_else(|| of_domain().next()).cloned()
+    let next = domain_members().find(|record| record.instance.as_str() > last);
+    next.or_else(|| domain_members().next()).cloned()
 }
 
-async fn act_on(node: &Arc<Node>, advice: &VmListDiff) {
-    for (instances, leaving) in [(&advice.leaving, true), (&advice.staying, false)] {
+async fn apply_vm_list(node: &Arc<Node>, diff: &VmListDiff) {
+    for (instances, leaving) in [(&diff.leaving, true), (&diff.staying, false)] {
         for instance in instances {
             let record = lock(&node.membership).get(instance).cloned();
             if let Some(record) = record {
@@ -345,17 +351,17 @@
             }
         }
     }
-    for instance in &advice.unlisted {
+    for instance in &diff.unlisted {
         let record = lock(&node.membership).get(instance).cloned();
         if let Some(record) = record
-            && !answers(node, &record).await
+            && !is_alive(node, &record).await
         {
             declare_gone(node, record).await;
         }
     }
 }
 
-/// A member that is neither listed nor answers has gone.
+/// Marks a member as gone, both in the fleet and in the store.
 async fn declare_gone(node: &Arc<Node>, mut record: MemberRecord) {
     record.sequence += 1;
     record.state = MemberState::Gone;
@@ -367,10 +373,10 @@
 
 async fn write_status(node: &Arc<Node>) {
     loop {
-        Timer::after(STATUS_EVERY.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        Timer::after(STATUS_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let domain = &node.settings.failure_domain;
         let instance = &node.settings.instance;
-        let silence = silence_timeout(node.domain_members());
+        let timeout = silence_timeout(node.domain_members());
         let status = {
             let membership = lock(&node.membership);
             let mut view = lock(&node.view);
@@ -379,7 +385,7 @@
                     .get(instance)
                     .is_some_and(|record| record.state != MemberState::Gone)
             });
-            view.status(node.now(), silence, domain, instance, unix_ms())
+            view.status(node.now(), timeout, domain, instance, unix_ms())
         };
         let value = serde_json::to_string(&status).unwrap_or_default();
         let key = keys::status(domain);
