--- a/crates/sorrelturn-daemon/src/store/member_record.rs
+++ b/crates/sorrelturn-daemon/src/store/member_record.rs
@@ -1,5 +1,4 @@
-//! Member records in the platform's store: what the next run of this daemon, and daemons that start
-//! while this one is silent, know of it.
+//! Member records in the platform's store, which the next incarnation of this daemon and other starting daemons read.
 
 use crate::node::Node;
 use smol::{Timer, future::FutureExt};
@@ -8,15 +7,17 @@
 use sorrelturn_telemetry::{Field, events};
 use std::time::Duration;
 
-/// Reads a member's record. What somebody else wrote under these keys, or what can't be read, names no member: a line
-/// in the log says so, and the other records hold.
+/// Parses a member record. Logs and skips an object that is unreadable or stored under the key of another instance.
 pub(crate) fn read(node: &Node, object: &Object) -> Option<MemberRecord> {
     let record = serde_json::from_str::<MemberRecord>(&object.value)
         .map_err(|error| error.to_string())
         .and_then(
             |record| match keys::member(&record.instance) == object.key {
                 true => Ok(record),
-                false => Err(format!("it is of instance {:?}", record.instance)),
+                false => Err(format!(
+                    "the record belongs to instance {:?}",
+                    record.instance
+                )),
             },
         );
     record
@@ -27,7 +28,7 @@
         .ok()
 }
 
-/// Writes a member's record.
+/// Writes a member record.
 pub(crate) async fn put(
     node: &Node,
     record: &MemberRecord,
@@ -39,8 +40,7 @@
     written.map(drop).map_err(|error| error.to_string())
 }
 
-/// Writes the own record where the store was seen to have none, which saves a call; if there is one by
-/// now, as [`write_own`] does.
+/// Creates the own record, which saves a call if the store has none. Otherwise behaves as [`write_own`].
 pub(crate) async fn create_own(node: &Node) -> bool {
     let record = node.own_record.load_full();
     if put(node, &record, Expected::Absent).await.is_err() {
@@ -49,9 +49,9 @@
     node.own_record.load().sequence == record.sequence
 }
 
-/// Writes the own record as it is now.
+/// Writes the current own record and logs a failure.
 ///
-/// Returns whether the store has the newest one; if not, a line in the log says why.
+/// Returns whether the store has the latest record.
 pub(crate) async fn write_own(node: &Node) -> bool {
     let record = node.own_record.load_full();
     if let Err(error) = put(node, &record, Expected::Anything).await {
@@ -61,23 +61,24 @@
     node.own_record.load().sequence == record.sequence
 }
 
-/// Waits for a write of the own record, and no longer than `limit`; if that is over, a line in the log
-/// says so. Returns whether the store has the record.
+/// Waits for a write of the own record for at most `timeout` and logs if it doesn't finish in time.
+///
+/// Returns whether the store has the record.
 pub(crate) async fn write_within(
     node: &Node,
-    limit: Duration,
+    timeout: Duration,
     write: impl Future<Output = bool>,
 ) -> bool {
-    let too_late = async {
-        Timer::after(limit).await;
-        let error = format!("no answer within {limit:?}");
+    let timed_out = async {
+        Timer::after(timeout).await;
+        let error = format!("no response within {timeout:?}");
         log_unsaved(node, &node.own_record.load(), error);
         false
     };
-    write.or(too_late).await
+    write.or(timed_out).await
 }
 
-/// Says in the log that the store doesn't have this state of a record, and why.
+/// Logs why the current state of a record couldn't be saved.
 pub(crate) fn log_unsaved(node: &Node, record: &MemberRecord, error: String) {
     let fields = vec![
         Field::new("member", &record.instance),
--- a/crates/sorrelturn-daemon/src/store/mod.rs
+++ b/crates/sorrelturn-daemon/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! What outlives a process in the platform's store.
+//! State that is persisted in the platform's store.
 
 pub(crate) mod member_record;
 pub(crate) mod outcomes;
@@ -8,7 +8,7 @@
 use sorrelturn_platform::Changes;
 use sorrelturn_telemetry::{Field, events};
 
-/// Says in the log how many entries of a list or a watch couldn't be read at all; all others hold.
+/// Logs the number of unreadable entries in the result of a list or a watch. The other entries remain valid.
 pub(crate) fn log_unreadable_entries(node: &Node, prefix: &str, changes: &Changes) {
     if changes.left_out > 0 {
         let fields = vec![
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of tokens on their way into the platform's store, off the path of requests.
+//! Background writes of token outcomes to the platform's store.
 //! See `docs/design/at-most-once.md`.
 
 use crate::node::{Node, lock};
@@ -9,25 +9,21 @@
 use sorrelturn_telemetry::{Field, events};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// The shortest time between two rounds of writes.
-const LEAST_PAUSE: Duration = Duration::from_secs(1);
-/// The rounds that the whole fleet makes in a second at the most. A round writes the one or two
-/// segments that are new; the store takes several hundred writes, and bindings of callers' keys
-/// come first.
-const FLEET_ROUNDS_PER_SECOND: usize = 50;
-/// How often a closing record is tried.
-const CLOSING_TRIES: u32 = 5;
-/// How often a segment is tried in one round: a lost answer costs two, since the version is unknown.
-const SEGMENT_TRIES: u32 = 3;
+const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum rate of write rounds in the whole fleet, which leaves capacity of the store for bindings of callers' keys.
+const MAX_FLEET_ROUNDS_PER_SECOND: usize = 50;
+const MAX_CLOSING_ATTEMPTS: u32 = 5;
+/// Attempts per segment and round. A lost response costs two, since the stored version is then unknown.
+const MAX_SEGMENT_ATTEMPTS: u32 = 3;
 
-/// The versions of the segments in the store. Whoever holds it is the only one who writes.
+/// Versions of the segments in the store. The lock on them serializes all writes.
 #[derive(Default)]
 pub(crate) struct SegmentVersions(BTreeMap<u64, u64>);
 
-/// Writes new outcomes now and then, and deletes those that nobody can ask for any more.
+/// Periodically writes new outcomes and deletes expired segments.
 pub(crate) async fn run(node: Arc<Node>) {
     loop {
-        Timer::after(pause(&node)).await;
+        Timer::after(write_delay(&node)).await;
         let expired = {
             let mut ledger = lock(&node.ledger);
             ledger.evict_expired(node.now());
@@ -45,21 +41,21 @@
     }
 }
 
-/// Writes the closing record of a planned stop; from then on an unlisted token is not run.
+/// Writes the closing record before a planned stop. With it, a token without a recorded outcome counts as not run.
 pub(crate) async fn close(node: &Node) {
     lock(&node.ledger).close();
-    for _ in 0..CLOSING_TRIES {
-        // Nobody else may have taken a segment that is not written yet.
+    for _ in 0..MAX_CLOSING_ATTEMPTS {
+        // The lock waits until another task has written the segments that it took.
         let mut versions = node.segment_versions.lock().await;
-        if save(node, &mut versions).await && write_closing(node).await {
+        if save(node, &mut versions).await && write_closing_record(node).await {
             return;
         }
         drop(versions);
-        Timer::after(LEAST_PAUSE / 4).await;
+        Timer::after(MIN_WRITE_INTERVAL / 4).await;
     }
 }
 
-async fn write_closing(node: &Node) -> bool {
+async fn write_closing_record(node: &Node) -> bool {
     let Some(closing) = lock(&node.ledger).closing_record() else {
         return false;
     };
@@ -69,29 +65,30 @@
     written.is_ok()
 }
 
-fn pause(node: &Node) -> Duration {
+fn write_delay(node: &Node) -> Duration {
     let members = lock(&node.membership).present().count();
-    let share = Duration::from_secs((members / FLEET_ROUNDS_PER_SECOND) as u64);
-    let pause = LEAST_PAUSE.max(share);
-    pause.mul_f64(0.75 + fastrand::f64() / 2.0)
+    let fleet_interval = Duration::from_secs((members / MAX_FLEET_ROUNDS_PER_SECOND) as u64);
+    let delay = MIN_WRITE_INTERVAL.max(fleet_interval);
+    delay.mul_f64(0.75 + fastrand::f64() / 2.0)
 }
 
-/// Returns whether nothing is unsaved any more.
+/// Writes all unsaved segments. Returns whether every write succeeded.
 async fn save(node: &Node, versions: &mut SegmentVersions) -> bool {
     let unsaved = lock(&node.ledger).take_unsaved();
-    let mut saved = true;
+    let mut all_saved = true;
     for segment in unsaved {
         if let Err(error) = write(node, versions, &segment).await {
             lock(&node.ledger).mark_unsaved(segment.number);
             node.note(&events::OUTCOMES_UNSAVED, vec![Field::new("error", error)]);
-            saved = false;
+            all_saved = false;
         }
     }
-    saved
+    all_saved
 }
 
-/// Writes a segment over the version that was written last, and no other: a write whose answer was
-/// lost may take effect seconds later, and must not put fewer outcomes in the place of more.
+/// Writes a segment with a compare-and-swap on the last written version.
+///
+/// A write whose response was lost may take effect seconds later and must not replace a segment with an older one.
 async fn write(
     node: &Node,
     versions: &mut SegmentVersions,
@@ -99,31 +96,31 @@
 ) -> Result<(), PlatformError> {
     let value = serde_json::to_string(segment).unwrap_or_default();
     let key = keys::outcomes(node.incarnation, segment.number);
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let known = versions.0.get(&segment.number).copied();
         let expected = known.map_or(Expected::Absent, Expected::Version);
-        tries += 1;
+        attempts += 1;
         match node.platform.put(&key, &value, expected).await {
             Ok(version) => {
                 versions.0.insert(segment.number, version);
                 return Ok(());
             }
-            Err(PlatformError::Conflict(version)) if tries < SEGMENT_TRIES => {
+            Err(PlatformError::Conflict(version)) if attempts < MAX_SEGMENT_ATTEMPTS => {
                 versions.0.insert(segment.number, version);
             }
-            Err(PlatformError::AnswerLost(_)) if tries < SEGMENT_TRIES => {}
+            Err(PlatformError::AnswerLost(_)) if attempts < MAX_SEGMENT_ATTEMPTS => {}
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Deletes what an earlier run of this instance recorded, once none of its tokens can be asked for.
+/// Deletes the outcomes of an earlier incarnation of this instance after its tokens have expired.
 pub(crate) async fn delete_earlier_incarnation(node: Arc<Node>, earlier: Incarnation) {
     let ttl = Duration::from_secs(node.settings.once.ttl_s);
     Timer::after(ttl + SEGMENT_DURATION).await;
-    // Without the closing record nothing is called not run, whatever segments are left; whoever has
-    // just read it still finds them.
+    // Without the closing record, a token without an outcome no longer counts as not run. The segments follow after a
+    // delay for readers that have just read the closing record.
     if node
         .platform
         .delete(&keys::closing_record(earlier))
@@ -133,10 +130,10 @@
         return;
     }
     Timer::after(SEGMENT_DURATION).await;
-    let Ok(left) = node.platform.list(&keys::outcomes_prefix(earlier)).await else {
+    let Ok(remaining) = node.platform.list(&keys::outcomes_prefix(earlier)).await else {
         return;
     };
-    for object in left.objects {
+    for object in remaining.objects {
         let _ = node.platform.delete(&object.key).await;
     }
 }
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -1,5 +1,4 @@
-//! Requests that are held, in the platform's store: all daemons may be killed at once, and then nobody remembers what
-//! crashed backend servers. See `docs/design/quarantine.md`.
+//! Persisted evidence for quarantined requests, which survives a restart of all daemons. See `docs/design/quarantine.md`.
 
 use crate::{clock::unix_ms, fleet::suspected_requests, node::Node, store};
 use serde::{Deserialize, Serialize};
@@ -9,73 +8,73 @@
 use sorrelturn_telemetry::{Field, events};
 use std::{sync::Arc, time::Duration};
 
-/// After a call that failed, the next one follows so much later, and then after twice as long each time: the store's
-/// outages last for seconds to minutes.
-const AGAIN_AFTER: Duration = Duration::from_secs(1);
-const AGAIN_AFTER_MOST: Duration = Duration::from_secs(30);
-/// A record is removed by whoever reads it at so great an age: twice what is learnt counts for, since the times of
-/// day of two VMs differ.
-const REMOVED_AFTER: Duration = Duration::from_secs(1_200);
+/// Delay after the first failed call to the store; doubles with each further failure.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
+/// Age at which a record is removed when read. Longer than crash reports are valid, to tolerate clock differences between
+/// VMs.
+const RECORD_RETENTION: Duration = Duration::from_secs(1_200);
 
-/// What one crash proved: the crashes that had the same requests at work.
+/// Evidence saved for one crash: all crashes during which the same requests were in progress.
 #[derive(Debug, Serialize, Deserialize)]
 struct Record {
-    /// When it was written, in milliseconds since the Unix epoch. No other clock outlives all daemons.
+    /// Time of the write in milliseconds since the Unix epoch.
     written_ms: u64,
     crashes: Vec<CrashReport>,
 }
 
-/// Writes down the proof against requests that are held, until the store has it.
-pub(crate) async fn save(node: Arc<Node>, by: CrashId, proof: Vec<CrashReport>) {
+/// Saves the evidence against quarantined requests, with retries until the store accepts it.
+pub(crate) async fn save(node: Arc<Node>, crash: CrashId, evidence: Vec<CrashReport>) {
     let record = Record {
         written_ms: unix_ms(),
-        crashes: proof,
+        crashes: evidence,
     };
-    let key = keys::quarantine(by);
+    let key = keys::quarantine(crash);
     let value = serde_json::to_string(&record).unwrap_or_default();
-    let mut pause = AGAIN_AFTER;
+    let mut delay = INITIAL_RETRY_DELAY;
     while let Err(error) = node.platform.put(&key, &value, Expected::Anything).await {
         let fields = vec![Field::new("key", &key), Field::new("error", error)];
         node.note(&events::QUARANTINE_UNSAVED, fields);
-        Timer::after(pause).await;
-        pause = (pause * 2).min(AGAIN_AFTER_MOST);
+        Timer::after(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Reads what earlier runs of the fleet wrote down, as soon as the store answers.
+/// Loads the evidence saved by earlier incarnations, with retries until the store responds.
 pub(crate) async fn read(node: Arc<Node>) {
-    let mut pause = AGAIN_AFTER;
+    let mut delay = INITIAL_RETRY_DELAY;
     let objects = loop {
         match node.platform.list(keys::QUARANTINE).await {
             Ok(changes) => {
                 store::log_unreadable_entries(&node, keys::QUARANTINE, &changes);
                 break changes.objects;
             }
-            // The watch of the store says in the log that it is away.
-            Err(_) => Timer::after(pause).await,
+            // The watch of the store logs the outage.
+            Err(_) => Timer::after(delay).await,
         };
-        pause = (pause * 2).min(AGAIN_AFTER_MOST);
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     };
-    let mut news = CrashUpdate::default();
+    let mut update = CrashUpdate::default();
     for object in &objects {
-        let Some(record) = read_one(&node, object) else {
+        let Some(record) = parse_record(&node, object) else {
             continue;
         };
-        // A clock that was set back makes nothing younger than new.
+        // The age is zero if the clock was set back.
         let age_ms = unix_ms().saturating_sub(record.written_ms);
-        if u128::from(age_ms) >= REMOVED_AFTER.as_millis() {
+        if u128::from(age_ms) >= RECORD_RETENTION.as_millis() {
             remove(&node, object).await;
         }
-        news.crashes
+        update
+            .crashes
             .extend(record.crashes.into_iter().map(|crash| CrashReport {
                 age_ms: crash.age_ms.saturating_add(age_ms),
                 ..crash
             }));
     }
-    suspected_requests::receive_update(&node, &news);
+    suspected_requests::receive_update(&node, &update);
 }
 
-fn read_one(node: &Node, object: &Object) -> Option<Record> {
+fn parse_record(node: &Node, object: &Object) -> Option<Record> {
     let record = serde_json::from_str::<Record>(&object.value);
     record
         .map_err(|error| {
@@ -87,7 +86,7 @@
 
 async fn remove(node: &Node, object: &Object) {
     if let Err(error) = node.platform.delete(&object.key).await {
-        // Whoever reads it next removes it.
+        // The next reader tries again.
         let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
         node.note(&events::QUARANTINE_UNSAVED, fields);
     }
