--- a/crates/sorrelturn-daemon/tests/reports.rs
+++ b/crates/sorrelturn-daemon/tests/reports.rs
@@ -1,18 +1,18 @@
-//! Reports about backend servers as anybody may write them: what can't be read names none, and nothing panics.
+//! Guards against panics and misread fields when backend servers send malformed reports.
 
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use sorrelturn_daemon::{read_deregistration, read_heartbeat};
 
-fn whole() -> Value {
+fn complete_report() -> Value {
     json!({
         "service": "a", "address": "10.1.0.8:80", "zone": "z", "version": "v1", "slots": 36, "state": "ready",
         "cold_remaining": 0, "sequence": 4, "born": 1_793_099_597_338_u64,
     })
 }
 
-/// Reports that were found to be read wrongly, or might be; each names no backend server.
-const KEPT: [&str; 12] = [
+/// Malformed reports that must be refused.
+const MALFORMED_REPORTS: [&str; 12] = [
     "",
     "null",
     "[]",
@@ -28,20 +28,23 @@
 ];
 
 #[test]
-fn a_whole_report_is_read_and_fields_of_no_use_are_passed_over() {
-    let heartbeat = read_heartbeat(whole().to_string().as_bytes()).expect("it is whole");
+fn a_complete_report_is_read_and_unknown_fields_are_ignored() {
+    let heartbeat =
+        read_heartbeat(complete_report().to_string().as_bytes()).expect("the heartbeat is valid");
     assert_eq!(heartbeat.born, Some(1_793_099_597_338));
     assert_eq!(heartbeat.slots, 36);
 }
 
 #[test]
-fn reports_that_were_kept_name_no_backend_server() {
-    for text in KEPT {
+fn malformed_reports_are_refused() {
+    for text in MALFORMED_REPORTS {
         assert!(read_heartbeat(text.as_bytes()).is_err(), "{text}");
     }
     assert!(read_heartbeat(&[0xff, 0xfe, b'{']).is_err());
     assert_eq!(
-        read_deregistration(b"").expect("it says nothing").born,
+        read_deregistration(b"")
+            .expect("an empty deregistration is valid")
+            .born,
         None
     );
     assert!(read_deregistration(b"{\"born\":\"x\"}").is_err());
@@ -61,24 +64,24 @@
 
 proptest! {
     #[test]
-    fn bytes_of_any_sort_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = read_heartbeat(&bytes);
         let _ = read_deregistration(&bytes);
     }
 
-    /// One field at a time is missing or holds something else: what is read then holds what was written.
+    /// One field is missing or has an arbitrary value. An accepted report must contain exactly the value that was sent.
     #[test]
-    fn a_field_that_is_missing_or_of_another_type_is_never_made_up(
+    fn a_missing_or_mistyped_field_is_never_invented(
         field in prop::sample::select(vec!["service", "state", "sequence", "slots", "born"]),
-        other in prop::option::of(any_value()),
+        replacement in prop::option::of(any_value()),
     ) {
-        let mut report = whole();
+        let mut report = complete_report();
         let fields = report.as_object_mut().expect("an object");
-        match &other {
+        match &replacement {
             None => { fields.remove(field); }
             Some(value) => { fields.insert(field.to_owned(), value.clone()); }
         }
-        match (read_heartbeat(report.to_string().as_bytes()), &other) {
+        match (read_heartbeat(report.to_string().as_bytes()), &replacement) {
             (Err(_), _) => {}
             (Ok(heartbeat), None | Some(Value::Null)) => {
                 prop_assert_eq!(field, "born");
