--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -4,7 +4,7 @@
 //! connection that breaks while others last, or while a new one can be opened, is a fault of the network or of one answer.
 
 use crate::{
-    fleet::suspected_requests,
+    fleet::suspects,
     node::{Node, lock},
 };
 use smol::{Timer, future::FutureExt, lock::OnceCell, net::TcpStream};
@@ -192,5 +192,5 @@
         age_ms: 0,
         running,
     };
-    suspected_requests::record_own_crash(node, report);
+    suspects::record_own_crash(node, report);
 }
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -6,7 +6,7 @@
     fleet::gossip,
     fleet::metered::Metered,
     fleet::quota,
-    fleet::suspected_requests,
+    fleet::suspects,
     net::serve::{Accepted, Closing},
     net::stream::BoxStream,
     node::{Node, lock},
@@ -120,7 +120,7 @@
     }
 
     async fn update_crashes(self, _: context::Context, update: CrashUpdate) {
-        suspected_requests::receive_update(&self.node, &update);
+        suspects::receive_update(&self.node, &update);
     }
 
     async fn manifest(self, _: context::Context) -> Option<SignedManifest> {
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -9,7 +9,7 @@
     fleet::control_client::{self as control, ControlError},
     fleet::next_incarnation,
     fleet::reports,
-    fleet::suspected_requests,
+    fleet::suspects,
     node::{Node, lock},
 };
 use smol::Timer;
@@ -206,7 +206,7 @@
     fetch::heard_version(node, reply.version, Source::Peer(peer.instance.clone()));
     knowledge::told(node, sent, reply.version, reply.knowledge_age_ms);
     if let Some(theirs) = reply.crashes {
-        suspected_requests::receive_update(node, &theirs);
+        suspects::receive_update(node, &theirs);
         let ours = node.suspected_requests.snapshot(node.now());
         control::call(node, peer, |client, cx| async move {
             client.update_crashes(cx, ours).await
--- a/crates/sorrelturn-daemon/src/fleet/mod.rs
+++ b/crates/sorrelturn-daemon/src/fleet/mod.rs
@@ -10,5 +10,5 @@
 pub(crate) mod quota;
 pub(crate) mod reports;
 pub(crate) mod routes;
-pub(crate) mod suspected_requests;
+pub(crate) mod suspects;
 pub(crate) mod watch;
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -78,10 +78,10 @@
     }
 }
 
-/// Admits a request of a workspace by consuming one grant of its quota.
+/// Consumes one grant of a workspace's quota for a request.
 ///
 /// Returns the refusal if the quota is used up or no allocator answers.
-pub(crate) async fn admit(
+pub(crate) async fn consume(
     node: &Arc<Node>,
     workspace: &WorkspaceEntry,
     request: RequestId,
--- a/crates/sorrelturn-daemon/src/fleet/suspected_requests.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -31,7 +31,7 @@
     has_suspects: AtomicBool,
     /// Last crash of this daemon's backend server.
     own_crash: Mutex<Option<CrashId>>,
-    /// Fingerprints of requests completed here, indexed by fingerprint; a later one overwrites an earlier one.
+    /// Fingerprints of requests completed here, indexed by fingerprint. A later one overwrites an earlier one.
     completed: Box<[AtomicU64; COMPLETED_CAPACITY]>,
 }
 
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -329,14 +329,14 @@
 /// daemon.
 fn next_member(node: &Node, last: &str) -> Option<MemberRecord> {
     let membership = lock(&node.membership);
-    let domain_members = || {
+    let others_in_domain = || {
         membership
             .present()
             .filter(|record| record.failure_domain == node.settings.failure_domain)
             .filter(|record| record.instance != node.settings.instance)
     };
-    let next = domain_members().find(|record| record.instance.as_str() > last);
-    next.or_else(|| domain_members().next()).cloned()
+    let next = others_in_domain().find(|record| record.instance.as_str() > last);
+    next.or_else(|| others_in_domain().next()).cloned()
 }
 
 async fn apply_vm_list(node: &Arc<Node>, diff: &VmListDiff) {
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -12,7 +12,7 @@
     fleet::control_client::ControlLinks,
     fleet::quota::Quota,
     fleet::routes::Routes,
-    fleet::suspected_requests::SuspectedRequests,
+    fleet::suspects::SuspectedRequests,
     net::connections::Connections,
     net::stream::FleetKeys,
     net::timers::Timers,
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -6,7 +6,7 @@
     backend::state::{self, Routed, Word},
     clock::unix_ns,
     config::in_force::InForce,
-    fleet::{gossip, suspected_requests},
+    fleet::{gossip, suspects},
     net::pool::{Lease, SendError},
     node::{Carried, Node, lock},
     operators::export,
@@ -394,7 +394,7 @@
                 if whole {
                     lease.give_back();
                     at_work.ended();
-                    suspected_requests::record_completed(&hop.node, hop.context.names);
+                    suspects::record_completed(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
                     slot.release(if whole { outcome } else { Outcome::Cancelled });
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -162,7 +162,7 @@
     // Only what runs counts against a quota, so it is taken last: else a workspace that presses would pay for what is
     // refused for lack of room as well, and get next to nothing.
     if let Some(workspace) = &asked.workspace {
-        quota::admit(node, workspace, request).await?;
+        quota::consume(node, workspace, request).await?;
     }
     Ok(asked)
 }
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -15,7 +15,7 @@
     fleet::quota::{self, Quota},
     fleet::reports,
     fleet::routes::Routes,
-    fleet::suspected_requests::SuspectedRequests,
+    fleet::suspects::SuspectedRequests,
     fleet::watch,
     net::connections::Connections,
     net::listeners::Listeners,
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -1,6 +1,6 @@
 //! Persisted evidence for quarantined requests, which survives a restart of all daemons. See `docs/design/quarantine.md`.
 
-use crate::{clock::unix_ms, fleet::suspected_requests, node::Node, store};
+use crate::{clock::unix_ms, fleet::suspects, node::Node, store};
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 use sorrelturn_platform::{Expected, Object, keys};
@@ -71,7 +71,7 @@
                 ..crash
             }));
     }
-    suspected_requests::receive_update(&node, &update);
+    suspects::receive_update(&node, &update);
 }
 
 fn parse_record(node: &Node, object: &Object) -> Option<Record> {
