--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -216,7 +216,7 @@
     let Some(theirs) = reply.members else {
         return Ok(());
     };
-    // The membership may have changed since the digest was sent, so compare with the current one.
+    // The peer may have learned of this daemon through this exchange, so compare the digests again.
     let differing = lock(&node.membership).digest().differing(&theirs);
     let requested = differing.clone();
     let records = control::call(node, peer, |client, cx| async move {
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -1,4 +1,5 @@
-//! Persisted evidence for quarantined requests, which survives a restart of all daemons. See `docs/design/quarantine.md`.
+//! Persisted evidence for quarantined requests, which survives a restart of all daemons.
+//! See `docs/design/quarantine.md`.
 
 use crate::{clock::unix_ms, fleet::suspects, node::Node, store};
 use serde::{Deserialize, Serialize};
@@ -11,8 +12,8 @@
 /// Delay after the first failed call to the store; doubles with each further failure.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Age at which a record is removed when read. Longer than crash reports are valid, to tolerate clock differences between
-/// VMs.
+/// Age at which a record is removed when read. Longer than crash reports are valid, to tolerate clock differences
+/// between VMs.
 const RECORD_RETENTION: Duration = Duration::from_secs(1_200);
 
 /// Evidence saved for one crash: all crashes during which the same requests were in progress.
