--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -192,5 +192,5 @@
         age_ms: 0,
         running,
     };
-    suspects::crashed_here(node, report);
+    suspects::record_own_crash(node, report);
 }
--- a/crates/sorrelturn-daemon/src/fleet/mod.rs
+++ b/crates/sorrelturn-daemon/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! Which daemons there are, and what they tell one another.
+//! Fleet membership and communication between daemons.
 
 pub(crate) mod control;
 pub(crate) mod control_client;
 pub(crate) mod gossip;
 pub(crate) mod join;
 pub(crate) mod metered;
-pub(crate) mod next_run;
+pub(crate) mod next_incarnation;
 pub(crate) mod peers;
 pub(crate) mod quota;
 pub(crate) mod reports;
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -5,7 +5,7 @@
     config::fetch,
     config::in_force::{InForce, KindState},
     config::knowledge,
-    fleet::next_run,
+    fleet::next_incarnation,
     fleet::routes::Route,
     node::{Node, lock},
     operators::export,
@@ -134,7 +134,9 @@
     if call.context.token.is_some() {
         return None;
     }
-    let remaining = node.suspects.held_for(node.now(), call.context.names)?;
+    let remaining = node
+        .suspected_requests
+        .remaining_quarantine(node.now(), call.context.names)?;
     node.events.record(
         &events::REFUSED,
         Some(call.context.request),
@@ -166,7 +168,7 @@
     }
     let was_unresponsive = matches!(result, Err(Failure::NeverArrived | Failure::AnswerLost));
     if in_flight.finish(instance_report(&result)) {
-        route.link.forget();
+        route.link.drop_idle();
         node.note(
             &events::EJECTED,
             vec![Field::new("member", &route.record.instance)],
@@ -332,7 +334,7 @@
 ) {
     if answer.incarnation != route.record.incarnation {
         if answer.incarnation != Incarnation::default() {
-            next_run::met(node, route);
+            next_incarnation::query_new_incarnation(node, route);
         }
         return;
     }
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -94,8 +94,8 @@
 
     /// Whether the request is quarantined because it crashes backend servers.
     fn is_quarantined(&self) -> bool {
-        let suspects = &self.node.suspects;
-        let remaining = suspects.held_for(self.node.now(), self.context.names);
+        let suspects = &self.node.suspected_requests;
+        let remaining = suspects.remaining_quarantine(self.node.now(), self.context.names);
         remaining.is_some()
     }
 
@@ -397,7 +397,7 @@
                 if is_complete {
                     lease.give_back();
                     in_progress.ended();
-                    suspects::ran_whole(&hop.node, hop.context.names);
+                    suspects::record_completed(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
                     slot.release(if is_complete {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -109,7 +109,7 @@
 fn is_call(node: &Node, routed: &Routed, kind: &str) -> bool {
     let routes = node.routes.load();
     let share_of = |service: &str| routes.share_of(service);
-    lock(&routed.origins).are_calls(kind, routes.services(), share_of)
+    lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
 /// Builds an entry for a kind that this daemon's route table lacks. The daemon where the request entered
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -161,7 +161,7 @@
     admit(node, routed, &resolved, &state, phase)?;
     // The quota comes last, so that requests refused by load shedding don't count against it.
     if let Some(workspace) = &resolved.workspace {
-        quota::take(node, workspace, request).await?;
+        quota::consume(node, workspace, request).await?;
     }
     Ok(resolved)
 }
