--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -1,11 +1,14 @@
-//! The interface for the own backend server and for whoever asks whether this daemon is ready.
+//! The listener for announcements of the own backend server, and the readiness endpoint.
 //!
-//! A backend server tells once in a while which run it is and whether it takes work. That it leaves
-//! is acknowledged only once the next run of this daemon would know it, too.
+//! A backend server announces its incarnation and its state at intervals. That it is leaving is
+//! acknowledged only after the state is in the platform's store, so that the next incarnation
+//! of this daemon knows it, too.
 
 use crate::{
     backend::report::{read_deregistration, read_heartbeat},
-    backend::state::{self, Routed, answered_by, heard, heard_slots, slots_of},
+    backend::state::{
+        self, Routed, announced_slots, receive_announcement, record_answering_backend, update_slots,
+    },
     net::serve::status,
     node::Node,
     request::body::{self, Body},
@@ -20,17 +23,14 @@
 use sorrelturn_protocol::{Announcement, BackendState};
 use std::{sync::Arc, time::Duration};
 
-/// The largest announcement, in bytes.
-const ANNOUNCEMENT_LIMIT_BYTES: usize = 4 << 10;
-/// An acknowledgement comes within this time, whatever the store does: backend servers wait for a
-/// second at most, and neighbours know by then.
-const ACKNOWLEDGE_TIME: Duration = Duration::from_millis(600);
-/// A probe that takes longer says nothing.
-const PROBE_TIME: Duration = Duration::from_secs(1);
-/// Between two looks whether the backend server was announced.
-const PROBE_PAUSE: Duration = Duration::from_millis(200);
-/// The most probes of one start: they are priced, and an announcement comes within seconds.
-const MOST_PROBES: u32 = 3;
+const MAX_ANNOUNCEMENT_BYTES: usize = 4 << 10;
+/// The time within which an announcement is acknowledged, even if the store doesn't respond.
+/// Backend servers wait for 1 s at most.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(600);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// The maximum number of probes after a start.
+const MAX_PROBES: u32 = 3;
 
 /// Answers `POST /backend/ID/heartbeat` and `POST /backend/ID/deregister`.
 pub(crate) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
@@ -39,112 +39,117 @@
     };
     let path = req.uri().path().to_owned();
     let mut parts = path.trim_start_matches('/').split('/');
-    let place = (parts.next(), parts.next(), parts.next(), parts.next());
-    let (Some("backend"), Some(id), Some(call), None) = place else {
+    let segments = (parts.next(), parts.next(), parts.next(), parts.next());
+    let (Some("backend"), Some(id), Some(operation), None) = segments else {
         return status(StatusCode::NOT_FOUND);
     };
     if *req.method() != Method::POST {
         return status(StatusCode::METHOD_NOT_ALLOWED);
     }
     let id = id.to_owned();
-    if !matches!(call, "heartbeat" | "deregister") {
+    if !matches!(operation, "heartbeat" | "deregister") {
         return status(StatusCode::NOT_FOUND);
     }
-    let call = call.to_owned();
-    let report = match read(req).await {
-        Some(bytes) if call == "heartbeat" => of_heartbeat(node, id, &bytes),
-        Some(bytes) => of_deregistration(id, &bytes),
-        None => Err("it is too large or was cut".to_owned()),
+    let operation = operation.to_owned();
+    let report = match read_body(req).await {
+        Some(bytes) if operation == "heartbeat" => parse_heartbeat(node, id, &bytes),
+        Some(bytes) => parse_deregistration(id, &bytes),
+        None => Err("the body is too large or incomplete".to_owned()),
     };
     match report {
-        Ok((news, slots)) => take(node, routed, news, slots).await,
-        Err(reason) => refused(node, routed, &reason),
+        Ok((announcement, slots)) => accept_announcement(node, routed, announcement, slots).await,
+        Err(reason) => refuse(node, routed, &reason),
     }
 }
 
-/// What a heartbeat says: the news, and the slots.
-fn of_heartbeat(node: &Node, id: String, bytes: &[u8]) -> Result<(Announcement, u32), String> {
+/// Returns the announcement in a heartbeat and the number of slots.
+fn parse_heartbeat(node: &Node, id: String, bytes: &[u8]) -> Result<(Announcement, u32), String> {
     let heartbeat = read_heartbeat(bytes)?;
     if heartbeat.service != node.settings.service {
         return Err(format!(
-            "it is of service {:?}, and this is {:?}",
+            "the service is {:?}, expected {:?}",
             heartbeat.service, node.settings.service
         ));
     }
-    let news = Announcement {
+    let announcement = Announcement {
         id,
         born: heartbeat.born,
         state: heartbeat.state,
         sequence: heartbeat.sequence,
     };
-    Ok((news, heartbeat.slots))
+    Ok((announcement, heartbeat.slots))
 }
 
-fn of_deregistration(id: String, bytes: &[u8]) -> Result<(Announcement, u32), String> {
-    let news = Announcement {
+fn parse_deregistration(id: String, bytes: &[u8]) -> Result<(Announcement, u32), String> {
+    let announcement = Announcement {
         id,
         born: read_deregistration(bytes)?.born,
         state: BackendState::Gone,
         sequence: u64::MAX,
     };
-    Ok((news, 0))
+    Ok((announcement, 0))
 }
 
-/// Takes an announcement. Only what leaves is acknowledged late, and only once it is known to those who must know.
-async fn take(node: &Arc<Node>, routed: &Routed, news: Announcement, slots: u32) -> Response<Body> {
-    let leaves = news.state != BackendState::Ready;
-    match heard(node, routed, news) {
+/// Applies an announcement. One that the backend server is leaving is acknowledged once it is
+/// saved, or after [`ACKNOWLEDGE_TIMEOUT`].
+async fn accept_announcement(
+    node: &Arc<Node>,
+    routed: &Routed,
+    announcement: Announcement,
+    slots: u32,
+) -> Response<Body> {
+    let leaving = announcement.state != BackendState::Ready;
+    match receive_announcement(node, routed, announcement) {
         PresenceChange::Foreign => return status(StatusCode::BAD_REQUEST),
-        // An acknowledgement would bind a run that nothing follows for.
-        PresenceChange::Unconfirmed if leaves => return status(StatusCode::SERVICE_UNAVAILABLE),
-        PresenceChange::Outdated | PresenceChange::Unconfirmed => return accepted(),
+        // An acknowledgement would promise that the backend server gets no more requests.
+        PresenceChange::Unconfirmed if leaving => return status(StatusCode::SERVICE_UNAVAILABLE),
+        PresenceChange::Outdated | PresenceChange::Unconfirmed => return ok_response(),
         PresenceChange::NoChange | PresenceChange::NowReady | PresenceChange::NowLeaving => {}
     }
-    heard_slots(node, routed, slots);
-    if leaves {
+    update_slots(node, routed, slots);
+    if leaving {
         let save = state::save(node, routed);
-        member_record::within(node, ACKNOWLEDGE_TIME, save).await;
+        member_record::within(node, ACKNOWLEDGE_TIMEOUT, save).await;
     }
-    accepted()
+    ok_response()
 }
 
-fn accepted() -> Response<Body> {
+fn ok_response() -> Response<Body> {
     Response::new(body::full("{}"))
 }
 
-/// Malformed news changes nothing.
-fn refused(node: &Node, routed: &Routed, reason: &str) -> Response<Body> {
-    state::note_foreign(node, routed, reason);
+/// Refuses a malformed report; the known state stays.
+fn refuse(node: &Node, routed: &Routed, reason: &str) -> Response<Body> {
+    state::log_foreign_report(node, routed, reason);
     let mut res = Response::new(body::full(format!("{reason}\n")));
     *res.status_mut() = StatusCode::BAD_REQUEST;
     res
 }
 
-async fn read(req: Request<Incoming>) -> Option<Bytes> {
-    let body = Limited::new(req.into_body(), ANNOUNCEMENT_LIMIT_BYTES);
+async fn read_body(req: Request<Incoming>) -> Option<Bytes> {
+    let body = Limited::new(req.into_body(), MAX_ANNOUNCEMENT_BYTES);
     Some(body.collect().await.ok()?.to_bytes())
 }
 
-/// Answers whether this daemon is ready for callers' requests.
+/// Responds whether this daemon is ready for requests of callers.
 pub(crate) async fn ready(node: &Arc<Node>, _: Request<Incoming>) -> Response<Body> {
-    let stops = node.ending.has_begun();
-    let knows = node.in_force.load().is_some();
-    status(if knows && !stops {
+    let is_stopping = node.ending.has_begun();
+    let has_bundle = node.in_force.load().is_some();
+    status(if has_bundle && !is_stopping {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
     })
 }
 
-/// Asks the backend server once who it is, so that a daemon that starts anew beside it needn't wait
-/// for its next announcement.
+/// Probes the backend server after a start, instead of waiting for its next announcement.
 pub(crate) async fn find_backend(node: Arc<Node>) {
     let Some(routed) = &node.routed else {
         return;
     };
     let mut probes = 0;
-    while routed.current().is_none() && probes < MOST_PROBES {
-        Timer::after(PROBE_PAUSE).await;
+    while routed.current().is_none() && probes < MAX_PROBES {
+        Timer::after(PROBE_INTERVAL).await;
         let in_force = node.in_force.load_full();
         let path = in_force
             .as_ref()
@@ -164,13 +169,13 @@
     let Ok(req) = Request::get(path).body(Bytes::new()) else {
         return;
     };
-    let Ok(res) = exchange(node.settings.backend.address, req, PROBE_TIME).await else {
+    let Ok(res) = exchange(node.settings.backend.address, req, PROBE_TIMEOUT).await else {
         return;
     };
     if res.status().is_success() {
-        if let Some(slots) = slots_of(routed, res.headers()) {
-            heard_slots(node, routed, slots);
+        if let Some(slots) = announced_slots(routed, res.headers()) {
+            update_slots(node, routed, slots);
         }
-        answered_by(node, routed, res.headers());
+        record_answering_backend(node, routed, res.headers());
     }
 }
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -1,7 +1,9 @@
-//! Whether the backend server crashed, and what it was working on. See `docs/design/quarantine.md`.
+//! Detects crashes of the backend server and reports the requests in progress. See
+//! `docs/design/quarantine.md`.
 //!
-//! When a backend server's process ends, all its connections break at once, and nobody listens at its port. A
-//! connection that breaks while others last, or while a new one can be opened, is a fault of the network or of one answer.
+//! When the process of a backend server ends, all its connections close at once and its port
+//! refuses new ones. A connection that closes while others stay open, or while a new one can be
+//! opened, is a fault of the network or of a single response.
 
 use crate::{
     fleet::suspects,
@@ -18,66 +20,65 @@
     time::Duration,
 };
 
-/// The other connections of a process that ended are seen to be closed within this time; one that is still open after
-/// it spares a new connection, which backend servers pay for.
-const OTHERS_CLOSE: Duration = Duration::from_millis(5);
-/// A port on the own VM refuses or takes a connection within a fraction of this; one that is silent says nothing of a
-/// crash.
-const ASK_TIME: Duration = Duration::from_millis(100);
-/// What else was at work breaks off within this time, in which a daemon handles hundreds of closed connections. It is
-/// told of in a second message; what comes later still in a third, after another look.
-const COLLECT_TIME: Duration = Duration::from_millis(30);
-
-/// What was given up on is suspected as well if the backend server is found to have crashed within this time: some go on
-/// with a request whose deadline is over or whose caller has gone, and some seconds pass until the next run is there.
-const GIVEN_UP_KEPT: Duration = Duration::from_secs(5);
-/// The most of it: what is given up on in that time by a daemon whose backend server stands still with all slots taken.
-const MOST_GIVEN_UP: usize = 512;
-
-/// What broke off at the backend server beside this daemon.
+/// The time for the other connections of a process that ended to be seen as closed.
+const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(5);
+/// A port on the same VM accepts or refuses connections well within this time. A timeout is no
+/// sign of a crash.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// The time in which further interrupted requests are collected for a second report.
+const COLLECT_DURATION: Duration = Duration::from_millis(30);
+
+/// Abandoned requests are suspected, too, if a crash is detected within this time: the backend
+/// server may still run them.
+const ABANDONED_RETENTION: Duration = Duration::from_secs(5);
+/// The maximum number of retained abandoned requests.
+const MAX_ABANDONED: usize = 512;
+
+/// Interrupted and abandoned requests at the backend server, and its last crash.
 #[derive(Default)]
 pub(crate) struct Crashes(Mutex<State>);
 
 #[derive(Default)]
 struct State {
-    /// The look at the backend server that is going on.
-    look: Option<Arc<Look>>,
+    /// The check in progress.
+    check: Option<Arc<CrashCheck>>,
     last: Option<LastCrash>,
-    /// What was given up on lately, oldest first.
-    given_up: VecDeque<(Now, RequestNames)>,
+    /// Requests that were abandoned lately, oldest first.
+    abandoned: VecDeque<(Now, RequestNames)>,
 }
 
 impl State {
-    /// What was given up on so lately that it may be at work still.
-    fn take_given_up(&mut self, now: Now) -> impl Iterator<Item = RequestFingerprint> + use<> {
-        let given_up = std::mem::take(&mut self.given_up);
-        let lately = move |at: Now| at + GIVEN_UP_KEPT >= now;
-        let names = given_up.into_iter().filter(move |(at, _)| lately(*at));
+    /// Removes all abandoned requests and returns those that may still be in progress.
+    fn take_abandoned(&mut self, now: Now) -> impl Iterator<Item = RequestFingerprint> + use<> {
+        let abandoned = std::mem::take(&mut self.abandoned);
+        let is_recent = move |at: Now| at + ABANDONED_RETENTION >= now;
+        let names = abandoned.into_iter().filter(move |(at, _)| is_recent(*at));
         names.flat_map(|(_, request)| request.iter())
     }
 }
 
-/// The last crash, and how many connections had been opened to the backend server by then.
+/// The last crash, and how many connections had been opened before it.
 struct LastCrash {
     id: CrashId,
     opened: u64,
 }
 
-/// One look whether the backend server is there, on behalf of all exchanges that broke off with it.
+/// A check whether the backend server has ended, shared by all exchanges that were interrupted.
 #[derive(Default)]
-struct Look {
-    broke: Mutex<Vec<RequestFingerprint>>,
+struct CrashCheck {
+    interrupted: Mutex<Vec<RequestFingerprint>>,
     is_gone: OnceCell<bool>,
 }
 
-/// A request that the backend server may be running, until its exchange has ended; dropped before that, it was given up on.
-pub(crate) struct AtWork {
+/// A request that the backend server may be running. If it is dropped before
+/// [`Self::mark_finished`], the request counts as abandoned.
+pub(crate) struct BackendRequestGuard {
     node: Arc<Node>,
     request: RequestNames,
     has_ended: bool,
 }
 
-impl AtWork {
+impl BackendRequestGuard {
     pub(crate) fn new(node: &Arc<Node>, request: RequestNames) -> Self {
         Self {
             node: Arc::clone(node),
@@ -86,96 +87,99 @@
         }
     }
 
-    /// The backend server has answered it as a whole, or broke off, or never had it.
-    pub(crate) fn ended(mut self) {
+    /// Records that the backend server responded completely, interrupted the exchange or never
+    /// received the request.
+    pub(crate) fn mark_finished(mut self) {
         self.has_ended = true;
     }
 }
 
-impl Drop for AtWork {
+impl Drop for BackendRequestGuard {
     fn drop(&mut self) {
         if self.has_ended {
             return;
         }
         let mut state = lock(&self.node.crashes.0);
-        if state.given_up.len() >= MOST_GIVEN_UP {
-            state.given_up.pop_front();
+        if state.abandoned.len() >= MAX_ABANDONED {
+            state.abandoned.pop_front();
         }
-        state.given_up.push_back((self.node.now(), self.request));
+        state.abandoned.push_back((self.node.now(), self.request));
     }
 }
 
-/// Another run is there, and the one before never said that it leaves: it crashed, also if nothing broke off with it.
-pub(crate) fn was_replaced(node: &Arc<Node>) {
+/// Reports a crash: another incarnation is ready, and the one before never announced that it was
+/// leaving.
+pub(crate) fn report_replaced(node: &Arc<Node>) {
     report(node, false);
 }
 
-/// An exchange broke off while the backend server may have been running its request. Returns whether it crashed.
-pub(crate) async fn broke_off(node: &Arc<Node>, request: RequestNames) -> bool {
-    let look = {
+/// Returns whether the backend server has crashed, after an exchange was interrupted while it may
+/// have been running `request`.
+pub(crate) async fn check_for_crash(node: &Arc<Node>, request: RequestNames) -> bool {
+    let check = {
         let mut state = lock(&node.crashes.0);
-        let look = state.look.get_or_insert_with(|| start_look(node));
-        lock(&look.broke).extend(request.iter());
-        Arc::clone(look)
+        let check = state.check.get_or_insert_with(|| start_check(node));
+        lock(&check.interrupted).extend(request.iter());
+        Arc::clone(check)
     };
-    *look.is_gone.wait().await
+    *check.is_gone.wait().await
 }
 
-/// Looks at the backend server in a task of its own, since whoever asked may go away meanwhile.
-fn start_look(node: &Arc<Node>) -> Arc<Look> {
-    let look = Arc::<Look>::default();
-    let (node, started) = (Arc::clone(node), Arc::clone(&look));
+/// Runs the check in a task of its own, since the request that needs it may be cancelled.
+fn start_check(node: &Arc<Node>) -> Arc<CrashCheck> {
+    let check = Arc::<CrashCheck>::default();
+    let (node, started) = (Arc::clone(node), Arc::clone(&check));
     let ex = Arc::clone(&node.ex);
-    ex.spawn(async move { look_at(&node, &started).await })
+    ex.spawn(async move { run_check(&node, &started).await })
         .detach();
-    look
+    check
 }
 
-/// Finds out whether the backend server is gone, and reports what broke off if it is.
-async fn look_at(node: &Arc<Node>, look: &Look) {
+/// Checks whether the backend server has ended, and reports the interrupted requests if so.
+async fn run_check(node: &Arc<Node>, check: &CrashCheck) {
     let is_gone = is_gone(node).await;
     if !is_gone {
-        lock(&node.crashes.0).look = None;
+        lock(&node.crashes.0).check = None;
     }
-    // Nobody else sets it.
-    let _ = look.is_gone.set(is_gone).await;
+    // Only this task sets it.
+    let _ = check.is_gone.set(is_gone).await;
     if is_gone {
         report(node, false);
-        Timer::after(COLLECT_TIME).await;
+        Timer::after(COLLECT_DURATION).await;
         report(node, true);
     }
 }
 
 async fn is_gone(node: &Node) -> bool {
-    Timer::after(OTHERS_CLOSE).await;
+    Timer::after(CLOSE_DETECTION_DELAY).await;
     if node.backend.has_open_connection() {
         return false;
     }
     let connect = TcpStream::connect(node.settings.backend.address);
-    let too_long = async {
-        Timer::after(ASK_TIME).await;
+    let timed_out = async {
+        Timer::after(CONNECT_TIMEOUT).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let connected = connect.or(too_long).await;
+    let connected = connect.or(timed_out).await;
     connected.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Tells the fleet of the crash. Until a connection could be opened again, it is the one that was told of before.
-/// With `ends`, what breaks off from now on is looked into anew.
-fn report(node: &Arc<Node>, ends: bool) {
+/// Reports the crash to the fleet. It keeps its id until a connection could be opened again. If
+/// `is_final`, requests that are interrupted later start a new check.
+fn report(node: &Arc<Node>, is_final: bool) {
     let opened = node.backend.connections_opened();
     let (id, running) = {
         let mut state = lock(&node.crashes.0);
-        let look = if ends {
-            state.look.take()
+        let check = if is_final {
+            state.check.take()
         } else {
-            state.look.clone()
+            state.check.clone()
         };
-        let running = look.map(|look| std::mem::take(&mut *lock(&look.broke)));
+        let running = check.map(|check| std::mem::take(&mut *lock(&check.interrupted)));
         let mut running = running.unwrap_or_default();
-        running.extend(state.take_given_up(node.now()));
-        let same = state.last.as_ref().filter(|last| last.opened == opened);
-        let id = same.map_or_else(|| CrashId(fastrand::u64(..)), |last| last.id);
+        running.extend(state.take_abandoned(node.now()));
+        let same_crash = state.last.as_ref().filter(|last| last.opened == opened);
+        let id = same_crash.map_or_else(|| CrashId(fastrand::u64(..)), |last| last.id);
         state.last = Some(LastCrash { id, opened });
         (id, running)
     };
--- a/crates/sorrelturn-daemon/src/backend/link.rs
+++ b/crates/sorrelturn-daemon/src/backend/link.rs
@@ -1,4 +1,4 @@
-//! The connections to the own backend server, no more than the bundle says it takes.
+//! The connections to the own backend server, limited to the number in the bundle.
 
 use crate::{
     clock::Clock,
@@ -19,101 +19,104 @@
     time::Duration,
 };
 
-/// Before a bundle says how many connections the backend server takes, none is needed.
+/// No connections are opened before a bundle states their limit.
 const CONNECTIONS_BEFORE_BUNDLE: usize = 0;
 
 /// The connections to the backend server.
 pub(crate) struct Backend {
     clock: Clock,
     addr: SocketAddr,
-    connect_time: Duration,
+    connect_timeout: Duration,
     pool: Arc<Pool>,
     opened: AtomicU64,
 }
 
-/// The head of an answer.
-pub(crate) struct Answered {
+/// The head of a response.
+pub(crate) struct BackendResponse {
     pub(crate) res: Response<Incoming>,
     pub(crate) lease: Lease,
-    /// The request was sent over two connections, so what one of them says isn't said of both.
+    /// Whether the request was sent over two connections. A refusal over one of them then says
+    /// nothing about the other.
     pub(crate) sent_twice: bool,
 }
 
 impl Backend {
-    pub(crate) fn new(addr: SocketAddr, connect_time: Duration, clock: Clock) -> Self {
+    pub(crate) fn new(addr: SocketAddr, connect_timeout: Duration, clock: Clock) -> Self {
         Self {
             clock,
             addr,
-            connect_time,
+            connect_timeout,
             pool: Pool::new(CONNECTIONS_BEFORE_BUNDLE, clock),
             opened: AtomicU64::new(0),
         }
     }
 
-    /// Takes over what a new bundle says.
+    /// Applies the connection limit of a new bundle.
     pub(crate) fn reconfigure(&self, connections: u32) {
-        self.pool.set_most(connections as usize);
+        self.pool.set_max_open(connections as usize);
     }
 
-    /// Takes over how long the backend server says that it lets connections rest, as in
-    /// `timeout=10, max=100`.
-    pub(crate) fn heard_keep_alive(&self, keep_alive: &str) {
+    /// Applies the idle timeout in a `keep-alive` header, as in `timeout=10, max=100`.
+    pub(crate) fn set_keep_alive(&self, keep_alive: &str) {
         let timeout = keep_alive
             .split(',')
             .find_map(|part| part.trim().strip_prefix("timeout="));
         if let Some(seconds) = timeout.and_then(|text| text.trim().parse().ok()) {
-            self.pool.closes_after(Duration::from_secs(seconds));
+            self.pool
+                .set_peer_idle_timeout(Duration::from_secs(seconds));
         }
     }
 
-    /// Whether a connection that rests is open, as far as this end knows.
+    /// Returns whether an idle connection is open, as far as this end knows.
     pub(crate) fn has_open_connection(&self) -> bool {
-        self.pool.has_open()
+        self.pool.has_open_idle()
     }
 
-    /// How many connections could be opened so far.
+    /// Returns the number of connections opened so far.
     pub(crate) fn connections_opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// Drops the idle connections: they lead to a backend server that has ended.
-    pub(crate) fn forget_idle(&self) {
-        self.pool.forget_idle();
+    /// Drops the idle connections, which lead to a backend server that has ended.
+    pub(crate) fn drop_idle(&self) {
+        self.pool.drop_idle();
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
-    /// If that is overdue on a connection that had rested, and none as old brings an answer, the path may be
-    /// silent: the request is sent once more, if `again` gave a copy and `pays` allows it, and the first answer counts.
-    /// The first sending goes on, since it may be slow only. See `docs/design/silent-connections.md`.
+    /// If the response is overdue on a reused connection, and no other connection of that age
+    /// gets a response, the path may be broken without a reset. The request is then sent once
+    /// more if `make_copy` gave a copy and `may_send_again` allows it, and the first response
+    /// counts. The first attempt continues, since it may only be slow. See
+    /// `docs/design/silent-connections.md`.
     pub(crate) async fn send(
         &self,
         ex: &Executor<'static>,
         timers: &Timers,
         req: Request<Body>,
-        again: impl FnOnce(&Request<Body>) -> Option<Request<Body>>,
-        pays: impl FnOnce() -> bool,
-    ) -> Result<Answered, SendError> {
-        if !self.pool.rests() {
-            // It goes over a new connection.
+        make_copy: impl FnOnce(&Request<Body>) -> Option<Request<Body>>,
+        may_send_again: impl FnOnce() -> bool,
+    ) -> Result<BackendResponse, SendError> {
+        if !self.pool.has_idle() {
+            // It uses a new connection.
             return self.send_once(ex, req).await;
         }
-        let copy = again(&req);
+        let copy = make_copy(&req);
         let sent = self.clock.now();
         let mut first = pin!(self.send_once(ex, req));
-        let in_doubt = async {
-            self.pool.in_doubt(timers, sent).await;
+        let suspect = async {
+            self.pool.wait_until_suspect(timers, sent).await;
             None
         };
         let in_time = async { Some(first.as_mut().await) };
-        if let Some(result) = in_time.or(in_doubt).await {
+        if let Some(result) = in_time.or(suspect).await {
             return result;
         }
-        self.pool.forget_unheard_since(sent);
-        let Some(copy) = copy.filter(|_| pays()) else {
+        self.pool.drop_idle_unanswered_since(sent);
+        let Some(copy) = copy.filter(|_| may_send_again()) else {
             return first.await;
         };
-        // Boxed, since it is rare: each request would take the memory for it.
+        // Boxed to keep the future of the common case small.
         let mut second = Box::pin(self.send_once(ex, copy));
         let by_first = async { (first.as_mut().await, true) };
         let by_second = async { (second.as_mut().await, false) };
@@ -122,8 +125,8 @@
             (Err(_), true) => second.await,
             (Err(_), false) => first.await,
         };
-        // Whatever became of the one, the other may have run.
-        let mut answered = answered.map_err(|_| SendError::Broke)?;
+        // Whichever attempt failed, the other one may have run.
+        let mut answered = answered.map_err(|_| SendError::Interrupted)?;
         answered.sent_twice = true;
         Ok(answered)
     }
@@ -132,7 +135,7 @@
         &self,
         ex: &Executor<'static>,
         req: Request<Body>,
-    ) -> Result<Answered, SendError> {
+    ) -> Result<BackendResponse, SendError> {
         let connect = || async {
             let tcp = TcpStream::connect(self.addr).await?;
             tcp.set_nodelay(true)?;
@@ -142,8 +145,11 @@
                 socket: tcp,
             })
         };
-        let (res, lease) = self.pool.send(ex, req, self.connect_time, connect).await?;
-        Ok(Answered {
+        let (res, lease) = self
+            .pool
+            .send(ex, req, self.connect_timeout, connect)
+            .await?;
+        Ok(BackendResponse {
             res,
             lease,
             sent_twice: false,
--- a/crates/sorrelturn-daemon/src/backend/mod.rs
+++ b/crates/sorrelturn-daemon/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! The backend server beside the daemon: connections, and what it says about itself.
+//! The backend server beside the daemon: connections, announcements and crash detection.
 
 pub(crate) mod announce;
 pub(crate) mod crash;
--- a/crates/sorrelturn-daemon/src/backend/report.rs
+++ b/crates/sorrelturn-daemon/src/backend/report.rs
@@ -1,39 +1,40 @@
-//! What backend servers write about themselves, read without trust: whoever reaches the port can write there.
+//! The reports of backend servers. They are untrusted: anyone who reaches the port can send
+//! them.
 
 use serde::Deserialize;
 use sorrelturn_protocol::BackendState;
 
-/// What a backend server sends. A report without one of these fields, or with another type in it, is somebody else's
-/// and names no backend server. What is written is read but not all of it is of use here.
+/// A heartbeat. A report that lacks a field without a default, or has a field of another type, is
+/// rejected; unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 pub struct Heartbeat {
-    /// The service that it belongs to.
+    /// The service that the backend server belongs to.
     pub service: String,
-    /// Whether it takes work.
+    /// Whether the backend server accepts requests.
     pub state: BackendState,
-    /// Rises with each announcement of a run.
+    /// Increases with each announcement of an incarnation.
     pub sequence: u64,
-    /// How many requests it works on at once.
+    /// The number of requests that run concurrently.
     pub slots: u32,
-    /// When this run started, in milliseconds since the Unix epoch.
+    /// The start of this incarnation, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
-/// What a backend server may send when it is about to end.
+/// The body that a backend server may send before it ends.
 #[derive(Debug, Default, Deserialize)]
 pub struct Deregistration {
-    /// When this run started, in milliseconds since the Unix epoch.
+    /// The start of this incarnation, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
-/// Reads a heartbeat; the error says what can't be read.
+/// Parses a heartbeat; the error says what is malformed.
 pub fn read_heartbeat(bytes: &[u8]) -> Result<Heartbeat, String> {
     serde_json::from_slice(bytes).map_err(|error| error.to_string())
 }
 
-/// Reads what comes with a deregistration, which may be nothing; the error says what can't be read.
+/// Parses the body of a deregistration, which may be empty; the error says what is malformed.
 pub fn read_deregistration(bytes: &[u8]) -> Result<Deregistration, String> {
     if bytes.is_empty() {
         return Ok(Deregistration::default());
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -1,5 +1,5 @@
-//! What is known of the backend server beside this daemon, where backend servers announce
-//! themselves: which run it is, whether it takes work, and how many slots it has.
+//! The state of the backend server beside this daemon, where backend servers announce
+//! themselves: its incarnation, readiness and number of slots.
 
 use crate::{
     backend::crash,
@@ -21,47 +21,47 @@
     time::Duration,
 };
 
-/// The slots of a backend server that has announced none yet: few enough for any that is known.
+/// The assumed slots of a backend server that has announced none yet.
 const SLOTS_BEFORE_ANNOUNCEMENT: u32 = 16;
-/// The longest wait for a slot. Much longer and the answer misses its target (250 ms at the
-/// shortest); much shorter and the arrivals of a few milliseconds can't be evened out.
-const QUEUE_WAIT: Duration = Duration::from_millis(100);
+/// The maximum queueing delay for a slot.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The longest wait of a call of another backend server: refusing it wastes the work above it, and
-/// the shortest deadline of one is 700 ms.
-const CALL_WAIT: Duration = Duration::from_millis(250);
+/// The maximum queueing delay of a call of another backend server. It is longer, since a refusal
+/// wastes the work of the calling request.
+const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often the log says at the most that somebody else's reports come in.
-const FOREIGN_NOTED_EVERY: Duration = Duration::from_secs(10);
+/// The minimum interval between log entries about foreign reports.
+const FOREIGN_REPORT_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The backend server beside this daemon, and the dialect that it speaks.
+/// The backend server beside this daemon, and its dialect.
 pub(crate) struct Routed {
     pub(crate) dialect: Dialect,
     presence: Mutex<Presence>,
     slots: AtomicU32,
-    /// What the kinds that the backend server works on call.
+    /// The calls that each kind of request makes.
     pub(crate) graph: Mutex<CallGraph>,
-    /// When a call that the backend server made failed last.
+    /// When a call of the backend server failed last.
     pub(crate) call_failed: LastTime,
-    /// When a credential that nobody holds was noted last.
+    /// When an unknown credential was logged last.
     pub(crate) noted_unknown: LastTime,
     /// Where the requests for the backend server come from.
     pub(crate) origins: Mutex<Origins>,
-    /// When the log said last that a report names no backend server.
-    foreign_noted: LastTime,
-    /// Whether the platform's store has the newest state, for the next run of this daemon.
+    /// When a foreign report was logged last.
+    foreign_logged_at: LastTime,
+    /// Whether the platform's store has the newest state, for the next incarnation of this
+    /// daemon.
     saved: AtomicBool,
 }
 
-/// What an answer of the backend server is.
+/// What a response of the backend server means for the request.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Word {
-    /// The answer to this request.
+pub(crate) enum ResponseKind {
+    /// The response belongs to this request.
     Answered,
     /// The backend server didn't run the request.
     NotRun,
-    /// The answer to another request, or none at all.
-    NotOurs,
+    /// The response belongs to another request, or has no request id.
+    Mismatched,
 }
 
 impl Routed {
@@ -74,156 +74,161 @@
             call_failed: LastTime::default(),
             noted_unknown: LastTime::default(),
             origins: Mutex::default(),
-            foreign_noted: LastTime::default(),
+            foreign_logged_at: LastTime::default(),
             saved: AtomicBool::new(false),
         }
     }
 
-    /// The id of the backend server that takes work now, as a header's value.
-    pub(crate) fn serving(&self) -> Option<HeaderValue> {
+    /// Returns the id of the backend server that accepts requests now, as a header value.
+    pub(crate) fn serving_id(&self) -> Option<HeaderValue> {
         let presence = lock(&self.presence);
         HeaderValue::from_str(presence.serving()?).ok()
     }
 
-    /// What is known of the backend server.
+    /// Returns the last known state of the backend server.
     pub(crate) fn current(&self) -> Option<Announcement> {
         lock(&self.presence).current().cloned()
     }
 
-    /// What the gate before the backend server is to be.
+    /// Returns the configuration of the gate in front of the backend server.
     pub(crate) fn gate_config(&self) -> GateConfig {
         let slots = self.slots.load(Ordering::Relaxed).max(1);
         GateConfig {
             slots,
             queue_len: slots,
-            queue_timeout: QUEUE_WAIT,
+            queue_timeout: QUEUE_TIMEOUT,
             cold_start: Duration::ZERO,
-            call_queue_timeout: Some(CALL_WAIT),
+            call_queue_timeout: Some(CALL_QUEUE_TIMEOUT),
         }
     }
 
-    /// Forgets what was learnt of kinds that a new bundle doesn't have.
+    /// Removes what was learned about kinds that a new bundle lacks.
     pub(crate) fn retain_kinds(&self, bundle: &Bundle) {
         let exists = |kind: &str| bundle.kind(kind).is_some();
         lock(&self.graph).retain(exists);
         lock(&self.origins).retain(exists);
     }
 
-    /// Decides what an answer is, by the id that it gives back.
-    pub(crate) fn judge(
+    /// Classifies a response by the request id that it returns.
+    pub(crate) fn classify_response(
         &self,
-        asked: Option<&HeaderValue>,
+        sent_id: Option<&HeaderValue>,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> Word {
+    ) -> ResponseKind {
         let names = &self.dialect.headers;
-        let gives_back = headers.get(&names.request_id);
-        if gives_back.is_some() && gives_back != asked {
-            return Word::NotOurs;
+        let returned_id = headers.get(&names.request_id);
+        if returned_id.is_some() && returned_id != sent_id {
+            return ResponseKind::Mismatched;
         }
         let not_run = headers.contains_key(&names.not_run);
         if not_run || status == StatusCode::MISDIRECTED_REQUEST {
-            return Word::NotRun;
+            return ResponseKind::NotRun;
         }
-        if gives_back.is_none() {
-            return Word::NotOurs;
+        if returned_id.is_none() {
+            return ResponseKind::Mismatched;
         }
-        Word::Answered
+        ResponseKind::Answered
     }
 }
 
-/// Takes over the slots that the backend server announced.
-pub(crate) fn heard_slots(node: &Node, routed: &Routed, slots: u32) {
+/// Applies the number of slots that the backend server announced; 0 is ignored.
+pub(crate) fn update_slots(node: &Node, routed: &Routed, slots: u32) {
     if slots > 0 && routed.slots.swap(slots, Ordering::Relaxed) != slots {
         let cfg = routed.gate_config();
         node.room.with_gate(|gate, _| gate.reconfigure(cfg));
     }
 }
 
-/// Says in the log that a report about a backend server names none, and why; once in a while, whoever writes them.
-pub(crate) fn note_foreign(node: &Node, routed: &Routed, reason: &str) {
+/// Logs that a report names no backend server, and why, at most once per
+/// [`FOREIGN_REPORT_LOG_INTERVAL`].
+pub(crate) fn log_foreign_report(node: &Node, routed: &Routed, reason: &str) {
     let now = node.now();
-    if routed.foreign_noted.elapsed_since(now) < FOREIGN_NOTED_EVERY {
+    if routed.foreign_logged_at.elapsed_since(now) < FOREIGN_REPORT_LOG_INTERVAL {
         return;
     }
-    routed.foreign_noted.set(now);
+    routed.foreign_logged_at.set(now);
     node.note(
         &events::BACKEND_REPORT_REFUSED,
         vec![Field::new("reason", reason)],
     );
 }
 
-/// Takes an announcement; returns what followed from it.
-pub(crate) fn heard(node: &Arc<Node>, routed: &Routed, news: Announcement) -> PresenceChange {
+/// Applies an announcement and returns what changed.
+pub(crate) fn receive_announcement(
+    node: &Arc<Node>,
+    routed: &Routed,
+    announcement: Announcement,
+) -> PresenceChange {
     let fields = vec![
-        Field::new("backend", &news.id),
-        Field::new("born", news.born.unwrap_or_default()),
-        Field::new("state", format!("{:?}", news.state).to_lowercase()),
-        Field::new("sequence", news.sequence),
+        Field::new("backend", &announcement.id),
+        Field::new("born", announcement.born.unwrap_or_default()),
+        Field::new("state", format!("{:?}", announcement.state).to_lowercase()),
+        Field::new("sequence", announcement.sequence),
     ];
     let before = routed.current();
-    let heard = lock(&routed.presence).receive(node.now(), news);
-    match heard {
+    let change = lock(&routed.presence).receive(node.now(), announcement);
+    match change {
         PresenceChange::NowReady => {
             node.note(&events::BACKEND_READY, fields);
-            note_replaced(node, routed, before.as_ref());
-            takes_work(node, routed);
+            report_if_replaced(node, routed, before.as_ref());
+            on_backend_ready(node, routed);
         }
         PresenceChange::NowLeaving => {
             node.note(&events::BACKEND_LEAVING, fields);
-            takes_no_work(node, routed);
+            on_backend_leaving(node, routed);
         }
         PresenceChange::NoChange | PresenceChange::Outdated | PresenceChange::Unconfirmed => {}
         PresenceChange::Foreign => {
-            note_foreign(node, routed, "it doesn't tell when its run started")
+            log_foreign_report(node, routed, "it lacks the start time of its incarnation")
         }
     }
-    heard
+    change
 }
 
-/// Another backend server answered than the one that was expected.
-pub(crate) fn answered_by(node: &Arc<Node>, routed: &Routed, headers: &HeaderMap) {
+/// Records the id of the backend server that responded, which may be another one than expected.
+pub(crate) fn record_answering_backend(node: &Arc<Node>, routed: &Routed, headers: &HeaderMap) {
     let id = headers.get(&routed.dialect.headers.backend_id);
     let Some(id) = id.and_then(|id| id.to_str().ok()) else {
         return;
     };
     let before = routed.current();
     if lock(&routed.presence).record_answer_from(node.now(), id) {
-        note_replaced(node, routed, before.as_ref());
+        report_if_replaced(node, routed, before.as_ref());
         let fields = vec![Field::new("backend", id), Field::new("state", "answered")];
         node.note(&events::BACKEND_READY, fields);
-        takes_work(node, routed);
+        on_backend_ready(node, routed);
     }
 }
 
-/// Another run takes work where one did that never said that it leaves. Where only one of the two tells its start, a
-/// run of the same id may be the same.
-fn note_replaced(node: &Arc<Node>, routed: &Routed, before: Option<&Announcement>) {
+/// Reports a crash if another incarnation is ready and the one before never announced that it was
+/// leaving. If only one of them states its start, the same id counts as the same incarnation.
+fn report_if_replaced(node: &Arc<Node>, routed: &Routed, before: Option<&Announcement>) {
     let now = routed.current();
     let (Some(before), Some(now)) = (before, now) else {
         return;
     };
-    let tell_starts = before.born.is_some() && now.born.is_some();
-    let is_another = before.id != now.id || (tell_starts && before.born != now.born);
+    let have_start_times = before.born.is_some() && now.born.is_some();
+    let is_another = before.id != now.id || (have_start_times && before.born != now.born);
     if before.state == BackendState::Ready && is_another {
-        crash::was_replaced(node);
+        crash::report_replaced(node);
     }
 }
 
-/// The slots that an answer tells, where it tells the load.
-pub(crate) fn slots_of(routed: &Routed, headers: &HeaderMap) -> Option<u32> {
+/// Returns the number of slots in the load header of a response.
+pub(crate) fn announced_slots(routed: &Routed, headers: &HeaderMap) -> Option<u32> {
     let load = headers.get(&routed.dialect.headers.load)?.to_str().ok()?;
     load.split(',').nth(2)?.trim().parse().ok()
 }
 
-fn takes_work(node: &Arc<Node>, routed: &Routed) {
+fn on_backend_ready(node: &Arc<Node>, routed: &Routed) {
     routed.saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
     node.room.with_gate(|gate, _| gate.reset_tuning());
-    node.backend.forget_idle();
-    let no_longer_leaving = node.stop_leaving(LeavingCause::Backend);
-    // A daemon that leaves for another reason tells so already.
-    if no_longer_leaving || !node.is_leaving() {
+    node.backend.drop_idle();
+    let stopped_leaving = node.stop_leaving(LeavingCause::Backend);
+    // A daemon that leaves for another reason has announced that already.
+    if stopped_leaving || !node.is_leaving() {
         gossip::spread_own_record(node);
     }
     let node = Arc::clone(node);
@@ -236,23 +241,24 @@
     ex.spawn(save).detach();
 }
 
-fn takes_no_work(node: &Arc<Node>, routed: &Routed) {
+fn on_backend_leaving(node: &Arc<Node>, routed: &Routed) {
     routed.saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
     node.start_leaving(LeavingCause::Backend);
     gossip::spread_own_record(node);
 }
 
-/// An earlier run of this daemon acknowledged that its backend server leaves.
-pub(crate) fn heard_of_earlier_run(node: &Arc<Node>, earlier: Option<&Announcement>) {
+/// Restores the announcement that the backend server is leaving, which an earlier incarnation of
+/// this daemon acknowledged.
+pub(crate) fn restore_leaving_state(node: &Arc<Node>, earlier: Option<&Announcement>) {
     let leaving = earlier.filter(|backend| backend.state != BackendState::Ready);
     if let (Some(routed), Some(backend)) = (&node.routed, leaving) {
-        heard(node, routed, backend.clone());
+        receive_announcement(node, routed, backend.clone());
     }
 }
 
-/// Writes the own record, so that the next run of this daemon knows what this one acknowledged.
-/// Returns whether the store has it.
+/// Writes the record of this daemon, so that its next incarnation knows what this one
+/// acknowledged. Returns whether the store has it.
 pub(crate) async fn save(node: &Arc<Node>, routed: &Routed) -> bool {
     if routed.saved.load(Ordering::Relaxed) {
         return true;
--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -38,7 +38,7 @@
 }
 
 /// Somebody has this version; if it is higher, it is fetched. Cheap enough for every answer.
-pub(crate) fn heard_version(node: &Arc<Node>, version: u64, source: Source) {
+pub(crate) fn fetch_if_newer(node: &Arc<Node>, version: u64, source: Source) {
     if version <= node.bundle_version() {
         return;
     }
@@ -93,7 +93,7 @@
             return knowledge::read_table(node, &settings.object).await;
         };
         let text = peer_routes(node, peer).await?;
-        return take_own_routes(node, &text).map_err(FetchError::RoutesRefused);
+        return accept_peer_routes(node, &text).map_err(FetchError::RoutesRefused);
     }
     let signed = match peer {
         None => store_manifest(node).await?,
@@ -111,11 +111,11 @@
         return Ok(());
     }
     let before = node.in_force.load_full();
-    let mut have = held(before.as_deref(), &manifest);
+    let mut available = retained_sections(before.as_deref(), &manifest);
     let missing: Vec<ContentHash> = manifest
         .sections
         .values()
-        .filter(|hash| !have.contains_key(hash))
+        .filter(|hash| !available.contains_key(hash))
         .cloned()
         .collect();
     let fetched = match peer {
@@ -126,29 +126,29 @@
         .await
         .map_err(FetchError::Peer)?,
     };
-    have.extend(
+    available.extend(
         fetched
             .into_iter()
             .map(|section| (ContentHash::of(&section.bytes), section)),
     );
-    take(node, signed, &manifest, &have).map_err(FetchError::Refused)
+    put_bundle_in_force(node, signed, &manifest, &available).map_err(FetchError::Refused)
 }
 
 /// Puts a verified manifest in force with sections by content.
-pub(crate) fn take(
+pub(crate) fn put_bundle_in_force(
     node: &Arc<Node>,
     signed: SignedManifest,
     manifest: &Manifest,
-    have: &BTreeMap<ContentHash, SectionBytes>,
+    available: &BTreeMap<ContentHash, SectionBytes>,
 ) -> Result<(), ManifestError> {
     let bundle = join(manifest, |hash| {
-        have.get(hash).map(|section| section.bytes.as_slice())
+        available.get(hash).map(|section| section.bytes.as_slice())
     })?;
     let sections = manifest
         .sections
         .iter()
         .filter_map(|(name, hash)| {
-            let bytes = have.get(hash)?.bytes.clone();
+            let bytes = available.get(hash)?.bytes.clone();
             let name = name.clone();
             Some(SectionBytes { name, bytes })
         })
@@ -165,20 +165,20 @@
 }
 
 /// Reads a route table as operators wrote it, and puts it in force if its version is higher.
-pub(crate) fn take_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
+pub(crate) fn accept_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let Some(routed) = &node.routed else {
         return Err("no route table is expected here".to_owned());
     };
-    take_table(node, &(routed.dialect.read_routes)(text)?)
+    accept_table(node, &(routed.dialect.read_routes)(text)?)
 }
 
 /// The same in the form in which daemons pass it on, which holds no credentials, only their hashes.
-fn take_own_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
+fn accept_peer_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let table: RouteTable = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    take_table(node, &table)
+    accept_table(node, &table)
 }
 
-fn take_table(node: &Arc<Node>, table: &RouteTable) -> Result<(), String> {
+fn accept_table(node: &Arc<Node>, table: &RouteTable) -> Result<(), String> {
     // Before its version is compared: one without a version would else be passed over without a word.
     table.check().map_err(|error| error.to_string())?;
     let version = table.version;
@@ -203,7 +203,10 @@
         .ok_or(FetchError::Absent)
 }
 
-fn held(before: Option<&InForce>, manifest: &Manifest) -> BTreeMap<ContentHash, SectionBytes> {
+fn retained_sections(
+    before: Option<&InForce>,
+    manifest: &Manifest,
+) -> BTreeMap<ContentHash, SectionBytes> {
     before
         .into_iter()
         .flat_map(|in_force| in_force.sections())
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -21,12 +21,12 @@
 const EDGE_RETRY_RATIO: f64 = 0.1;
 /// The retries of a kind that are allowed besides.
 const EDGE_RETRY_SLACK: f64 = 10.0;
-/// The window in which both are counted.
+/// The window in which both are window.
 const EDGE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
 /// So long it is believed that something below a kind has no instance. A daemon that starts anew is back
 /// in a second or two; each time this ends, the requests of a few milliseconds try in vain.
-const LACK_HOLDS: Duration = Duration::from_millis(200);
+const LACK_RETENTION: Duration = Duration::from_millis(200);
 
 /// What a bundle was read from.
 pub(crate) enum Origin {
@@ -41,24 +41,24 @@
 
 /// The retries that this daemon may make at one service.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RetryTerms {
+pub(crate) struct RetryLimits {
     /// For each first sending there.
     pub(crate) ratio: f64,
     /// Besides, in each window.
     pub(crate) slack: f64,
-    /// The window in which both are counted.
+    /// The window in which both are window.
     pub(crate) window: Duration,
 }
 
-impl RetryTerms {
-    /// A count on these terms.
-    fn counted(self) -> Arc<Mutex<RetryWindow>> {
-        let counted = RetryWindow::new(self.window, self.ratio, self.slack);
-        Arc::new(Mutex::new(counted))
+impl RetryLimits {
+    /// A count on these limits.
+    fn new_window(self) -> Arc<Mutex<RetryWindow>> {
+        let window = RetryWindow::new(self.window, self.ratio, self.slack);
+        Arc::new(Mutex::new(window))
     }
 }
 
-impl Default for RetryTerms {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self {
             ratio: EDGE_RETRY_RATIO,
@@ -101,11 +101,11 @@
     /// Whether anybody answered a request of this kind.
     was_answered: AtomicBool,
     /// When a request of this kind was refused last because something below it has no instance.
-    lacked_below: LastTime,
+    lacked_below_at: LastTime,
     /// How much time callers begin with.
-    pub(crate) first_tries: Mutex<RetryDetector>,
+    pub(crate) retry_detector: Mutex<RetryDetector>,
     /// How long this daemon has been refusing them as the entry.
-    pub(crate) refusing: Mutex<RefusalStreak>,
+    pub(crate) refusal_streak: Mutex<RefusalStreak>,
 }
 
 impl InForce {
@@ -115,7 +115,7 @@
         origin: Origin,
         before: Option<&Self>,
         now: Now,
-        terms: RetryTerms,
+        limits: RetryLimits,
     ) -> Self {
         let source = bundle.source();
         let mut kinds: HashMap<String, Arc<KindState>> = source
@@ -126,11 +126,11 @@
                 let known = before.and_then(|before| before.kinds.get(name));
                 (
                     name.clone(),
-                    known.map_or_else(|| KindState::fresh(terms), Arc::clone),
+                    known.map_or_else(|| KindState::fresh(limits), Arc::clone),
                 )
             })
             .collect();
-        kinds.extend(route_kinds(&bundle, before, terms));
+        kinds.extend(route_kinds(&bundle, before, limits));
         let callers = source
             .callers
             .iter()
@@ -142,10 +142,10 @@
                 Some((bundle.caller_id(name)?, state))
             })
             .collect();
-        let of_workspaces = bundle
+        let workspace_importances = bundle
             .workspaces()
             .filter_map(|workspace| workspace.importance);
-        let lowest_workspace = of_workspaces.min();
+        let lowest_workspace = workspace_importances.min();
         let in_force = Self {
             lowest_workspace,
             bundle,
@@ -160,7 +160,7 @@
     }
 
     /// Learns from an answer whether requests of a kind are calls.
-    pub(crate) fn heard_of_kind(&self, state: &KindState, is_call: bool) {
+    pub(crate) fn record_kind_answer(&self, state: &KindState, is_call: bool) {
         let before = state.is_call.swap(is_call, Ordering::Relaxed);
         let known = state.was_answered.swap(true, Ordering::Relaxed);
         if before != is_call || !known {
@@ -193,7 +193,7 @@
     }
 
     /// How many lower importances root requests have, and how many they have in all.
-    pub(crate) fn rank_of_root(&self, importance: Importance) -> (usize, usize) {
+    pub(crate) fn root_rank(&self, importance: Importance) -> (usize, usize) {
         let lower = (1u8 << importance.rank()) - 1;
         let bits = self.root_importances.load(Ordering::Relaxed);
         let rank = (bits & lower).count_ones();
@@ -201,7 +201,7 @@
     }
 
     /// How many steps of importance a workspace stands above the least important one.
-    pub(crate) fn steps_above(&self, workspace: Option<&WorkspaceEntry>) -> usize {
+    pub(crate) fn rank_above_lowest(&self, workspace: Option<&WorkspaceEntry>) -> usize {
         let own = workspace.and_then(|workspace| workspace.importance);
         let own = own.map_or(0, Importance::rank);
         let lowest = self.lowest_workspace.map_or(0, Importance::rank);
@@ -220,16 +220,16 @@
     pub(crate) fn kind_state(&self, kind: &KindEntry) -> Arc<KindState> {
         self.kinds
             .get(&kind.name)
-            .map_or_else(|| KindState::fresh(RetryTerms::default()), Arc::clone)
+            .map_or_else(|| KindState::fresh(RetryLimits::default()), Arc::clone)
     }
 
     /// The threshold over everything that a kind calls, as far as it is known here.
     pub(crate) fn threshold_below(&self, kind: &KindEntry, now: Now) -> Priority {
-        self.threshold_of(kind.kind.calls.keys().map(String::as_str), now)
+        self.max_threshold(kind.kind.calls.keys().map(String::as_str), now)
     }
 
     /// The highest threshold of some kinds.
-    pub(crate) fn threshold_of<'a>(
+    pub(crate) fn max_threshold<'a>(
         &self,
         kinds: impl Iterator<Item = &'a str>,
         now: Now,
@@ -242,19 +242,19 @@
     }
 
     /// What is learnt about a kind of this name.
-    pub(crate) fn state_of(&self, kind: &str) -> Option<&KindState> {
+    pub(crate) fn kind_state_by_name(&self, kind: &str) -> Option<&KindState> {
         self.kinds.get(kind).map(Arc::as_ref)
     }
 
     /// Takes one request out of a caller's rate.
-    pub(crate) fn caller_may_ask(&self, caller: &CallerEntry, now: Now) -> bool {
+    pub(crate) fn take_caller_rate(&self, caller: &CallerEntry, now: Now) -> bool {
         self.callers
             .get(&caller.id)
             .is_none_or(|state| lock(&state.rate).take(now))
     }
 
     /// Takes the price of a retry that is made for a caller's request; its successes pay for it.
-    pub(crate) fn caller_pays_retry(&self, caller: CallerId) -> bool {
+    pub(crate) fn take_caller_retry(&self, caller: CallerId) -> bool {
         self.callers
             .get(&caller)
             .is_none_or(|state| lock(&state.retries).take())
@@ -270,17 +270,18 @@
 
 impl KindState {
     /// A request of this kind was refused because something below it has no instance.
-    pub(crate) fn lacks_below(&self, now: Now) {
-        self.lacked_below.set(now);
+    pub(crate) fn record_lack_below(&self, now: Now) {
+        self.lacked_below_at.set(now);
     }
 
     /// Whether the next one would probably be refused for the same reason.
-    pub(crate) fn still_lacks_below(&self, now: Now) -> bool {
-        self.lacked_below.is_after(now.saturating_sub(LACK_HOLDS))
+    pub(crate) fn recently_lacked_instance_below(&self, now: Now) -> bool {
+        self.lacked_below_at
+            .is_after(now.saturating_sub(LACK_RETENTION))
     }
 
-    fn fresh(terms: RetryTerms) -> Arc<Self> {
-        Self::new(LearnedThreshold::default(), terms.counted())
+    fn fresh(limits: RetryLimits) -> Arc<Self> {
+        Self::new(LearnedThreshold::default(), limits.new_window())
     }
 
     fn is_root(&self) -> bool {
@@ -293,9 +294,9 @@
             retries,
             is_call: AtomicBool::new(false),
             was_answered: AtomicBool::new(false),
-            lacked_below: LastTime::default(),
-            first_tries: Mutex::default(),
-            refusing: Mutex::default(),
+            lacked_below_at: LastTime::default(),
+            retry_detector: Mutex::default(),
+            refusal_streak: Mutex::default(),
         })
     }
 }
@@ -304,7 +305,7 @@
 fn route_kinds(
     bundle: &Bundle,
     before: Option<&InForce>,
-    terms: RetryTerms,
+    limits: RetryLimits,
 ) -> HashMap<String, Arc<KindState>> {
     let mut by_service: HashMap<&str, Arc<Mutex<RetryWindow>>> = HashMap::new();
     let mut kinds = HashMap::new();
@@ -317,7 +318,7 @@
     for kind in bundle.route_kinds() {
         let retries = by_service
             .entry(&kind.service)
-            .or_insert_with(|| terms.counted());
+            .or_insert_with(|| limits.new_window());
         let known = before.and_then(|before| before.kinds.get(&kind.name));
         let state = match known {
             Some(known) if Arc::ptr_eq(&known.retries, retries) => Arc::clone(known),
--- a/crates/sorrelturn-daemon/src/config/knowledge.rs
+++ b/crates/sorrelturn-daemon/src/config/knowledge.rs
@@ -24,64 +24,64 @@
 const REVOCATION_MARGIN: Duration = Duration::from_millis(500);
 /// A daemon that is asked with credentials reads the table itself when its knowledge is older than a time between
 /// these: the first one to do so spares the others, who hear of it with the next answers.
-const REFRESH_AFTER: (Duration, Duration) =
+const REFRESH_AGE_RANGE: (Duration, Duration) =
     (Duration::from_millis(2_500), Duration::from_millis(3_500));
 /// After a read that failed, the next one follows so much later, and after each further one twice as late: each costs
 /// the platform a call.
-const READ_AGAIN: Duration = Duration::from_millis(500);
+const MIN_READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// The longest such pause: a VM whose way to the store is mended shall not wait for long.
-const READ_AGAIN_MOST: Duration = Duration::from_secs(2);
+const MAX_READ_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 /// The longest time for which a request is held while the table is read, which takes some milliseconds as a rule.
-const HOLD: Duration = Duration::from_millis(60);
+const MAX_READ_WAIT: Duration = Duration::from_millis(60);
 /// The most unknown credentials that are remembered; 32 bytes each.
-const MOST_UNKNOWN: usize = 1_024;
+const MAX_UNKNOWN_CREDENTIALS: usize = 1_024;
 /// How many reads a second unknown credentials may cause here, so that a flood of them costs the platform little.
-const PROOFS_PER_SECOND: f64 = 1.0;
+const MAX_UNKNOWN_READS_PER_SECOND: f64 = 1.0;
 
 /// What a daemon knows of how old its route table is.
 pub(crate) struct Knowledge {
     freshness: Mutex<Freshness>,
     /// The revision of the table's object that was taken last; the same one needn't be read again.
-    taken: AtomicU64,
-    reading: AtomicBool,
-    failed: LastTime,
+    accepted: AtomicU64,
+    is_reading: AtomicBool,
+    last_failure: LastTime,
     /// How many reads failed in a row.
     failures: AtomicU32,
-    refresh_after: Mutex<Duration>,
-    proofs: Mutex<RateBucket>,
+    refresh_age: Mutex<Duration>,
+    unknown_reads: Mutex<RateBucket>,
     /// Credentials that the newest table didn't hold at an earlier request.
     unknown: Mutex<HashSet<CredentialHash>>,
-    waiting: Mutex<Vec<Sender<()>>>,
+    waiters: Mutex<Vec<Sender<()>>>,
 }
 
 impl Knowledge {
     pub(crate) fn new(now: Now) -> Self {
         Self {
             freshness: Mutex::default(),
-            taken: AtomicU64::new(0),
-            reading: AtomicBool::new(false),
-            failed: LastTime::default(),
+            accepted: AtomicU64::new(0),
+            is_reading: AtomicBool::new(false),
+            last_failure: LastTime::default(),
             failures: AtomicU32::new(0),
-            refresh_after: Mutex::new(REFRESH_AFTER.0),
-            proofs: Mutex::new(RateBucket::new(PROOFS_PER_SECOND, now)),
+            refresh_age: Mutex::new(REFRESH_AGE_RANGE.0),
+            unknown_reads: Mutex::new(RateBucket::new(MAX_UNKNOWN_READS_PER_SECOND, now)),
             unknown: Mutex::default(),
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
         }
     }
 
     /// Whether the table with this revision was taken already.
-    pub(crate) fn has_taken(&self, revision: u64) -> bool {
-        self.newest() == revision
+    pub(crate) fn has_accepted(&self, revision: u64) -> bool {
+        self.accepted_revision() == revision
     }
 
     /// The revision of the table that was taken last.
-    pub(crate) fn newest(&self) -> u64 {
-        self.taken.load(Ordering::Relaxed)
+    pub(crate) fn accepted_revision(&self) -> u64 {
+        self.accepted.load(Ordering::Relaxed)
     }
 
     /// The table with this revision is in force, or a higher version.
-    pub(crate) fn took(&self, revision: u64) {
-        self.taken.fetch_max(revision, Ordering::Relaxed);
+    pub(crate) fn record_accepted(&self, revision: u64) {
+        self.accepted.fetch_max(revision, Ordering::Relaxed);
     }
 
     /// How old the knowledge is.
@@ -96,8 +96,8 @@
     }
 
     /// Whether an unknown credential may cause a read.
-    pub(crate) fn may_prove(&self, now: Now) -> bool {
-        lock(&self.proofs).take(now)
+    pub(crate) fn may_read_for_unknown(&self, now: Now) -> bool {
+        lock(&self.unknown_reads).take(now)
     }
 
     /// Whether it is known that no newer table existed at `at`.
@@ -112,33 +112,33 @@
     }
 
     /// The newest table doesn't hold a credential.
-    pub(crate) fn note_unknown(&self, credential: CredentialHash) {
+    pub(crate) fn remember_unknown(&self, credential: CredentialHash) {
         let mut unknown = lock(&self.unknown);
-        if unknown.len() >= MOST_UNKNOWN {
+        if unknown.len() >= MAX_UNKNOWN_CREDENTIALS {
             unknown.clear();
         }
         unknown.insert(credential);
     }
 
-    fn prove(&self, at: Now) {
+    fn confirm(&self, at: Now) {
         lock(&self.freshness).confirm(at);
         self.failures.store(0, Ordering::Relaxed);
-        let (least, most) = REFRESH_AFTER;
-        let spread = (most - least).mul_f64(fastrand::f64());
-        *lock(&self.refresh_after) = least + spread;
-        self.wake_waiting();
+        let (minimum, maximum) = REFRESH_AGE_RANGE;
+        let jitter = (maximum - minimum).mul_f64(fastrand::f64());
+        *lock(&self.refresh_age) = minimum + jitter;
+        self.wake_waiters();
     }
 
     /// Whoever waits looks again; one that has gone needs no word.
-    fn wake_waiting(&self) {
-        for waiting in lock(&self.waiting).drain(..) {
-            let _ = waiting.try_send(());
+    fn wake_waiters(&self) {
+        for waiter in lock(&self.waiters).drain(..) {
+            let _ = waiter.try_send(());
         }
     }
 }
 
 /// Another daemon answered what was sent at `sent`, with this version in force and knowledge of this age.
-pub(crate) fn told(node: &Node, sent: Now, version: u64, age_ms: Option<u32>) {
+pub(crate) fn confirm_from_peer(node: &Node, sent: Now, version: u64, age_ms: Option<u32>) {
     // What holds for its version says nothing of a lower one.
     if let Some(age_ms) = age_ms.filter(|_| version <= node.bundle_version()) {
         let age = Duration::from_millis(age_ms.into());
@@ -152,54 +152,54 @@
     let found = node.platform.get(object).await;
     let found = found.map_err(FetchError::Platform)?;
     let found = found.ok_or(FetchError::Absent)?;
-    if !node.knowledge.has_taken(found.version) {
-        fetch::take_routes(node, &found.value).map_err(FetchError::RoutesRefused)?;
-        node.knowledge.took(found.version);
+    if !node.knowledge.has_accepted(found.version) {
+        fetch::accept_routes(node, &found.value).map_err(FetchError::RoutesRefused)?;
+        node.knowledge.record_accepted(found.version);
     }
-    node.knowledge.prove(sent);
+    node.knowledge.confirm(sent);
     Ok(())
 }
 
 /// Whether a credential that the table holds may be honoured now: none is for longer than operators allow after it
 /// was taken away, also where nobody tells this daemon.
 pub(crate) fn is_valid(node: &Node, now: Now) -> bool {
-    let most = node
+    let max_age = node
         .settings
         .routes
         .as_ref()
         .and_then(|routes| routes.revocation());
-    let Some(most) = most else {
+    let Some(max_age) = max_age else {
         return true;
     };
-    let most = most.saturating_sub(REVOCATION_MARGIN);
-    lock(&node.knowledge.freshness).is_within(now, most)
+    let max_age = max_age.saturating_sub(REVOCATION_MARGIN);
+    lock(&node.knowledge.freshness).is_within(now, max_age)
 }
 
 /// Reads the table in the background if the knowledge of it has aged.
 pub(crate) fn refresh(node: &Arc<Node>) {
-    let refresh_after = *lock(&node.knowledge.refresh_after);
+    let refresh_age = *lock(&node.knowledge.refresh_age);
     let age = node.knowledge.age(node.now());
-    if age.is_none_or(|age| age > refresh_after) {
+    if age.is_none_or(|age| age > refresh_age) {
         start_read(node);
     }
 }
 
 /// Waits for a little while until something holds of the knowledge, with one read for all who wait.
 pub(crate) async fn wait_until(node: &Arc<Node>, holds: impl Fn() -> bool) -> bool {
-    let until = node.now() + HOLD;
+    let until = node.now() + MAX_READ_WAIT;
     loop {
         let (tx, rx) = channel::bounded(1);
-        lock(&node.knowledge.waiting).push(tx);
+        lock(&node.knowledge.waiters).push(tx);
         if holds() {
             return true;
         }
         start_read(node);
-        let proven = async { rx.recv().await.is_ok() };
-        let too_late = async {
+        let confirmed = async { rx.recv().await.is_ok() };
+        let timed_out = async {
             node.timers.at(until).await;
             false
         };
-        if !proven.or(too_late).await {
+        if !confirmed.or(timed_out).await {
             return holds();
         }
     }
@@ -211,10 +211,10 @@
     };
     let knowledge = &node.knowledge;
     let failures = knowledge.failures.load(Ordering::Relaxed);
-    let pause = READ_AGAIN * 2u32.pow(failures.saturating_sub(1).min(8));
-    let pause = pause.min(READ_AGAIN_MOST);
-    let failed_just_now = knowledge.failed.elapsed_since(node.now()) < pause;
-    if failed_just_now || knowledge.reading.swap(true, Ordering::Relaxed) {
+    let interval = MIN_READ_RETRY_INTERVAL * 2u32.pow(failures.saturating_sub(1).min(8));
+    let interval = interval.min(MAX_READ_RETRY_INTERVAL);
+    let failed_recently = knowledge.last_failure.elapsed_since(node.now()) < interval;
+    if failed_recently || knowledge.is_reading.swap(true, Ordering::Relaxed) {
         return;
     }
     let (node, object) = (Arc::clone(node), routes.object.clone());
@@ -222,12 +222,12 @@
     let read = async move {
         // Why it failed is told by the watchers; what follows here is that credentials are refused.
         if read_table(&node, &object).await.is_err() {
-            node.knowledge.failed.set(node.now());
+            node.knowledge.last_failure.set(node.now());
             node.knowledge.failures.fetch_add(1, Ordering::Relaxed);
         }
-        node.knowledge.reading.store(false, Ordering::Relaxed);
+        node.knowledge.is_reading.store(false, Ordering::Relaxed);
         // A request that came while this read was under way may need another one.
-        node.knowledge.wake_waiting();
+        node.knowledge.wake_waiters();
     };
     ex.spawn(read).detach();
 }
--- a/crates/sorrelturn-daemon/src/config/settings.rs
+++ b/crates/sorrelturn-daemon/src/config/settings.rs
@@ -179,19 +179,19 @@
 
     /// For how long shares and grants are good. What is granted before a window and used in it has to fit into the
     /// overage.
-    pub(crate) fn quota_terms(&self) -> ValidityConfig {
-        let overage = self.quota_window_s * self.quota_overage * GRANT_PART_OF_OVERAGE;
+    pub(crate) fn quota_validity(&self) -> ValidityConfig {
+        let overage = self.quota_window_s * self.quota_overage * GRANT_FRACTION_OF_OVERAGE;
         ValidityConfig {
             min_lease_duration: Duration::from_millis(self.quota_lease_ms),
-            grant_validity: MOST_GRANT_TIME.min(Duration::from_secs_f64(overage)),
+            grant_validity: MAX_GRANT_VALIDITY.min(Duration::from_secs_f64(overage)),
         }
     }
 }
 
 /// The part of the overage that grants take which lie unused; the rest is for what may be let in at once.
-const GRANT_PART_OF_OVERAGE: f64 = 0.3;
+const GRANT_FRACTION_OF_OVERAGE: f64 = 0.3;
 /// The longest time that a grant may lie unused: longer, it is taken from those who have use for it.
-const MOST_GRANT_TIME: Duration = Duration::from_millis(150);
+const MAX_GRANT_VALIDITY: Duration = Duration::from_millis(150);
 
 /// The events that are kept for explanations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -339,20 +339,20 @@
 
 /// The windows in which retries can be counted, in seconds: a shorter one holds hardly a request of a rare kind, and
 /// of a longer one operators would notice nothing.
-const LEAST_RETRY_WINDOW_S: f64 = 0.1;
-const MOST_RETRY_WINDOW_S: f64 = 3_600.0;
+const MIN_RETRY_WINDOW_S: f64 = 0.1;
+const MAX_RETRY_WINDOW_S: f64 = 3_600.0;
 
 /// The windows in which quotas can be counted, in seconds.
-const QUOTA_WINDOWS_S: RangeInclusive<f64> = 0.1..=3_600.0;
+const QUOTA_WINDOW_RANGE_S: RangeInclusive<f64> = 0.1..=3_600.0;
 /// For how long shares of quotas can be lent, in milliseconds. In less, renewals would be most of what daemons do.
-const QUOTA_LEASES_MS: RangeInclusive<u64> = 100..=10_000;
+const QUOTA_LEASE_RANGE_MS: RangeInclusive<u64> = 100..=10_000;
 /// The shortest time after which a credential that was taken away can be kept out for sure: twice the time between
 /// two reads of the table.
-const LEAST_REVOCATION_MS: u64 = 3_000;
+const MIN_REVOCATION_MS: u64 = 3_000;
 
 /// What is left for requests after the linger time has to be worth something, in milliseconds: most
 /// requests end within a second.
-const LEAST_AFTER_LINGER_MS: u64 = 1_000;
+const MIN_TIME_AFTER_LINGER_MS: u64 = 1_000;
 
 impl Settings {
     /// Reads and checks a settings file; `file` is its name for errors.
@@ -389,18 +389,18 @@
                 "write an address of the loopback interface, as in 127.0.0.1:7001",
             );
         }
-        if self.listens_twice() {
+        if self.has_duplicate_listeners() {
             at(
                 &["listen"],
                 "two listeners have the same address",
                 "give each a port of its own, or port 0 for a free one",
             );
         }
-        let told = [
+        let advertised = [
             ("peers", self.listen.peers, self.advertise.peers),
             ("control", self.listen.control, self.advertise.control),
         ];
-        for (name, listen, advertise) in told {
+        for (name, listen, advertise) in advertised {
             if advertise.unwrap_or(listen).ip().is_unspecified() {
                 at(
                     &["listen", name],
@@ -414,44 +414,46 @@
             at(&["threads"], &format!("threads is {}", self.threads), &help);
         }
         if let Some(routes) = &self.routes
-            && !(LEAST_RETRY_WINDOW_S..=MOST_RETRY_WINDOW_S).contains(&routes.retry_window_s)
+            && !(MIN_RETRY_WINDOW_S..=MAX_RETRY_WINDOW_S).contains(&routes.retry_window_s)
         {
             at(
                 &["routes", "retry_window_s"],
                 &format!("routes.retry_window_s is {}", routes.retry_window_s),
-                &format!("write seconds from {LEAST_RETRY_WINDOW_S} to {MOST_RETRY_WINDOW_S}"),
+                &format!("write seconds from {MIN_RETRY_WINDOW_S} to {MAX_RETRY_WINDOW_S}"),
             );
         }
         if let Some(routes) = &self.routes
-            && !(QUOTA_WINDOWS_S.contains(&routes.quota_window_s)
+            && !(QUOTA_WINDOW_RANGE_S.contains(&routes.quota_window_s)
                 && (0.0..=1.0).contains(&routes.quota_overage)
                 && routes.quota_slack >= 0.0)
         {
-            let (least, most) = (QUOTA_WINDOWS_S.start(), QUOTA_WINDOWS_S.end());
+            let (minimum, maximum) = (QUOTA_WINDOW_RANGE_S.start(), QUOTA_WINDOW_RANGE_S.end());
             at(
                 &["routes", "quota_window_s"],
                 "routes.quota_window_s, routes.quota_overage or routes.quota_slack can't be used",
-                &format!("write seconds from {least} to {most}, a part from 0 to 1, and 0 or more"),
+                &format!(
+                    "write seconds from {minimum} to {maximum}, a part from 0 to 1, and 0 or more"
+                ),
             );
         }
         if let Some(routes) = &self.routes
-            && !QUOTA_LEASES_MS.contains(&routes.quota_lease_ms)
+            && !QUOTA_LEASE_RANGE_MS.contains(&routes.quota_lease_ms)
         {
-            let (least, most) = (QUOTA_LEASES_MS.start(), QUOTA_LEASES_MS.end());
+            let (minimum, maximum) = (QUOTA_LEASE_RANGE_MS.start(), QUOTA_LEASE_RANGE_MS.end());
             at(
                 &["routes", "quota_lease_ms"],
                 &format!("routes.quota_lease_ms is {}", routes.quota_lease_ms),
-                &format!("write milliseconds from {least} to {most}"),
+                &format!("write milliseconds from {minimum} to {maximum}"),
             );
         }
         if self.routes.as_ref().is_some_and(|routes| {
             let revocation_ms = routes.revocation_ms;
-            revocation_ms.is_some_and(|ms| ms < LEAST_REVOCATION_MS)
+            revocation_ms.is_some_and(|ms| ms < MIN_REVOCATION_MS)
         }) {
             at(
                 &["routes", "revocation_ms"],
                 "credentials would be refused between two reads of the route table",
-                &format!("write milliseconds, {LEAST_REVOCATION_MS} or more"),
+                &format!("write milliseconds, {MIN_REVOCATION_MS} or more"),
             );
         }
         if self.operators.is_empty() && self.routes.is_none() {
@@ -489,11 +491,11 @@
                 "write where it lies, as in \"routes\": { \"object\": \"config/main\" }",
             );
         }
-        if self.stop.most_ms < self.stop.linger_ms.saturating_add(LEAST_AFTER_LINGER_MS) {
+        if self.stop.most_ms < self.stop.linger_ms.saturating_add(MIN_TIME_AFTER_LINGER_MS) {
             at(
                 &["stop", "most_ms"],
                 "a stop would be over before the requests that it took are answered",
-                &format!("write stop.linger_ms and {LEAST_AFTER_LINGER_MS} ms, or more"),
+                &format!("write stop.linger_ms and {MIN_TIME_AFTER_LINGER_MS} ms, or more"),
             );
         }
         if self.once.ttl_s == 0 || self.once.capacity == 0 {
@@ -513,9 +515,9 @@
         findings
     }
 
-    fn listens_twice(&self) -> bool {
+    fn has_duplicate_listeners(&self) -> bool {
         let listen = &self.listen;
-        let mut fixed: Vec<SocketAddr> = [
+        let mut addrs: Vec<SocketAddr> = [
             listen.callers,
             listen.local,
             listen.peers,
@@ -528,14 +530,14 @@
         .chain(listen.ready)
         .filter(|addr| addr.port() != 0)
         .collect();
-        let count = fixed.len();
-        fixed.sort();
-        fixed.dedup();
-        fixed.len() < count
+        let count = addrs.len();
+        addrs.sort();
+        addrs.dedup();
+        addrs.len() < count
     }
 }
 
 fn is_name(text: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.';
-    !text.is_empty() && text.len() <= 63 && text.bytes().all(fits)
+    let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-' || b == b'.';
+    !text.is_empty() && text.len() <= 63 && text.bytes().all(is_allowed)
 }
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -82,7 +82,7 @@
         let from = digest.from.instance.clone();
         gossip::visited_by(&self.node, &from);
         gossip::heard_member(&self.node, digest.from);
-        fetch::heard_version(
+        fetch::fetch_if_newer(
             &self.node,
             digest.version,
             sorrelturn_fleet::Source::Peer(from),
@@ -111,7 +111,7 @@
     }
 
     async fn announce(self, _: context::Context, from: String, version: u64) -> u64 {
-        fetch::heard_version(&self.node, version, sorrelturn_fleet::Source::Peer(from));
+        fetch::fetch_if_newer(&self.node, version, sorrelturn_fleet::Source::Peer(from));
         lock(&self.node.spread).in_force()
     }
 
@@ -184,7 +184,7 @@
 pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     // Control messages come at any time, so it never rests.
-    let _carries = conn.carries();
+    let _carries = conn.mark_active();
     let Ok(stream) = node.keys.accept(tcp).await else {
         node.note(&events::BAD_PEER, vec![Field::new("port", "control")]);
         return;
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -36,7 +36,7 @@
 pub(crate) fn heard_member(node: &Arc<Node>, record: MemberRecord) {
     let own = record.instance == node.settings.instance;
     if own && record.incarnation != node.incarnation {
-        state::heard_of_earlier_run(node, record.backend.as_ref());
+        state::restore_leaving_state(node, record.backend.as_ref());
     }
     if !node.merge_member(record.clone()) {
         return;
@@ -204,8 +204,8 @@
         client.exchange(cx, digest).await
     })
     .await?;
-    fetch::heard_version(node, reply.version, Source::Peer(peer.instance.clone()));
-    knowledge::told(node, sent, reply.version, reply.knowledge_age_ms);
+    fetch::fetch_if_newer(node, reply.version, Source::Peer(peer.instance.clone()));
+    knowledge::confirm_from_peer(node, sent, reply.version, reply.knowledge_age_ms);
     if let Some(theirs) = reply.crashes {
         suspects::heard(node, &theirs);
         let ours = node.suspects.news(node.now());
--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -34,7 +34,7 @@
         for record in &records {
             node.outrank_earlier_run(record);
             if record.instance == node.settings.instance {
-                state::heard_of_earlier_run(node, record.backend.as_ref());
+                state::restore_leaving_state(node, record.backend.as_ref());
             }
             if record.instance == node.settings.instance && record.incarnation != node.incarnation {
                 let delete = outcomes::delete_earlier_run(Arc::clone(node), record.incarnation);
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Clock,
-    net::pool::{BUF_LIMIT_BYTES, Lease, Opened, Pool, SendError},
+    net::pool::{Lease, MAX_BUF_BYTES, Opened, Pool, SendError},
     net::stream::FleetKeys,
     net::timers::Timers,
     request::body::{self, Body},
@@ -22,7 +22,7 @@
 const CONNECT_TIME: Duration = Duration::from_millis(250);
 /// A message of at most so many bytes is taken by its reader's daemon whatever the reader does. Behind a
 /// longer one a slow reader can hold a connection still for long, which the options below don't bear.
-const READ_AT_ONCE_BYTES: u64 = BUF_LIMIT_BYTES as u64;
+const READ_AT_ONCE_BYTES: u64 = MAX_BUF_BYTES as u64;
 /// A peer that doesn't acknowledge what was sent for so long is silent. Two losses of one packet in a
 /// row, 200 and 400 ms, still pass.
 const SILENT_TIME: Duration = Duration::from_millis(700);
@@ -119,16 +119,16 @@
                 // Behind a long request, its answer may take as long as it is.
                 return smol::future::pending().await;
             }
-            pool.in_doubt(runtime.timers, sent).await;
+            pool.wait_until_suspect(runtime.timers, sent).await;
             // Boxed, since it is rare: each request would take the memory for it.
             let error = Box::pin(self.fate_of(runtime, attempt, sent)).await;
-            pool.forget_unheard_since(sent);
+            pool.drop_idle_unanswered_since(sent);
             Err(error)
         };
         let (res, lease) = answered.or(silent).await?;
         let watch_again = is_watched && !is_read_at_once(res.body());
         if watch_again && bear_silence(lease.socket()).is_err() {
-            return Err(SendError::Broke);
+            return Err(SendError::Interrupted);
         }
         Ok((res, PeerLease { lease, watch_again }))
     }
@@ -154,7 +154,7 @@
                 None
             };
             match self.ask(runtime, attempt, sent).or(too_late).await {
-                Some(AttemptStatus::NeverCame) => return SendError::NeverCame,
+                Some(AttemptStatus::NeverCame) => return SendError::NeverArrived,
                 Some(AttemptStatus::Over) => {
                     runtime.timers.after(ANSWER_TRAVELS).await;
                     return SendError::AnswerLost;
@@ -193,8 +193,8 @@
 
     /// Drops the idle connections; the calls on others go on.
     pub(crate) fn forget(&self) {
-        self.watched.forget_idle();
-        self.unwatched.forget_idle();
+        self.watched.drop_idle();
+        self.unwatched.drop_idle();
     }
 }
 
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -206,7 +206,7 @@
         Timer::after(pause.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         if let Some(routes) = &node.settings.routes {
             let read = knowledge::read_table(node, &routes.object).await;
-            if node.knowledge.newest() > told.0.load(Ordering::Relaxed) {
+            if node.knowledge.accepted_revision() > told.0.load(Ordering::Relaxed) {
                 silent();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
@@ -230,8 +230,8 @@
 fn heard_head(node: &Arc<Node>, object: &Object) {
     let value = object.value.as_str();
     if node.settings.routes.is_some() {
-        match fetch::take_routes(node, value) {
-            Ok(()) => node.knowledge.took(object.version),
+        match fetch::accept_routes(node, value) {
+            Ok(()) => node.knowledge.record_accepted(object.version),
             Err(error) => node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]),
         }
         return;
@@ -240,7 +240,7 @@
         .ok()
         .and_then(|signed| signed.verify(&node.trusted).ok());
     match manifest {
-        Some(manifest) => fetch::heard_version(node, manifest.version, Source::Store),
+        Some(manifest) => fetch::fetch_if_newer(node, manifest.version, Source::Store),
         None => node.note(
             &events::BUNDLE_REFUSED,
             vec![Field::new(
--- a/crates/sorrelturn-daemon/src/net/connections.rs
+++ b/crates/sorrelturn-daemon/src/net/connections.rs
@@ -15,21 +15,21 @@
 };
 
 /// In the place of the time since which a connection rests.
-const CARRIES: u64 = u64::MAX;
+const ACTIVE: u64 = u64::MAX;
 
 /// The open connections of a daemon.
 pub(crate) struct Connections {
-    most: usize,
+    max_open: usize,
     /// Counts the times that a connection began to rest: their order is all that is asked for, and a request
     /// needs no clock for it.
-    rests: AtomicU64,
+    idle_counter: AtomicU64,
     open: Mutex<HashMap<u64, Arc<State>>>,
 }
 
 struct State {
-    rests_since: AtomicU64,
+    idle_since: AtomicU64,
     /// Closed when the connection is to end.
-    end: Sender<()>,
+    close: Sender<()>,
 }
 
 /// One open connection; counts as open while it lives.
@@ -37,76 +37,76 @@
     connections: Arc<Connections>,
     id: u64,
     state: Arc<State>,
-    ended: Receiver<()>,
+    closed: Receiver<()>,
 }
 
 /// A connection doesn't rest while this lives.
-pub(crate) struct Carries<'a>(&'a Connection);
+pub(crate) struct ActiveGuard<'a>(&'a Connection);
 
 impl Connections {
     /// No connections yet; more than `most` are not kept open while they rest.
-    pub(crate) fn new(most: usize) -> Arc<Self> {
+    pub(crate) fn new(max_open: usize) -> Arc<Self> {
         Arc::new(Self {
-            most,
-            rests: AtomicU64::new(0),
+            max_open,
+            idle_counter: AtomicU64::new(0),
             open: Mutex::default(),
         })
     }
 
     /// Takes a new connection; if there are as many as may rest, the one that rested longest ends.
     pub(crate) fn open(self: &Arc<Self>) -> Connection {
-        if lock(&self.open).len() >= self.most {
-            self.end_resting(1);
+        if lock(&self.open).len() >= self.max_open {
+            self.close_idle(1);
         }
-        let (end, ended) = channel::bounded(1);
-        let id = self.next();
+        let (close, closed) = channel::bounded(1);
+        let id = self.next_sequence();
         let state = Arc::new(State {
-            rests_since: AtomicU64::new(id),
-            end,
+            idle_since: AtomicU64::new(id),
+            close,
         });
         lock(&self.open).insert(id, Arc::clone(&state));
         Connection {
             connections: Arc::clone(self),
             id,
             state,
-            ended,
+            closed,
         }
     }
 
     /// Ends so many of those that have rested longest.
-    pub(crate) fn end_resting(&self, count: usize) {
+    pub(crate) fn close_idle(&self, count: usize) {
         let open = lock(&self.open);
-        let mut resting: Vec<_> = open.values().filter_map(State::resting).collect();
-        if count < resting.len() {
-            resting.select_nth_unstable_by_key(count, |(since, _)| *since);
+        let mut idle: Vec<_> = open.values().filter_map(State::idle_sender).collect();
+        if count < idle.len() {
+            idle.select_nth_unstable_by_key(count, |(since, _)| *since);
         }
-        for (_, end) in resting.into_iter().take(count) {
-            end.close();
+        for (_, close) in idle.into_iter().take(count) {
+            close.close();
         }
     }
 
-    fn next(&self) -> u64 {
-        self.rests.fetch_add(1, Ordering::Relaxed)
+    fn next_sequence(&self) -> u64 {
+        self.idle_counter.fetch_add(1, Ordering::Relaxed)
     }
 }
 
 impl State {
-    fn resting(self: &Arc<Self>) -> Option<(u64, &Sender<()>)> {
-        let since = self.rests_since.load(Ordering::Relaxed);
-        (since != CARRIES && !self.end.is_closed()).then_some((since, &self.end))
+    fn idle_sender(self: &Arc<Self>) -> Option<(u64, &Sender<()>)> {
+        let since = self.idle_since.load(Ordering::Relaxed);
+        (since != ACTIVE && !self.close.is_closed()).then_some((since, &self.close))
     }
 }
 
 impl Connection {
     /// From now on it carries a request.
-    pub(crate) fn carries(&self) -> Carries<'_> {
-        self.state.rests_since.store(CARRIES, Ordering::Relaxed);
-        Carries(self)
+    pub(crate) fn mark_active(&self) -> ActiveGuard<'_> {
+        self.state.idle_since.store(ACTIVE, Ordering::Relaxed);
+        ActiveGuard(self)
     }
 
     /// Waits until it is to end.
-    pub(crate) async fn ended(&self) {
-        let _ = self.ended.recv().await;
+    pub(crate) async fn wait_for_close(&self) {
+        let _ = self.closed.recv().await;
     }
 }
 
@@ -116,10 +116,10 @@
     }
 }
 
-impl Drop for Carries<'_> {
+impl Drop for ActiveGuard<'_> {
     fn drop(&mut self) {
         let connection = self.0;
-        let now = connection.connections.next();
-        connection.state.rests_since.store(now, Ordering::Relaxed);
+        let now = connection.connections.next_sequence();
+        connection.state.idle_since.store(now, Ordering::Relaxed);
     }
 }
--- a/crates/sorrelturn-daemon/src/net/listeners.rs
+++ b/crates/sorrelturn-daemon/src/net/listeners.rs
@@ -14,7 +14,7 @@
 /// New connections that the kernel holds while the daemon is busy or stands still. An opening packet
 /// beyond them is dropped and sent again a second later, when clients have given up; the runtime asks for
 /// 128. The kernel cuts it to its own limit, 4,096 by default.
-const BACKLOG: i32 = 4_096;
+const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// The sockets of one daemon.
 pub(crate) struct Listeners {
@@ -38,33 +38,34 @@
             peers: bind(listen.peers)?,
             control: bind(listen.control)?,
             admin: bind(listen.admin)?,
-            routed: bind_some(listen.routed)?,
-            announce: bind_some(listen.announce)?,
-            ready: bind_some(listen.ready)?,
+            routed: bind_optional(listen.routed)?,
+            announce: bind_optional(listen.announce)?,
+            ready: bind_optional(listen.ready)?,
         })
     }
 
     /// Where they listen, with the ports that they got for port 0.
     pub(crate) fn addresses(&self, settings: &Settings) -> Result<ListenSettings, StartError> {
-        let of = |listener: &TcpListener, addr| {
+        let bound_addr = |listener: &TcpListener, addr| {
             listener
                 .local_addr()
                 .map_err(|error| StartError::Listen { addr, error })
         };
-        let of_some = |listener: &Option<TcpListener>, addr: Option<SocketAddr>| {
-            let both = listener.as_ref().zip(addr);
-            both.map(|(listener, addr)| of(listener, addr)).transpose()
+        let optional_addr = |listener: &Option<TcpListener>, addr: Option<SocketAddr>| {
+            let pair = listener.as_ref().zip(addr);
+            pair.map(|(listener, addr)| bound_addr(listener, addr))
+                .transpose()
         };
         let listen = &settings.listen;
         Ok(ListenSettings {
-            callers: of(&self.callers, listen.callers)?,
-            local: of(&self.local, listen.local)?,
-            peers: of(&self.peers, listen.peers)?,
-            control: of(&self.control, listen.control)?,
-            admin: of(&self.admin, listen.admin)?,
-            routed: of_some(&self.routed, listen.routed)?,
-            announce: of_some(&self.announce, listen.announce)?,
-            ready: of_some(&self.ready, listen.ready)?,
+            callers: bound_addr(&self.callers, listen.callers)?,
+            local: bound_addr(&self.local, listen.local)?,
+            peers: bound_addr(&self.peers, listen.peers)?,
+            control: bound_addr(&self.control, listen.control)?,
+            admin: bound_addr(&self.admin, listen.admin)?,
+            routed: optional_addr(&self.routed, listen.routed)?,
+            announce: optional_addr(&self.announce, listen.announce)?,
+            ready: optional_addr(&self.ready, listen.ready)?,
         })
     }
 
@@ -114,7 +115,7 @@
     }
 }
 
-fn bind_some(addr: Option<SocketAddr>) -> Result<Option<TcpListener>, StartError> {
+fn bind_optional(addr: Option<SocketAddr>) -> Result<Option<TcpListener>, StartError> {
     match addr {
         Some(addr) => bind(addr).map(Some),
         None => Ok(None),
@@ -130,6 +131,6 @@
     // The next run listens where connections of the last one may still end.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     std::net::TcpListener::from(socket).try_into()
 }
--- a/crates/sorrelturn-daemon/src/net/pool.rs
+++ b/crates/sorrelturn-daemon/src/net/pool.rs
@@ -26,24 +26,24 @@
 const MAX_IDLE: usize = 256;
 /// An idle connection is not used again after this time: its other end may be about to close it,
 /// and a request that crosses the close may have run.
-const IDLE_TIME: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// What was opened for a burst is dropped when it has been idle for this time, for its memory at both
 /// ends (some 20 KB each); so many are kept beyond it, so that few and far calls find one open.
-const SPARE_TIME: Duration = Duration::from_secs(2);
-const KEPT_IDLE: usize = 4;
+const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const RETAINED_IDLE_COUNT: usize = 4;
 /// The part of the other end's own idle time for which a connection is used again, in percent.
-const IDLE_PART_PERCENT: u64 = 60;
+const PEER_IDLE_TIMEOUT_PERCENT: u64 = 60;
 /// What one exchange may have on its way unread, in bytes; bounds the memory of a slow reader.
-pub(crate) const BUF_LIMIT_BYTES: usize = 128 << 10;
+pub(crate) const MAX_BUF_BYTES: usize = 128 << 10;
 
 /// An answer is overdue after so many times of what answers take: one that is only slow must seldom raise
 /// doubts. See `docs/design/silent-connections.md`.
-const OVERDUE_TIMES: u32 = 8;
+const OVERDUE_FACTOR: u32 = 8;
 /// And not before this time: it lets a packet be lost once (200 ms) and a process stand still for a tenth of
 /// a second, and few answers take longer by themselves.
-const LEAST_OVERDUE: Duration = Duration::from_millis(400);
+const MIN_OVERDUE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Each answer counts for one part in so many of what answers take.
-const SMOOTHED_OVER: u64 = 16;
+const SMOOTHING_DIVISOR: u64 = 16;
 
 /// Why a request has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,9 +53,9 @@
     /// Not a byte of it was sent.
     NotSent,
     /// It was sent, or a part of it was.
-    Broke,
+    Interrupted,
     /// It was sent over a connection that is silent, and its other end never had it nor ever will.
-    NeverCame,
+    NeverArrived,
     /// It came, and its answer was lost on a connection that is silent.
     AnswerLost,
 }
@@ -63,53 +63,53 @@
 /// The connections to one address.
 pub(crate) struct Pool {
     clock: Clock,
-    most: AtomicUsize,
-    idle_ms: AtomicU64,
+    max_open: AtomicUsize,
+    idle_timeout_ms: AtomicU64,
     open: Arc<AtomicUsize>,
     /// The one that was used last is at the back.
     idle: Mutex<VecDeque<Idle>>,
-    heard: Heard,
+    response_times: ResponseTimes,
 }
 
 /// What answers tell of the path to the other end.
-struct Heard {
+struct ResponseTimes {
     clock: Clock,
     /// What answers take to their heads.
     typical_us: AtomicU64,
     /// When an answer came last over a connection that had been open for as long as makes one overdue.
-    over_old_ms: AtomicU64,
+    old_connection_answer_ms: AtomicU64,
 }
 
-impl Heard {
+impl ResponseTimes {
     fn new(clock: Clock) -> Self {
         Self {
             clock,
             typical_us: AtomicU64::new(0),
-            over_old_ms: AtomicU64::new(0),
+            old_connection_answer_ms: AtomicU64::new(0),
         }
     }
 
     /// Two answers at once may lose one of them, which the next ones make good.
-    fn answer(&self, sent: Now, opened: Now) {
+    fn record(&self, sent: Now, opened: Now) {
         let now = self.clock.now();
         let took_us = (now - sent).as_micros() as u64;
         let before = self.typical_us.load(Ordering::Relaxed);
-        let after = (before * (SMOOTHED_OVER - 1) + took_us) / SMOOTHED_OVER;
+        let after = (before * (SMOOTHING_DIVISOR - 1) + took_us) / SMOOTHING_DIVISOR;
         self.typical_us.store(after, Ordering::Relaxed);
-        if now - opened >= self.overdue_after() {
-            self.over_old_ms
+        if now - opened >= self.overdue_timeout() {
+            self.old_connection_answer_ms
                 .store(now.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
-    fn overdue_after(&self) -> Duration {
+    fn overdue_timeout(&self) -> Duration {
         let typical = Duration::from_micros(self.typical_us.load(Ordering::Relaxed));
-        (typical * OVERDUE_TIMES).max(LEAST_OVERDUE)
+        (typical * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT)
     }
 
     /// Whether an old connection brought an answer since then.
-    fn over_old_since(&self, since: Now) -> bool {
-        Duration::from_millis(self.over_old_ms.load(Ordering::Relaxed)) > since
+    fn old_connection_answered_since(&self, since: Now) -> bool {
+        Duration::from_millis(self.old_connection_answer_ms.load(Ordering::Relaxed)) > since
     }
 }
 
@@ -171,7 +171,8 @@
 /// Whether the connection that has been idle for longest was opened for a burst that is over.
 fn is_spare(idle: &VecDeque<Idle>, now: Now) -> bool {
     let oldest = idle.front().map(|oldest| now.saturating_sub(oldest.since));
-    idle.len() >= KEPT_IDLE && oldest.is_some_and(|rested| rested >= SPARE_TIME)
+    idle.len() >= RETAINED_IDLE_COUNT
+        && oldest.is_some_and(|idle_time| idle_time >= SPARE_IDLE_TIMEOUT)
 }
 
 /// Counts a connection while it is open.
@@ -185,73 +186,74 @@
 
 impl Pool {
     /// A pool of at most this many connections.
-    pub(crate) fn new(most: usize, clock: Clock) -> Arc<Self> {
+    pub(crate) fn new(max_open: usize, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             clock,
-            most: AtomicUsize::new(most),
-            idle_ms: AtomicU64::new(IDLE_TIME.as_millis() as u64),
+            max_open: AtomicUsize::new(max_open),
+            idle_timeout_ms: AtomicU64::new(IDLE_TIMEOUT.as_millis() as u64),
             open: Arc::default(),
             idle: Mutex::default(),
-            heard: Heard::new(clock),
+            response_times: ResponseTimes::new(clock),
         })
     }
 
     /// Changes how many connections may be open; those that are open already stay.
-    pub(crate) fn set_most(&self, most: usize) {
-        self.most.store(most, Ordering::Relaxed);
+    pub(crate) fn set_max_open(&self, max_open: usize) {
+        self.max_open.store(max_open, Ordering::Relaxed);
     }
 
     /// The other end says that it closes connections that rest for so long. They are used again
     /// for a part of it only, since a request that crosses the close may have run.
-    pub(crate) fn closes_after(&self, rest: Duration) {
-        let used_ms = rest.as_millis() as u64 * IDLE_PART_PERCENT / 100;
-        let most_ms = IDLE_TIME.as_millis() as u64;
-        self.idle_ms.store(used_ms.min(most_ms), Ordering::Relaxed);
+    pub(crate) fn set_peer_idle_timeout(&self, peer_timeout: Duration) {
+        let usable_ms = peer_timeout.as_millis() as u64 * PEER_IDLE_TIMEOUT_PERCENT / 100;
+        let max_ms = IDLE_TIMEOUT.as_millis() as u64;
+        self.idle_timeout_ms
+            .store(usable_ms.min(max_ms), Ordering::Relaxed);
     }
 
-    fn idle_time(&self) -> Duration {
-        Duration::from_millis(self.idle_ms.load(Ordering::Relaxed))
+    fn idle_timeout(&self) -> Duration {
+        Duration::from_millis(self.idle_timeout_ms.load(Ordering::Relaxed))
     }
 
     /// Drops the idle connections; those that carry something go on.
-    pub(crate) fn forget_idle(&self) {
+    pub(crate) fn drop_idle(&self) {
         lock(&self.idle).clear();
     }
 
     /// Whether a connection that rests hasn't been closed by the other end.
-    pub(crate) fn has_open(&self) -> bool {
+    pub(crate) fn has_open_idle(&self) -> bool {
         let idle = lock(&self.idle);
         idle.iter().any(|idle| !idle.conn.sender.is_closed())
     }
 
     /// Whether a connection rests.
-    pub(crate) fn rests(&self) -> bool {
+    pub(crate) fn has_idle(&self) -> bool {
         !lock(&self.idle).is_empty()
     }
 
     /// One that rested when this was sent is silent: those that have rested as long may be so too, and
     /// are dropped. Those that carried an answer since then are heard.
-    pub(crate) fn forget_unheard_since(&self, sent: Now) {
+    pub(crate) fn drop_idle_unanswered_since(&self, sent: Now) {
         let mut idle = lock(&self.idle);
-        let heard = idle.iter().position(|idle| idle.since > sent);
-        let unheard = heard.unwrap_or(idle.len());
-        drop(idle.drain(..unheard));
+        let first_answered = idle.iter().position(|idle| idle.since > sent);
+        let unanswered = first_answered.unwrap_or(idle.len());
+        drop(idle.drain(..unanswered));
     }
 
     /// Ends when the answer to what was sent is overdue, and connections that are as old bring none either. A
     /// slow other end answers over the others meanwhile, and raises no doubts.
-    pub(crate) async fn in_doubt(&self, timers: &Timers, sent: Now) {
+    pub(crate) async fn wait_until_suspect(&self, timers: &Timers, sent: Now) {
         let mut since = sent;
         loop {
             let left = self
-                .heard
-                .overdue_after()
+                .response_times
+                .overdue_timeout()
                 .saturating_sub(self.clock.since(since));
             if !left.is_zero() {
                 timers.after(left).await;
                 continue;
             }
-            if !self.heard.over_old_since(since) {
+            if !self.response_times.old_connection_answered_since(since) {
                 return;
             }
             since = self.clock.now();
@@ -259,7 +261,7 @@
     }
 
     /// Sends a request and waits for the head of its answer; `connect` opens a new connection, and
-    /// has `connect_time` for it.
+    /// has `connect_timeout` for it.
     ///
     /// An idle connection that turns out to be closed has sent nothing; the request comes back
     /// and goes over the next one.
@@ -267,7 +269,7 @@
         self: &Arc<Self>,
         ex: &Executor<'static>,
         mut req: Request<Body>,
-        connect_time: Duration,
+        connect_timeout: Duration,
         connect: impl Fn() -> F,
     ) -> Result<(Response<Incoming>, Lease), SendError>
     where
@@ -279,7 +281,7 @@
             let mut conn = match idle {
                 Some(conn) => conn,
                 // Boxed, since it is rare: each request would take the memory for it.
-                None => Box::pin(self.open(ex, connect_time, connect())).await?,
+                None => Box::pin(self.open(ex, connect_timeout, connect())).await?,
             };
             if conn.sender.ready().await.is_err() {
                 if was_idle {
@@ -290,14 +292,14 @@
             let sent = self.clock.now();
             match conn.sender.try_send_request(req).await {
                 Ok(res) => {
-                    self.heard.answer(sent, conn.opened);
+                    self.response_times.record(sent, conn.opened);
                     let pool = Arc::clone(self);
                     return Ok((res, Lease { pool, conn }));
                 }
                 Err(mut error) => match error.take_message() {
                     Some(unsent) if was_idle => req = unsent,
                     Some(_) => return Err(SendError::NotSent),
-                    None => return Err(SendError::Broke),
+                    None => return Err(SendError::Interrupted),
                 },
             }
         }
@@ -308,14 +310,14 @@
         self: &Arc<Self>,
         ex: &Executor<'static>,
         req: Request<Body>,
-        connect_time: Duration,
+        connect_timeout: Duration,
         connect: impl Future<Output = io::Result<Opened>>,
     ) -> Result<(Response<Incoming>, Lease), SendError> {
-        let mut conn = self.open(ex, connect_time, connect).await?;
+        let mut conn = self.open(ex, connect_timeout, connect).await?;
         let ready = conn.sender.ready().await;
         ready.map_err(|_| SendError::NotSent)?;
         let res = conn.sender.send_request(req).await;
-        let res = res.map_err(|_| SendError::Broke)?;
+        let res = res.map_err(|_| SendError::Interrupted)?;
         let pool = Arc::clone(self);
         Ok((res, Lease { pool, conn }))
     }
@@ -324,7 +326,7 @@
     fn take_idle(&self) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         while let Some(last) = idle.pop_back() {
-            if self.clock.since(last.since) >= self.idle_time() {
+            if self.clock.since(last.since) >= self.idle_timeout() {
                 idle.clear();
             } else if !last.conn.sender.is_closed() {
                 return Some(last.conn);
@@ -336,20 +338,23 @@
     async fn open(
         &self,
         ex: &Executor<'static>,
-        connect_time: Duration,
+        connect_timeout: Duration,
         connect: impl Future<Output = io::Result<Opened>>,
     ) -> Result<Conn, SendError> {
         let open = Open(Arc::clone(&self.open));
-        if self.open.fetch_add(1, Ordering::Relaxed) >= self.most.load(Ordering::Relaxed) {
+        if self.open.fetch_add(1, Ordering::Relaxed) >= self.max_open.load(Ordering::Relaxed) {
             return Err(SendError::Full);
         }
-        let too_long = async {
-            Timer::after(connect_time).await;
+        let timed_out = async {
+            Timer::after(connect_timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let opened = connect.or(too_long).await.map_err(|_| SendError::NotSent)?;
+        let opened = connect
+            .or(timed_out)
+            .await
+            .map_err(|_| SendError::NotSent)?;
         let (sender, conn) = Builder::new()
-            .max_buf_size(BUF_LIMIT_BYTES)
+            .max_buf_size(MAX_BUF_BYTES)
             .handshake(hyper_io(opened.stream))
             .await
             .map_err(|_| SendError::NotSent)?;
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -43,26 +43,26 @@
 };
 
 /// The longest time for the head of a request, so that slow senders hold no connection for long.
-const HEAD_TIME: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// The longest time that a connection of a peer rests; longer than the peer would use it again.
-const PEER_IDLE_TIME: Duration = Duration::from_secs(60);
+const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The longest time that a connection of a caller rests where routes tell kinds. The operators'
 /// limit changes while connections rest; this is longer than any that callers would use again.
-const ROUTED_IDLE_TIME: Duration = Duration::from_secs(120);
+const ROUTED_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// The longest time for the head of a request on a connection that was opened while the daemon stops, so that
 /// one that carries nothing doesn't hold the exit for two seconds.
-const ENDING_HEAD_TIME: Duration = Duration::from_millis(500);
+const STOPPING_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 /// The largest head of a request, in bytes, and what a reader may leave unread.
-const BUF_LIMIT_BYTES: usize = 64 << 10;
+const MAX_BUF_BYTES: usize = 64 << 10;
 /// The longest time for a peer to prove that it belongs to the fleet.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(5);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The most connections of one listener.
 const MAX_CONNECTIONS: usize = 8_192;
 /// The pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// So many connections that rest end when file descriptors are short: with the pause, room for 400 new
 /// clients a second.
-const ENDED_FOR_ROOM: usize = 8;
+const IDLE_CLOSED_ON_SHORTAGE: usize = 8;
 
 /// Ends when its sender is dropped; connections then finish what they carry and close.
 pub(crate) type Closing = Receiver<()>;
@@ -94,15 +94,15 @@
             Ok((tcp, _)) => tcp,
             Err(error) => {
                 if lacks_descriptors(&error) {
-                    node.connections.end_resting(ENDED_FOR_ROOM);
+                    node.connections.close_idle(IDLE_CLOSED_ON_SHORTAGE);
                 }
                 node.note(&events::ACCEPT_FAILED, vec![Field::new("error", error)]);
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let full = open.load(Ordering::Relaxed) >= MAX_CONNECTIONS;
-        if full || tcp.set_nodelay(true).is_err() {
+        let is_full = open.load(Ordering::Relaxed) >= MAX_CONNECTIONS;
+        if is_full || tcp.set_nodelay(true).is_err() {
             continue;
         }
         let counts = [Arc::clone(&open), Arc::clone(&node.counts.connections)];
@@ -144,14 +144,14 @@
     let answer = move |req: Request<Incoming>| {
         let node = Arc::clone(&node);
         async move {
-            if ambiguous(&req) {
+            if has_ambiguous_length(&req) {
                 return bad_request(&node);
             }
             entry::serve(&node, ip, req).await
         }
     };
     let stream = ReadySocket::for_server(tcp);
-    let _ = http1(timers, stream, Some(&conn), HEAD_TIME, closing, answer).await;
+    let _ = http1(timers, stream, Some(&conn), HEAD_TIMEOUT, closing, answer).await;
 }
 
 /// A connection for requests that are told by routes.
@@ -159,34 +159,34 @@
     if closing.is_closed() {
         let serve =
             async |node: &Arc<Node>, req| routed::serve(node, req, Arrives::WhileEnding).await;
-        return plain(node, accepted, ENDING_HEAD_TIME, closing, serve).await;
+        return plain(node, accepted, STOPPING_HEAD_TIMEOUT, closing, serve).await;
     }
     let serve = async |node: &Arc<Node>, req| routed::serve(node, req, Arrives::BeforeEnd).await;
-    plain(node, accepted, ROUTED_IDLE_TIME, closing, serve).await;
+    plain(node, accepted, ROUTED_IDLE_TIMEOUT, closing, serve).await;
 }
 
 /// A connection of the own backend server that announces itself.
 pub(crate) async fn announce(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::serve(node, req).await;
-    plain(node, accepted, PEER_IDLE_TIME, closing, serve).await;
+    plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
 }
 
 /// A connection of whoever asks whether this daemon is ready.
 pub(crate) async fn ready(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::ready(node, req).await;
-    plain(node, accepted, PEER_IDLE_TIME, closing, serve).await;
+    plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
 }
 
 /// A connection of the own backend server.
 pub(crate) async fn local(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| nested::serve(node, req).await;
-    plain(node, accepted, HEAD_TIME, closing, serve).await;
+    plain(node, accepted, HEAD_TIMEOUT, closing, serve).await;
 }
 
 /// A connection of an operator.
 pub(crate) async fn admin(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| crate::operators::admin::serve(node, req).await;
-    plain(node, accepted, HEAD_TIME, closing, serve).await;
+    plain(node, accepted, HEAD_TIMEOUT, closing, serve).await;
 }
 
 /// A connection without anything between TCP and the requests on it. How it ends is of no interest:
@@ -194,7 +194,7 @@
 async fn plain(
     node: Arc<Node>,
     accepted: Accepted,
-    head_time: Duration,
+    head_timeout: Duration,
     closing: Closing,
     serve: impl AsyncFn(&Arc<Node>, Request<Incoming>) -> Response<Body>,
 ) {
@@ -202,16 +202,16 @@
     let timers = node.timers.clone();
     let answer = async |req| serve(&node, req).await;
     let stream = ReadySocket::for_server(tcp);
-    let _ = http1(timers, stream, Some(&conn), head_time, closing, answer).await;
+    let _ = http1(timers, stream, Some(&conn), head_timeout, closing, answer).await;
 }
 
-/// Serves a connection; `head_time` is the longest time for the head of each request, the wait for
-/// it included. `ends_for_room` is given where the connection may end for a new one while it rests.
+/// Serves a connection; `head_timeout` is the longest time for the head of each request, the wait for
+/// it included. `closable` is given where the connection may end for a new one while it rests.
 async fn http1<F>(
     timers: Timers,
     stream: impl AsyncRead + AsyncWrite + Unpin,
-    ends_for_room: Option<&Connection>,
-    head_time: Duration,
+    closable: Option<&Connection>,
+    head_timeout: Duration,
     closing: Closing,
     answer: impl Fn(Request<Incoming>) -> F,
 ) -> hyper::Result<()>
@@ -219,37 +219,37 @@
     F: Future<Output = Response<Body>>,
 {
     let service = service_fn(|req| {
-        let carries = ends_for_room.map(Connection::carries);
+        let active_guard = closable.map(Connection::mark_active);
         let answered = answer(req);
         async move {
             let res = answered.await;
-            drop(carries);
+            drop(active_guard);
             Ok::<_, Infallible>(res)
         }
     });
     // Opened while connections close: it carries one request.
-    let ends_soon = closing.is_closed();
+    let closes_soon = closing.is_closed();
     let conn = http1::Builder::new()
         .timer(timers)
-        .header_read_timeout(head_time)
-        .max_buf_size(BUF_LIMIT_BYTES)
-        .keep_alive(!ends_soon)
+        .header_read_timeout(head_timeout)
+        .max_buf_size(MAX_BUF_BYTES)
+        .keep_alive(!closes_soon)
         // Between daemons nobody reads the date; each byte of a short call's answer crosses failure domains.
-        .auto_date_header(ends_for_room.is_some())
+        .auto_date_header(closable.is_some())
         .serve_connection(hyper_server_io(stream), service);
     let mut conn = pin!(conn);
-    if ends_soon {
+    if closes_soon {
         return conn.await;
     }
     let finished = async { Some(conn.as_mut().await) };
-    let ended = async {
-        match ends_for_room {
-            Some(conn) => conn.ended().await,
+    let must_close = async {
+        match closable {
+            Some(conn) => conn.wait_for_close().await,
             None => future::pending().await,
         }
         None
     };
-    match finished.or(closed(&closing)).or(ended).await {
+    match finished.or(closed(&closing)).or(must_close).await {
         Some(result) => result,
         None => {
             conn.as_mut().graceful_shutdown();
@@ -262,12 +262,12 @@
 pub(crate) async fn peer(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     // It never ends for a new one: a call that crosses the end would count as one that may have run.
-    let _carries = conn.carries();
-    let too_late = async {
-        Timer::after(HANDSHAKE_TIME).await;
+    let _active_guard = conn.mark_active();
+    let timed_out = async {
+        Timer::after(HANDSHAKE_TIMEOUT).await;
         Err(std::io::ErrorKind::TimedOut.into())
     };
-    let stream = match node.keys.accept(tcp).or(too_late).await {
+    let stream = match node.keys.accept(tcp).or(timed_out).await {
         Ok(stream) => stream,
         Err(error) => {
             node.note(&events::BAD_PEER, vec![Field::new("error", error)]);
@@ -280,7 +280,7 @@
         async move { peer_call(&node, req).await }
     };
     let timers = node.timers.clone();
-    let result = http1(timers, stream, None, PEER_IDLE_TIME, closing, answer).await;
+    let result = http1(timers, stream, None, PEER_IDLE_TIMEOUT, closing, answer).await;
     if let Err(error) = result
         && error.is_parse()
     {
@@ -294,8 +294,8 @@
         .remove(CONTEXT)
         .and_then(|value| CallContext::decode(value.as_bytes()).ok());
     let Some(context) = context else {
-        if let Some(fate) = fate(node, req.headers()) {
-            return fate;
+        if let Some(res) = status_query_response(node, req.headers()) {
+            return res;
         }
         node.note(&events::BAD_PEER, vec![Field::new("error", "no context")]);
         return status(StatusCode::BAD_REQUEST);
@@ -305,37 +305,37 @@
     let Some(_guard) = AttemptGuard::begin(node, attempt_id(&context)) else {
         // Its sender was told that it never came, or had given the question up before this word was out: then it
         // hears it now, and may send another attempt.
-        return told(AttemptStatus::NeverCame);
+        return attempt_status_response(AttemptStatus::NeverCame);
     };
     owner::serve(node, context, req).await.into_peer_response()
 }
 
 /// The answer to a peer that asks what became of an attempt; `None` if it doesn't ask.
-fn fate(node: &Node, headers: &HeaderMap) -> Option<Response<Body>> {
-    let question = headers.get(ATTEMPT_STATUS)?;
-    let question = AttemptStatusQuery::decode(question.as_bytes()).ok()?;
-    let fate = if question.owner == node.incarnation {
-        let sent_ago = Duration::from_millis(question.sent_ms_ago.into());
-        lock(&node.attempts).status(node.now(), question.attempt, sent_ago)
+fn status_query_response(node: &Node, headers: &HeaderMap) -> Option<Response<Body>> {
+    let query = headers.get(ATTEMPT_STATUS)?;
+    let query = AttemptStatusQuery::decode(query.as_bytes()).ok()?;
+    let attempt_status = if query.owner == node.incarnation {
+        let sent_ago = Duration::from_millis(query.sent_ms_ago.into());
+        lock(&node.attempts).status(node.now(), query.attempt, sent_ago)
     } else {
         // An earlier run had it, or not.
         AttemptStatus::Over
     };
     node.events.record(
         &events::FATE_ASKED,
-        Some(question.attempt.request),
+        Some(query.attempt.request),
         vec![
-            Field::new("sent_ms_ago", question.sent_ms_ago),
-            Field::new("fate", format!("{fate:?}").to_lowercase()),
+            Field::new("sent_ms_ago", query.sent_ms_ago),
+            Field::new("fate", format!("{attempt_status:?}").to_lowercase()),
         ],
     );
-    Some(told(fate))
+    Some(attempt_status_response(attempt_status))
 }
 
 /// The word on what became of an attempt.
-fn told(fate: AttemptStatus) -> Response<Body> {
+fn attempt_status_response(attempt_status: AttemptStatus) -> Response<Body> {
     let mut res = status(StatusCode::NO_CONTENT);
-    headers::set(res.headers_mut(), ATTEMPT_STATUS, &fate.encode());
+    headers::set(res.headers_mut(), ATTEMPT_STATUS, &attempt_status.encode());
     res
 }
 
@@ -360,7 +360,7 @@
 }
 
 /// Two ways to tell where a body ends are a way to smuggle a request behind another one.
-pub(crate) fn ambiguous(req: &Request<Incoming>) -> bool {
+pub(crate) fn has_ambiguous_length(req: &Request<Incoming>) -> bool {
     let headers = req.headers();
     let lengths = headers
         .get_all(hyper::header::CONTENT_LENGTH)
--- a/crates/sorrelturn-daemon/src/net/timers.rs
+++ b/crates/sorrelturn-daemon/src/net/timers.rs
@@ -22,7 +22,7 @@
 };
 
 /// How late a deadline may be noticed.
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The deadlines of one daemon.
 #[derive(Clone)]
@@ -33,15 +33,15 @@
 }
 
 struct Shared {
-    waiting: Mutex<Waiting>,
+    waiters: Mutex<Waiters>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Waiters {
     wakers: BTreeMap<(Now, u64), Waker>,
     next_id: u64,
     /// When [`Timers::run`] looks next; `None` while it sleeps until it is woken.
-    next_look: Option<Now>,
+    next_check: Option<Now>,
 }
 
 impl Timers {
@@ -49,7 +49,7 @@
     pub(crate) fn new(clock: Clock) -> (Self, Receiver<()>) {
         let (wake_up, woken) = channel::bounded(1);
         let shared = Arc::new(Shared {
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
         });
         let timers = Self {
             clock,
@@ -63,29 +63,29 @@
     pub(crate) async fn run(self, woken: Receiver<()>) {
         loop {
             let now = self.clock.now();
-            let (due, next_look) = self.shared.look(now);
+            let (due, next_check) = self.shared.take_due(now);
             for waker in due {
                 waker.wake();
             }
-            let earlier = async { woken.recv().await.is_ok() };
-            let goes_on = match next_look {
+            let woken_early = async { woken.recv().await.is_ok() };
+            let is_running = match next_check {
                 Some(at) => {
-                    let look = async {
+                    let sleep = async {
                         Timer::after(at.saturating_sub(now)).await;
                         true
                     };
-                    look.or(earlier).await
+                    sleep.or(woken_early).await
                 }
-                None => earlier.await,
+                None => woken_early.await,
             };
-            if !goes_on {
+            if !is_running {
                 return;
             }
         }
     }
 
     /// Wakes what is due by now, though [`Timers::run`] would look later.
-    pub(crate) fn look_now(&self) {
+    pub(crate) fn check_now(&self) {
         // If it is full, a look is due anyway.
         let _ = self.wake_up.try_send(());
     }
@@ -106,19 +106,19 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        lock(&self.waiting)
+    fn lock(&self) -> MutexGuard<'_, Waiters> {
+        lock(&self.waiters)
     }
 
     /// Takes what is due, and says when to look again.
-    fn look(&self, now: Now) -> (impl Iterator<Item = Waker> + use<>, Option<Now>) {
-        let mut waiting = self.lock();
-        let later = waiting.wakers.split_off(&(now, u64::MAX));
-        let due = std::mem::replace(&mut waiting.wakers, later);
-        let first = waiting.wakers.first_key_value();
-        let next_look = first.map(|((at, _), _)| (*at).max(now + TICK));
-        waiting.next_look = next_look;
-        (due.into_values(), next_look)
+    fn take_due(&self, now: Now) -> (impl Iterator<Item = Waker> + use<>, Option<Now>) {
+        let mut waiters = self.lock();
+        let later = waiters.wakers.split_off(&(now, u64::MAX));
+        let due = std::mem::replace(&mut waiters.wakers, later);
+        let first = waiters.wakers.first_key_value();
+        let next_check = first.map(|((at, _), _)| (*at).max(now + TICK_INTERVAL));
+        waiters.next_check = next_check;
+        (due.into_values(), next_check)
     }
 }
 
@@ -130,7 +130,7 @@
 }
 
 impl Deadline {
-    fn forget(&mut self) {
+    fn remove(&mut self) {
         if let Some(id) = self.id.take() {
             self.timers.shared.lock().wakers.remove(&(self.at, id));
         }
@@ -143,21 +143,24 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let this = &mut *self;
         if this.timers.clock.now() >= this.at {
-            this.forget();
+            this.remove();
             return Poll::Ready(());
         }
-        let mut waiting = this.timers.shared.lock();
+        let mut waiters = this.timers.shared.lock();
         let id = *this.id.get_or_insert_with(|| {
-            waiting.next_id += 1;
-            waiting.next_id
+            waiters.next_id += 1;
+            waiters.next_id
         });
         let key = (this.at, id);
-        let known = waiting.wakers.get(&key);
+        let known = waiters.wakers.get(&key);
         if known.is_none_or(|waker| !waker.will_wake(cx.waker())) {
-            waiting.wakers.insert(key, cx.waker().clone());
+            waiters.wakers.insert(key, cx.waker().clone());
         }
-        if waiting.next_look.is_none_or(|look| this.at + TICK < look) {
-            waiting.next_look = Some(this.at);
+        if waiters
+            .next_check
+            .is_none_or(|check| this.at + TICK_INTERVAL < check)
+        {
+            waiters.next_check = Some(this.at);
             let _ = this.timers.wake_up.try_send(());
         }
         Poll::Pending
@@ -166,7 +169,7 @@
 
 impl Drop for Deadline {
     fn drop(&mut self) {
-        self.forget();
+        self.remove();
     }
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -5,7 +5,7 @@
     backend::link::Backend,
     backend::state::Routed,
     clock::Clock,
-    config::in_force::{InForce, Origin, RetryTerms},
+    config::in_force::{InForce, Origin, RetryLimits},
     config::knowledge::Knowledge,
     config::settings::Settings,
     ending::Ending,
@@ -247,12 +247,12 @@
 
     /// This daemon's share of the retries that all daemons may make, so that they need no talk
     /// about it.
-    fn retry_terms(&self) -> RetryTerms {
+    fn retry_terms(&self) -> RetryLimits {
         let Some(routes) = &self.settings.routes else {
-            return RetryTerms::default();
+            return RetryLimits::default();
         };
         let members = lock(&self.membership).present().count();
-        RetryTerms {
+        RetryLimits {
             ratio: routes.retry_ratio,
             slack: routes.retry_slack * RETRY_SLACK_USED / members.max(LEAST_SHARERS) as f64,
             window: Duration::from_secs_f64(routes.retry_window_s),
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -101,10 +101,9 @@
         .into_iter()
         .map(|section| (ContentHash::of(&section.bytes), section))
         .collect();
-    let taken = brought
-        .manifest
-        .verify(&node.trusted)
-        .and_then(|manifest| fetch::take(node, brought.manifest, &manifest, &sections));
+    let taken = brought.manifest.verify(&node.trusted).and_then(|manifest| {
+        fetch::put_bundle_in_force(node, brought.manifest, &manifest, &sections)
+    });
     match taken {
         Ok(()) => json(&report(node)),
         Err(error) => {
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -189,7 +189,7 @@
     if !allowed.is_empty() && !allowed.contains(&kind.name) {
         return Err(Reply::not_run(Refusal::NotAllowed));
     }
-    if !in_force.caller_may_ask(caller, node.now()) {
+    if !in_force.take_caller_rate(caller, node.now()) {
         return Err(Reply::not_run(Refusal::CallerRate).come_back(come_back()));
     }
     let trace = headers::text(req_headers, TRACEPARENT)
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -85,8 +85,8 @@
             Ok((res, lease)) => reply_of(node, call, res, lease),
             Err(SendError::Full) => Err(Failure::Full),
             Err(SendError::NotSent) => Err(Failure::NotSent),
-            Err(SendError::Broke) => Err(Failure::Broke),
-            Err(SendError::NeverCame) => Err(Failure::NeverCame),
+            Err(SendError::Interrupted) => Err(Failure::Broke),
+            Err(SendError::NeverArrived) => Err(Failure::NeverCame),
             Err(SendError::AnswerLost) => Err(Failure::AnswerLost),
         }
     };
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -321,18 +321,18 @@
         return;
     }
     if answer.refusal == Some(Refusal::NoInstanceBelow) {
-        kind_state.lacks_below(node.now());
+        kind_state.record_lack_below(node.now());
     }
     if answer.refusal.is_none_or(Refusal::indicates_service_load) {
         kind_state.threshold.observe(node.now(), answer.threshold);
     }
-    call.in_force.heard_of_kind(kind_state, answer.is_call);
-    fetch::heard_version(
+    call.in_force.record_kind_answer(kind_state, answer.is_call);
+    fetch::fetch_if_newer(
         node,
         answer.bundle_version,
         Source::Peer(route.record.instance.clone()),
     );
-    knowledge::told(node, sent, answer.bundle_version, answer.knowledge_age_ms);
+    knowledge::confirm_from_peer(node, sent, answer.bundle_version, answer.knowledge_age_ms);
 }
 
 /// Decides whether another try follows.
@@ -405,7 +405,7 @@
 /// What was sent allows a retry here, and at the entry the caller's successes pay for it as well.
 fn pays_retry(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
-    let caller_pays = !is_root || call.in_force.caller_pays_retry(call.context.caller);
+    let caller_pays = !is_root || call.in_force.take_caller_retry(call.context.caller);
     caller_pays && lock(&kind_state.retries).take(node.now())
 }
 
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -1,9 +1,9 @@
 //! One call at its owner: the exchange with the backend server, and what follows from it.
 
 use crate::{
-    backend::crash::{self, AtWork},
-    backend::link::Answered,
-    backend::state::{self, Routed, Word},
+    backend::crash::{self, BackendRequestGuard},
+    backend::link::BackendResponse,
+    backend::state::{self, ResponseKind, Routed},
     clock::unix_ns,
     config::in_force::InForce,
     fleet::{gossip, suspects},
@@ -87,9 +87,9 @@
         let graph = lock(&routed.graph);
         graph.required_calls(&self.kind.name).any(|call| {
             let kind = self.in_force.bundle.kind(call);
-            let state = self.in_force.state_of(call);
+            let state = self.in_force.kind_state_by_name(call);
             kind.is_some_and(|kind| routes.of_service(&kind.service).is_empty())
-                || state.is_some_and(|state| state.still_lacks_below(now))
+                || state.is_some_and(|state| state.recently_lacked_instance_below(now))
         })
     }
 
@@ -138,7 +138,7 @@
             return unused(self.refused(Refusal::Leaving), share);
         };
         let node = Arc::clone(&self.node);
-        let at_work = AtWork::new(&node, self.context.names);
+        let at_work = BackendRequestGuard::new(&node, self.context.names);
         let again = |req: &Request<Body>| self.copy(req);
         let pays = || self.pays_second_sending();
         let sent = node.backend.send(&node.ex, &node.timers, req, again, pays);
@@ -154,28 +154,28 @@
                 self.answered(slot, guard, answered, at_work)
             }
             Some(Err(SendError::Full)) => {
-                at_work.ended();
+                at_work.mark_finished();
                 slot.release(Outcome::Cancelled);
                 let share = self.context.attempts;
                 unused(self.refused(Refusal::Overload), share)
             }
             Some(Err(SendError::NotSent)) => {
-                at_work.ended();
+                at_work.mark_finished();
                 node.backend_reached(false);
                 slot.release(Outcome::Failed);
                 let share = self.context.attempts;
                 unused(self.refused(Refusal::BackendUnreachable), share)
             }
-            Some(Err(SendError::Broke)) => {
-                at_work.ended();
+            Some(Err(SendError::Interrupted)) => {
+                at_work.mark_finished();
                 slot.release(Outcome::Failed);
-                let refusal = match crash::broke_off(&node, self.context.names).await {
+                let refusal = match crash::check_for_crash(&node, self.context.names).await {
                     true => Refusal::BackendCrashed,
                     false => Refusal::BackendBroke,
                 };
                 self.failed(&guard, refusal)
             }
-            Some(Err(SendError::NeverCame | SendError::AnswerLost)) => {
+            Some(Err(SendError::NeverArrived | SendError::AnswerLost)) => {
                 slot.release(Outcome::Failed);
                 self.failed(&guard, Refusal::BackendBroke)
             }
@@ -202,7 +202,7 @@
     /// leaves gets none: its acknowledgement says that nothing new reaches it, and the first may be overdue by seconds.
     fn pays_second_sending(&self) -> bool {
         let routed = self.node.routed.as_ref();
-        let takes_none = routed.is_some_and(|routed| routed.serving().is_none());
+        let takes_none = routed.is_some_and(|routed| routed.serving_id().is_none());
         if takes_none || self.is_held() {
             return false;
         }
@@ -224,7 +224,7 @@
         let names = &routed.dialect.headers;
         let left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let headers = req.headers_mut();
-        headers.insert(names.expected_backend.clone(), routed.serving()?);
+        headers.insert(names.expected_backend.clone(), routed.serving_id()?);
         headers.insert(names.time_left_ms.clone(), (left as u64).into());
         Some(req)
     }
@@ -256,25 +256,25 @@
         self,
         slot: Slot,
         guard: ParentGuard,
-        answered: Answered,
-        at_work: AtWork,
+        answered: BackendResponse,
+        at_work: BackendRequestGuard,
     ) -> Reply {
-        let Answered {
+        let BackendResponse {
             mut res,
             lease,
             sent_twice,
         } = answered;
         if let Some(keep_alive) = headers::text(res.headers(), "keep-alive") {
-            self.node.backend.heard_keep_alive(keep_alive);
+            self.node.backend.set_keep_alive(keep_alive);
         }
         // Our own headers are ours to say: a backend server can't tell a caller a verdict.
         headers::strip_internal(res.headers_mut());
         let status = res.status().as_u16();
         let service = self.in_force.bundle.service(&self.kind.service);
         let word = self.node.routed.as_ref().map(|routed| {
-            let word = routed.judge(self.asked.as_ref(), res.status(), res.headers());
-            if word == Word::NotRun {
-                state::answered_by(&self.node, routed, res.headers());
+            let word = routed.classify_response(self.asked.as_ref(), res.status(), res.headers());
+            if word == ResponseKind::NotRun {
+                state::record_answering_backend(&self.node, routed, res.headers());
             }
             word
         });
@@ -282,13 +282,13 @@
             // What a backend server says of its load is for its own daemon only.
             res.headers_mut().remove(&routed.dialect.headers.load);
         }
-        if word == Some(Word::NotOurs) {
-            at_work.ended();
+        if word == Some(ResponseKind::Mismatched) {
+            at_work.mark_finished();
             slot.release(Outcome::Failed);
             return self.failed(&guard, Refusal::BackendBroke);
         }
         let by_status = service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = by_status || word == Some(Word::NotRun);
+        let refused = by_status || word == Some(ResponseKind::NotRun);
         let drains = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
@@ -296,7 +296,7 @@
             gossip::leave(&self.node, LeavingCause::Backend);
         }
         if refused {
-            at_work.ended();
+            at_work.mark_finished();
             if res.body().is_end_stream() {
                 lease.give_back();
             }
@@ -363,7 +363,7 @@
         }
         let calls = graph.calls(&self.kind.name);
         self.in_force
-            .threshold_of(calls.iter().map(String::as_str), now)
+            .max_threshold(calls.iter().map(String::as_str), now)
     }
 
     /// Passes the body on while it comes; slot, connection and registration end with it.
@@ -373,7 +373,7 @@
         outcome: Outcome,
         guard: ParentGuard,
         res: Response<Incoming>,
-        (lease, at_work): (Lease, AtWork),
+        (lease, at_work): (Lease, BackendRequestGuard),
     ) -> Response<Body> {
         let one_piece = res
             .body()
@@ -393,7 +393,7 @@
             body::guarded_answer(&timers, incoming, deadline, move |whole| {
                 if whole {
                     lease.give_back();
-                    at_work.ended();
+                    at_work.mark_finished();
                     suspects::ran_whole(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -65,7 +65,7 @@
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
             None => {
-                let may_prove = node.knowledge.may_prove(node.now());
+                let may_prove = node.knowledge.may_read_for_unknown(node.now());
                 if !may_prove
                     || !knowledge::wait_until(node, || node.knowledge.covers(arrived)).await
                 {
@@ -80,7 +80,7 @@
 fn is_unknown(node: &Node, shown: Option<CredentialHash>, arrived: Now) -> bool {
     let covers = node.knowledge.covers(arrived);
     match shown {
-        Some(credential) if covers => node.knowledge.note_unknown(credential),
+        Some(credential) if covers => node.knowledge.remember_unknown(credential),
         Some(credential) => {
             let is_valid = knowledge::is_valid(node, node.now());
             return is_valid && node.knowledge.is_unknown(credential);
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -5,7 +5,7 @@
     backend::state::Routed,
     config::in_force::{InForce, KindState},
     fleet::quota,
-    net::serve::ambiguous,
+    net::serve::has_ambiguous_length,
     node::{Carried, Node, lock},
     operators::export,
     request::answer::Reply,
@@ -124,7 +124,7 @@
     arrives: Arrives,
 ) -> Result<Asked, Reply> {
     let headers = req.headers();
-    if ambiguous(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
+    if has_ambiguous_length(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
         return Err(Reply::not_run(Refusal::Malformed));
     }
     let host = headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -186,10 +186,10 @@
     }
     let was_tried = asked
         .left_ms
-        .is_some_and(|left_ms| lock(&state.first_tries).observe(left_ms));
-    let (rank_of_kind, ranks) = asked.in_force.rank_of_root(asked.kind.importance());
+        .is_some_and(|left_ms| lock(&state.retry_detector).observe(left_ms));
+    let (rank_of_kind, ranks) = asked.in_force.root_rank(asked.kind.importance());
     // A workspace that matters more goes before what its requests' kinds say among the others.
-    let rank = rank_of_kind + asked.in_force.steps_above(asked.workspace.as_deref());
+    let rank = rank_of_kind + asked.in_force.rank_above_lowest(asked.workspace.as_deref());
     let mut bucket = asked.request.shedding_bucket();
     if asked.in_force.is_once_among_repeatable(&asked.kind) {
         bucket = bucket_for_at_most_once(bucket);
@@ -212,7 +212,8 @@
             Field::new("was_tried", was_tried),
         ],
     );
-    let come_back = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
+    let come_back =
+        lock(&state.refusal_streak).record_refusal(node.now(), &mut fastrand::Rng::new());
     Err(Reply::not_run(Refusal::Overload).come_back(come_back))
 }
 
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -329,7 +329,7 @@
     let spans = settings.trace.map_or(0, |trace| trace.buffer);
     let timeout = Duration::from_millis(settings.platform.timeout_ms);
     let quota_bound = settings.routes.as_ref().map(RouteSettings::quota_bound);
-    let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_terms);
+    let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_validity);
     let connect_time = Duration::from_millis(settings.backend.connect_ms);
     Ok(Node {
         platform: Platform::new(settings.platform.address, timeout)
@@ -391,7 +391,7 @@
         last = now;
         if paused >= LAG_CHECK {
             // The runtime's timers stand still while the VM is suspended; what is due by now isn't due by them.
-            node.timers.look_now();
+            node.timers.check_now();
         }
         node.room.with_gate(|gate, _| gate.report_lag(paused));
         if paused >= PAUSE {
