--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -1,4 +1,5 @@
-//! Fetching a higher bundle from the store or from a peer. See `docs/design/spread.md`.
+//! Fetches newer bundles and route tables from the store or from a peer. See
+//! `docs/design/spread.md`.
 
 use crate::{
     config::in_force::{InForce, Origin},
@@ -21,23 +22,24 @@
 /// Why a bundle could not be fetched.
 #[derive(Debug, Display)]
 pub(crate) enum FetchError {
-    /// the peer doesn't answer: {0}
+    /// the peer doesn't respond: {0}
     Peer(ControlError),
     /// the peer is not a member any more
     UnknownPeer,
-    /// the platform doesn't answer: {0}
+    /// the platform doesn't respond: {0}
     Platform(PlatformError),
-    /// nobody has a bundle there
+    /// the source has no bundle
     Absent,
-    /// it can't be read
+    /// the manifest can't be parsed
     Unreadable,
-    /// it is not taken: {0}
+    /// the bundle is invalid: {0}
     Refused(ManifestError),
-    /// the route table is not taken: {0}
+    /// the route table is invalid: {0}
     RoutesRefused(String),
 }
 
-/// Somebody has this version; if it is higher, it is fetched. Cheap enough for every answer.
+/// Starts a fetch if the announced version is higher than the one in force. Cheap enough for
+/// every response.
 pub(crate) fn fetch_if_newer(node: &Arc<Node>, version: u64, source: Source) {
     if version <= node.bundle_version() {
         return;
@@ -71,7 +73,7 @@
     }
 }
 
-/// Fetches the bundle that a source has and puts it in force if it is higher.
+/// Fetches the bundle of a source and puts it in force if its version is higher.
 pub(crate) async fn fetch_from(node: &Arc<Node>, source: &Source) -> Result<(), FetchError> {
     let peer = match source {
         Source::Store => None,
@@ -83,7 +85,7 @@
     fetch_from_member(node, peer.as_ref()).await
 }
 
-/// As [`fetch_from`], with the platform's store for no member.
+/// Does the same as [`fetch_from`]; `None` stands for the platform's store.
 pub(crate) async fn fetch_from_member(
     node: &Arc<Node>,
     peer: Option<&MemberRecord>,
@@ -134,7 +136,7 @@
     put_bundle_in_force(node, signed, &manifest, &available).map_err(FetchError::Refused)
 }
 
-/// Puts a verified manifest in force with sections by content.
+/// Joins the sections that a verified manifest lists, and puts the bundle in force.
 pub(crate) fn put_bundle_in_force(
     node: &Arc<Node>,
     signed: SignedManifest,
@@ -164,7 +166,8 @@
     Ok(())
 }
 
-/// Reads a route table as operators wrote it, and puts it in force if its version is higher.
+/// Parses a route table in the form that operators write, and puts it in force if its version is
+/// higher.
 pub(crate) fn accept_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let Some(routed) = &node.routed else {
         return Err("no route table is expected here".to_owned());
@@ -172,14 +175,15 @@
     accept_table(node, &(routed.dialect.read_routes)(text)?)
 }
 
-/// The same in the form in which daemons pass it on, which holds no credentials, only their hashes.
+/// Does the same for the form that daemons exchange, which has hashes in place of credentials.
 fn accept_peer_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let table: RouteTable = serde_json::from_str(text).map_err(|error| error.to_string())?;
     accept_table(node, &table)
 }
 
 fn accept_table(node: &Arc<Node>, table: &RouteTable) -> Result<(), String> {
-    // Before its version is compared: one without a version would else be passed over without a word.
+    // Checked before the version is compared, since a table without a version would be skipped
+    // without an error.
     table.check().map_err(|error| error.to_string())?;
     let version = table.version;
     if version <= node.bundle_version() {
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -1,4 +1,4 @@
-//! The bundle in force, with what is learnt under it.
+//! The bundle in force, with what the daemon learns while it is.
 
 use crate::node::{LastTime, lock};
 use sorrelturn_bundle::{
@@ -17,41 +17,41 @@
     time::Duration,
 };
 
-/// The retries that are allowed for each sending of a kind.
+/// The retries allowed for each first attempt of a kind.
 const EDGE_RETRY_RATIO: f64 = 0.1;
-/// The retries of a kind that are allowed besides.
+/// The retries of a kind allowed in addition, in each window.
 const EDGE_RETRY_SLACK: f64 = 10.0;
-/// The window in which both are window.
+/// The window of both.
 const EDGE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// So long it is believed that something below a kind has no instance. A daemon that starts anew is back
-/// in a second or two; each time this ends, the requests of a few milliseconds try in vain.
+/// How long requests are refused after one failed because a service below its kind had no
+/// instance.
 const LACK_RETENTION: Duration = Duration::from_millis(200);
 
-/// What a bundle was read from.
+/// The source of a bundle, to pass on to other daemons.
 pub(crate) enum Origin {
-    /// Sections that an operator signed for.
+    /// Sections and the manifest that an operator signed.
     Signed {
         manifest: SignedManifest,
         sections: Vec<SectionBytes>,
     },
-    /// A route table, in the form in which daemons pass it on.
+    /// A route table, in the form that daemons exchange.
     Routes(String),
 }
 
-/// The retries that this daemon may make at one service.
+/// The limits for the retries of this daemon at one service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryLimits {
-    /// For each first sending there.
+    /// The retries for each first attempt.
     pub(crate) ratio: f64,
-    /// Besides, in each window.
+    /// The retries in addition, in each window.
     pub(crate) slack: f64,
-    /// The window in which both are window.
+    /// The window of both.
     pub(crate) window: Duration,
 }
 
 impl RetryLimits {
-    /// A count on these limits.
+    /// Returns an empty window with these limits.
     fn new_window(self) -> Arc<Mutex<RetryWindow>> {
         let window = RetryWindow::new(self.window, self.ratio, self.slack);
         Arc::new(Mutex::new(window))
@@ -68,48 +68,48 @@
     }
 }
 
-/// A bundle in force with what is learnt under it.
+/// A bundle in force, with what is learned about its kinds and callers.
 pub(crate) struct InForce {
-    /// The bundle.
     pub(crate) bundle: Bundle,
-    /// What it was read from, to pass on.
+    /// The bundle's source, to pass on.
     pub(crate) origin: Origin,
     kinds: HashMap<String, Arc<KindState>>,
     callers: HashMap<CallerId, CallerState>,
-    /// The lowest importance that a workspace has.
+    /// The lowest importance of a workspace.
     lowest_workspace: Option<Importance>,
-    /// One bit for each importance that root requests have, as far as they were answered.
+    /// One bit for each importance of root requests that were answered.
     root_importances: AtomicU8,
-    /// The same of those that may be repeated.
+    /// The same for requests that may be repeated.
     repeatable_importances: AtomicU8,
 }
 
-/// What one caller may still ask for at this entry.
+/// The remaining request and retry budgets of a caller at this entry.
 struct CallerState {
     rate: Mutex<RateBucket>,
     retries: Mutex<RetryBucket>,
 }
 
-/// What is learnt about one kind of request.
+/// What is learned about one kind of request.
 pub(crate) struct KindState {
-    /// The threshold that answers announced.
+    /// The threshold announced in responses.
     pub(crate) threshold: LearnedThreshold,
-    /// What was sent and sent again: of the kind, or of its service where routes tell kinds.
+    /// The first attempts and retries of the kind, or of its service if routes define the kinds.
     pub(crate) retries: Arc<Mutex<RetryWindow>>,
-    /// Whether requests of this kind are calls of backend servers, as those who answer them learnt.
+    /// Whether requests of this kind are calls of backend servers, according to the responses.
     pub(crate) is_call: AtomicBool,
-    /// Whether anybody answered a request of this kind.
+    /// Whether a request of this kind was answered.
     was_answered: AtomicBool,
-    /// When a request of this kind was refused last because something below it has no instance.
+    /// When a request of this kind was refused last because a service below had no instance.
     lacked_below_at: LastTime,
-    /// How much time callers begin with.
+    /// Detects retries of callers by the remaining time of their requests.
     pub(crate) retry_detector: Mutex<RetryDetector>,
-    /// How long this daemon has been refusing them as the entry.
+    /// How long this daemon has been refusing requests of this kind as the entry.
     pub(crate) refusal_streak: Mutex<RefusalStreak>,
 }
 
 impl InForce {
-    /// Puts a bundle in the place of `before`; what was learnt stays.
+    /// Builds the state of a bundle that replaces `before`; what was learned about the same kinds
+    /// is retained.
     pub(crate) fn new(
         bundle: Bundle,
         origin: Origin,
@@ -159,7 +159,7 @@
         in_force
     }
 
-    /// Learns from an answer whether requests of a kind are calls.
+    /// Records whether requests of a kind are calls, as a response states.
     pub(crate) fn record_kind_answer(&self, state: &KindState, is_call: bool) {
         let before = state.is_call.swap(is_call, Ordering::Relaxed);
         let known = state.was_answered.swap(true, Ordering::Relaxed);
@@ -186,13 +186,13 @@
             .store(repeatable, Ordering::Relaxed);
     }
 
-    /// Whether a kind must not run twice while root requests of the same importance may.
+    /// Returns whether a kind must not run twice while root requests of the same importance may.
     pub(crate) fn is_once_among_repeatable(&self, kind: &KindEntry) -> bool {
         let repeatable = self.repeatable_importances.load(Ordering::Relaxed);
         kind.at_most_once() && repeatable & (1 << kind.importance().rank()) != 0
     }
 
-    /// How many lower importances root requests have, and how many they have in all.
+    /// Returns the number of lower importances among root requests, and the number of all.
     pub(crate) fn root_rank(&self, importance: Importance) -> (usize, usize) {
         let lower = (1u8 << importance.rank()) - 1;
         let bits = self.root_importances.load(Ordering::Relaxed);
@@ -200,7 +200,7 @@
         (rank as usize, bits.count_ones() as usize)
     }
 
-    /// How many steps of importance a workspace stands above the least important one.
+    /// Returns how many ranks of importance a workspace is above the least important one.
     pub(crate) fn rank_above_lowest(&self, workspace: Option<&WorkspaceEntry>) -> usize {
         let own = workspace.and_then(|workspace| workspace.importance);
         let own = own.map_or(0, Importance::rank);
@@ -208,7 +208,7 @@
         usize::from(own.saturating_sub(lowest))
     }
 
-    /// The sections that it was put together from; none for a route table.
+    /// Returns the bundle's sections; none for a route table.
     pub(crate) fn sections(&self) -> &[SectionBytes] {
         match &self.origin {
             Origin::Signed { sections, .. } => sections,
@@ -216,19 +216,19 @@
         }
     }
 
-    /// What is learnt about a kind of this bundle.
+    /// Returns what is learned about a kind of this bundle.
     pub(crate) fn kind_state(&self, kind: &KindEntry) -> Arc<KindState> {
         self.kinds
             .get(&kind.name)
             .map_or_else(|| KindState::fresh(RetryLimits::default()), Arc::clone)
     }
 
-    /// The threshold over everything that a kind calls, as far as it is known here.
+    /// Returns the highest known threshold of all that a kind calls.
     pub(crate) fn threshold_below(&self, kind: &KindEntry, now: Now) -> Priority {
         self.max_threshold(kind.kind.calls.keys().map(String::as_str), now)
     }
 
-    /// The highest threshold of some kinds.
+    /// Returns the highest threshold of some kinds.
     pub(crate) fn max_threshold<'a>(
         &self,
         kinds: impl Iterator<Item = &'a str>,
@@ -241,26 +241,27 @@
             .unwrap_or_default()
     }
 
-    /// What is learnt about a kind of this name.
+    /// Returns what is learned about the kind of this name.
     pub(crate) fn kind_state_by_name(&self, kind: &str) -> Option<&KindState> {
         self.kinds.get(kind).map(Arc::as_ref)
     }
 
-    /// Takes one request out of a caller's rate.
+    /// Takes one request from a caller's rate limit. Returns whether it is allowed.
     pub(crate) fn take_caller_rate(&self, caller: &CallerEntry, now: Now) -> bool {
         self.callers
             .get(&caller.id)
             .is_none_or(|state| lock(&state.rate).take(now))
     }
 
-    /// Takes the price of a retry that is made for a caller's request; its successes pay for it.
+    /// Takes one retry from a caller's budget, which successes refill. Returns whether it is
+    /// allowed.
     pub(crate) fn take_caller_retry(&self, caller: CallerId) -> bool {
         self.callers
             .get(&caller)
             .is_none_or(|state| lock(&state.retries).take())
     }
 
-    /// A caller's request succeeded.
+    /// Adds to a caller's retry budget after a success.
     pub(crate) fn caller_succeeded(&self, caller: CallerId) {
         if let Some(state) = self.callers.get(&caller) {
             lock(&state.retries).succeeded();
@@ -269,12 +270,12 @@
 }
 
 impl KindState {
-    /// A request of this kind was refused because something below it has no instance.
+    /// Records a refusal because a service below this kind has no instance.
     pub(crate) fn record_lack_below(&self, now: Now) {
         self.lacked_below_at.set(now);
     }
 
-    /// Whether the next one would probably be refused for the same reason.
+    /// Returns whether the next request would probably be refused for the same reason.
     pub(crate) fn recently_lacked_instance_below(&self, now: Now) -> bool {
         self.lacked_below_at
             .is_after(now.saturating_sub(LACK_RETENTION))
@@ -301,7 +302,8 @@
     }
 }
 
-/// The kinds of routes share the retries of the service that they lead to.
+/// Builds the states of the kinds that routes define; those of one service share its retry
+/// window.
 fn route_kinds(
     bundle: &Bundle,
     before: Option<&InForce>,
--- a/crates/sorrelturn-daemon/src/config/knowledge.rs
+++ b/crates/sorrelturn-daemon/src/config/knowledge.rs
@@ -1,4 +1,5 @@
-//! How old this daemon's knowledge of the route table is, and reading it anew. See `docs/design/credentials.md`.
+//! Tracks the staleness of the route table and refreshes it from the store. See
+//! `docs/design/credentials.md`.
 
 use crate::{
     config::fetch::{self, FetchError},
@@ -19,37 +20,38 @@
     time::Duration,
 };
 
-/// A credential is honoured so much shorter than operators allow after it was taken away: clocks run unevenly, and
-/// a request is looked at a little after it was sent.
+/// Subtracted from the revocation time, for uneven clocks and the delay until a request is
+/// checked.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(500);
-/// A daemon that is asked with credentials reads the table itself when its knowledge is older than a time between
-/// these: the first one to do so spares the others, who hear of it with the next answers.
+/// The staleness from which a request with a credential refreshes the table is random in this
+/// range. The first daemon to read it spares the others, which get the update with the next
+/// responses.
 const REFRESH_AGE_RANGE: (Duration, Duration) =
     (Duration::from_millis(2_500), Duration::from_millis(3_500));
-/// After a read that failed, the next one follows so much later, and after each further one twice as late: each costs
-/// the platform a call.
+/// The delay after a failed read; it doubles with each further failure.
 const MIN_READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest such pause: a VM whose way to the store is mended shall not wait for long.
+/// The maximum delay after a failed read.
 const MAX_READ_RETRY_INTERVAL: Duration = Duration::from_secs(2);
-/// The longest time for which a request is held while the table is read, which takes some milliseconds as a rule.
+/// The maximum time that a request waits for a read of the table.
 const MAX_READ_WAIT: Duration = Duration::from_millis(60);
-/// The most unknown credentials that are remembered; 32 bytes each.
+/// The maximum number of remembered unknown credentials, 32 bytes each.
 const MAX_UNKNOWN_CREDENTIALS: usize = 1_024;
-/// How many reads a second unknown credentials may cause here, so that a flood of them costs the platform little.
+/// Limits the reads that unknown credentials cause, so that a flood of them costs the platform
+/// little.
 const MAX_UNKNOWN_READS_PER_SECOND: f64 = 1.0;
 
-/// What a daemon knows of how old its route table is.
+/// The staleness of the route table of this daemon, and the reads that reduce it.
 pub(crate) struct Knowledge {
     freshness: Mutex<Freshness>,
-    /// The revision of the table's object that was taken last; the same one needn't be read again.
+    /// The revision of the table's object that was accepted last; it needn't be parsed again.
     accepted: AtomicU64,
     is_reading: AtomicBool,
     last_failure: LastTime,
-    /// How many reads failed in a row.
+    /// The number of consecutive failed reads.
     failures: AtomicU32,
     refresh_age: Mutex<Duration>,
     unknown_reads: Mutex<RateBucket>,
-    /// Credentials that the newest table didn't hold at an earlier request.
+    /// Credentials that the newest table lacked at an earlier request.
     unknown: Mutex<HashSet<CredentialHash>>,
     waiters: Mutex<Vec<Sender<()>>>,
 }
@@ -69,49 +71,50 @@
         }
     }
 
-    /// Whether the table with this revision was taken already.
+    /// Returns whether the table with this revision was accepted already.
     pub(crate) fn has_accepted(&self, revision: u64) -> bool {
         self.accepted_revision() == revision
     }
 
-    /// The revision of the table that was taken last.
+    /// Returns the revision of the table that was accepted last.
     pub(crate) fn accepted_revision(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// The table with this revision is in force, or a higher version.
+    /// Records that the table with this revision, or a higher version, is in force.
     pub(crate) fn record_accepted(&self, revision: u64) {
         self.accepted.fetch_max(revision, Ordering::Relaxed);
     }
 
-    /// How old the knowledge is.
+    /// Returns the staleness of the table; `None` if it is unknown.
     pub(crate) fn age(&self, now: Now) -> Option<Duration> {
         lock(&self.freshness).age(now)
     }
 
-    /// The same in whole milliseconds, rounded up, for other daemons.
+    /// Returns the staleness in whole milliseconds, rounded up, for other daemons.
     pub(crate) fn age_ms(&self, now: Now) -> Option<u32> {
         let age = self.age(now)?;
         u32::try_from(age.as_millis()).ok()?.checked_add(1)
     }
 
-    /// Whether an unknown credential may cause a read.
+    /// Returns whether an unknown credential may cause a read now.
     pub(crate) fn may_read_for_unknown(&self, now: Now) -> bool {
         lock(&self.unknown_reads).take(now)
     }
 
-    /// Whether it is known that no newer table existed at `at`.
+    /// Returns whether it is certain that no newer table existed at `at`.
     pub(crate) fn covers(&self, at: Now) -> bool {
         lock(&self.freshness).covers(at)
     }
 
-    /// Whether a credential that the table in force doesn't hold was unknown to the newest one at an earlier request.
-    /// Whoever goes on with a credential that was taken away costs no further read, also when tables follow.
+    /// Returns whether a credential that the table in force lacks was unknown at an earlier
+    /// request. Repeated use of a revoked credential causes no further read, even after a new
+    /// table.
     pub(crate) fn is_unknown(&self, credential: CredentialHash) -> bool {
         lock(&self.unknown).contains(&credential)
     }
 
-    /// The newest table doesn't hold a credential.
+    /// Records that the newest table lacks a credential.
     pub(crate) fn remember_unknown(&self, credential: CredentialHash) {
         let mut unknown = lock(&self.unknown);
         if unknown.len() >= MAX_UNKNOWN_CREDENTIALS {
@@ -129,7 +132,7 @@
         self.wake_waiters();
     }
 
-    /// Whoever waits looks again; one that has gone needs no word.
+    /// Wakes all requests that wait; those that were cancelled are ignored.
     fn wake_waiters(&self) {
         for waiter in lock(&self.waiters).drain(..) {
             let _ = waiter.try_send(());
@@ -137,16 +140,18 @@
     }
 }
 
-/// Another daemon answered what was sent at `sent`, with this version in force and knowledge of this age.
+/// Applies the staleness that another daemon reported in the response to a message sent at
+/// `sent`, with `version` in force.
 pub(crate) fn confirm_from_peer(node: &Node, sent: Now, version: u64, age_ms: Option<u32>) {
-    // What holds for its version says nothing of a lower one.
+    // The staleness of a higher version doesn't hold for the one in force here.
     if let Some(age_ms) = age_ms.filter(|_| version <= node.bundle_version()) {
         let age = Duration::from_millis(age_ms.into());
         lock(&node.knowledge.freshness).confirm_from_peer(sent, age);
     }
 }
 
-/// Reads the route table from the store; what it proves counts from the moment at which it was asked for.
+/// Reads the route table from the store. The table counts as confirmed from the time when the
+/// read was sent.
 pub(crate) async fn read_table(node: &Arc<Node>, object: &str) -> Result<(), FetchError> {
     let sent = node.now();
     let found = node.platform.get(object).await;
@@ -160,8 +165,8 @@
     Ok(())
 }
 
-/// Whether a credential that the table holds may be honoured now: none is for longer than operators allow after it
-/// was taken away, also where nobody tells this daemon.
+/// Returns whether a credential in the table may be accepted now. None is accepted for longer
+/// than the revocation time without a confirmation of the table.
 pub(crate) fn is_valid(node: &Node, now: Now) -> bool {
     let max_age = node
         .settings
@@ -175,7 +180,7 @@
     lock(&node.knowledge.freshness).is_within(now, max_age)
 }
 
-/// Reads the table in the background if the knowledge of it has aged.
+/// Reads the table in the background if it is stale.
 pub(crate) fn refresh(node: &Arc<Node>) {
     let refresh_age = *lock(&node.knowledge.refresh_age);
     let age = node.knowledge.age(node.now());
@@ -184,7 +189,8 @@
     }
 }
 
-/// Waits for a little while until something holds of the knowledge, with one read for all who wait.
+/// Waits up to [`MAX_READ_WAIT`] until `holds` returns true. All requests that wait share one
+/// read.
 pub(crate) async fn wait_until(node: &Arc<Node>, holds: impl Fn() -> bool) -> bool {
     let until = node.now() + MAX_READ_WAIT;
     loop {
@@ -220,13 +226,13 @@
     let (node, object) = (Arc::clone(node), routes.object.clone());
     let ex = Arc::clone(&node.ex);
     let read = async move {
-        // Why it failed is told by the watchers; what follows here is that credentials are refused.
+        // The watchers log the reason of a failure; here, credentials are refused.
         if read_table(&node, &object).await.is_err() {
             node.knowledge.last_failure.set(node.now());
             node.knowledge.failures.fetch_add(1, Ordering::Relaxed);
         }
         node.knowledge.is_reading.store(false, Ordering::Relaxed);
-        // A request that came while this read was under way may need another one.
+        // A request that arrived during this read may need another one.
         node.knowledge.wake_waiters();
     };
     ex.spawn(read).detach();
--- a/crates/sorrelturn-daemon/src/config/mod.rs
+++ b/crates/sorrelturn-daemon/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What operators decide: settings of a process, and the bundle in force.
+//! The operators' configuration: the settings of the process and the bundle in force.
 
 pub(crate) mod fetch;
 pub(crate) mod in_force;
--- a/crates/sorrelturn-daemon/src/config/settings.rs
+++ b/crates/sorrelturn-daemon/src/config/settings.rs
@@ -1,5 +1,5 @@
-//! A daemon's settings. Each field is described in `docs/SETTINGS.md`, and the default file in
-//! `settings/sorrelturnd.jsonc` is tested against this code.
+//! A daemon's settings. `docs/SETTINGS.md` describes each field, and a test compares the
+//! default file `settings/sorrelturnd.jsonc` with the defaults here.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_bundle::{Diagnostic, SourceMap, TrustedKeys, parse_settings};
@@ -13,37 +13,40 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The name of this instance; stays the same over restarts.
+    /// The name of this instance; it is the same after a restart.
     pub instance: String,
-    /// The service that the backend server belongs to.
+    /// The service of the backend server.
     pub service: String,
     /// The failure domain of this VM.
     pub failure_domain: String,
-    /// Where to listen.
+    /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// Where other daemons reach this one, where that isn't where it listens.
+    /// The addresses at which other daemons reach this one, if they differ from those to listen
+    /// on.
     #[serde(default)]
     pub advertise: AdvertiseSettings,
     /// The backend server.
     pub backend: BackendSettings,
     /// The platform's object API.
     pub platform: PlatformSettings,
-    /// The route table, where one takes the place of a signed bundle.
+    /// The route table, if one replaces the signed bundle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub routes: Option<RouteSettings>,
-    /// Control addresses of daemons to ask when the platform is down at the start.
+    /// Control addresses of daemons to join through if the platform is down at the start.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The public keys of the operators whose bundles are taken, in hexadecimal.
+    /// The public keys of trusted operators by name, in hexadecimal.
     #[serde(default)]
     pub operators: BTreeMap<String, String>,
-    /// The fleet's keys; without them daemons talk in the clear, for tests and the demo only.
+    /// The fleet's keys. Without them, daemons communicate in the clear, for tests and the demo
+    /// only.
     #[serde(default)]
     pub fleet_keys: Option<FleetKeySettings>,
-    /// Threads that work on requests.
+    /// The number of threads that handle requests.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// Open connections of all listeners beyond which each new one ends the one that rested longest.
+    /// The maximum number of open connections of all listeners; a new one beyond it closes the
+    /// one that has been idle longest.
     #[serde(default = "default_connections")]
     pub connections: usize,
     /// At-most-once execution.
@@ -52,19 +55,19 @@
     /// The planned stop.
     #[serde(default)]
     pub stop: StopSettings,
-    /// Traces; none are sent where this is absent.
+    /// The export of traces; off if absent.
     #[serde(default)]
     pub trace: Option<TraceSettings>,
-    /// Metrics; none are sent where this is absent.
+    /// The export of metrics; off if absent.
     #[serde(default)]
     pub metrics: Option<MetricsSettings>,
-    /// Events kept for explanations.
+    /// Events retained for explanations.
     #[serde(default)]
     pub events: EventSettings,
 }
 
-/// Addresses to listen on; port 0 takes a free one. A daemon that runs tells by the same form where it
-/// listens.
+/// Addresses to listen on; port 0 selects a free one. A running daemon reports its actual
+/// addresses in the same form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
@@ -78,19 +81,19 @@
     pub control: SocketAddr,
     /// For operators.
     pub admin: SocketAddr,
-    /// For requests whose kind is told by host and path prefix, of callers on this VM and of the
-    /// own backend server; needs [`Settings::routes`].
+    /// For requests whose kind follows from host and path prefix, of callers on this VM and of
+    /// the own backend server; needs [`Settings::routes`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub routed: Option<SocketAddr>,
-    /// For what the own backend server says about itself; needs [`Settings::routes`].
+    /// For announcements of the own backend server; needs [`Settings::routes`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub announce: Option<SocketAddr>,
-    /// For the question whether this daemon is ready.
+    /// For readiness checks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ready: Option<SocketAddr>,
 }
 
-/// Addresses that other daemons are told; those of `listen` where a field is absent.
+/// Addresses advertised to other daemons; an absent one defaults to that of `listen`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdvertiseSettings {
@@ -108,7 +111,7 @@
 pub struct BackendSettings {
     /// Where it listens.
     pub address: SocketAddr,
-    /// The longest time for a new connection to it, in milliseconds.
+    /// The timeout for a new connection to it, in milliseconds.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u64,
 }
@@ -119,15 +122,16 @@
 pub struct PlatformSettings {
     /// Where it listens.
     pub address: SocketAddr,
-    /// The longest time for one call, in milliseconds.
+    /// The timeout of one call, in milliseconds.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
-    /// The path under which objects lie.
+    /// The path prefix of objects.
     #[serde(default = "default_objects_path")]
     pub objects_path: String,
 }
 
-/// Where the route table lies that takes the place of a signed bundle, and the budget of retries.
+/// The location of the route table that replaces a signed bundle, and the limits of retries and
+/// quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteSettings {
@@ -136,39 +140,39 @@
     /// The retries that all daemons together may make at a service for each request to it.
     #[serde(default = "default_retry_ratio")]
     pub retry_ratio: f64,
-    /// The retries that all daemons together may make besides, in each window of the operator's.
+    /// The retries that all daemons together may make in addition, in each window.
     #[serde(default = "default_retry_slack")]
     pub retry_slack: f64,
-    /// The window in which both are counted, in seconds.
+    /// The window of both, in seconds.
     #[serde(default = "default_retry_window_s")]
     pub retry_window_s: f64,
-    /// How long a credential may be honoured after it was taken away, also at a VM that nobody reaches, in
-    /// milliseconds; without it, as long as the table in force holds it.
+    /// How long a credential may be accepted after its revocation, even at an unreachable VM, in
+    /// milliseconds. If absent, as long as the table in force has it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revocation_ms: Option<u64>,
-    /// The window in which what runs of a workspace is counted, in seconds.
+    /// The window in which a workspace's admitted requests are counted, in seconds.
     #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
-    /// The part of a quota by which such a count may lie over it.
+    /// The fraction of a quota by which the count may exceed it.
     #[serde(default = "default_quota_overage")]
     pub quota_overage: f64,
-    /// The requests by which it may lie over that besides.
+    /// The number of requests by which the count may exceed it in addition.
     #[serde(default)]
     pub quota_slack: f64,
-    /// For how long a daemon lends its share of all quotas at a time, in milliseconds. So long an accountant that is lost
-    /// is missed, and so long a daemon that starts anew has nothing to lend. Less than ten round trips
-    /// between the farthest daemons leave shares unused.
+    /// The duration of a lease of a daemon's share of all quotas, in milliseconds. A lost
+    /// allocator is missed, and a new daemon has no share to lease, for that long. With less than
+    /// ten round trips between the farthest daemons, shares stay unused.
     #[serde(default = "default_quota_lease_ms")]
     pub quota_lease_ms: u64,
 }
 
 impl RouteSettings {
-    /// How long a credential may be honoured after it was taken away.
+    /// Returns how long a credential may be accepted after its revocation.
     pub(crate) fn revocation(&self) -> Option<Duration> {
         self.revocation_ms.map(Duration::from_millis)
     }
 
-    /// How quotas are counted.
+    /// Returns the bound within which quotas are counted.
     pub(crate) fn quota_bound(&self) -> Bound {
         Bound {
             window: Duration::from_secs_f64(self.quota_window_s),
@@ -177,8 +181,8 @@
         }
     }
 
-    /// For how long shares and grants are good. What is granted before a window and used in it has to fit into the
-    /// overage.
+    /// Returns the durations of leases and grants. What is granted before a window and used in it
+    /// has to fit into the overage.
     pub(crate) fn quota_validity(&self) -> ValidityConfig {
         let overage = self.quota_window_s * self.quota_overage * GRANT_FRACTION_OF_OVERAGE;
         ValidityConfig {
@@ -188,16 +192,16 @@
     }
 }
 
-/// The part of the overage that grants take which lie unused; the rest is for what may be let in at once.
+/// The fraction of the overage for unused grants; the rest is for bursts.
 const GRANT_FRACTION_OF_OVERAGE: f64 = 0.3;
-/// The longest time that a grant may lie unused: longer, it is taken from those who have use for it.
+/// The maximum time for which a grant stays unused: others could use it.
 const MAX_GRANT_VALIDITY: Duration = Duration::from_millis(150);
 
-/// The events that are kept for explanations.
+/// The events retained for explanations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EventSettings {
-    /// The most that are kept; about 700 bytes each.
+    /// The maximum number of retained events, about 700 bytes each.
     pub kept: usize,
 }
 
@@ -207,15 +211,15 @@
     }
 }
 
-/// Files with the keys by which daemons recognise one another, in PEM form.
+/// PEM files with the keys by which daemons authenticate each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetKeySettings {
-    /// The certificates of the authorities that are believed; two of them during a rotation.
+    /// The certificates of the trusted authorities; two of them during a rotation.
     pub authorities: PathBuf,
     /// This daemon's certificate.
     pub certificate: PathBuf,
-    /// Its secret key.
+    /// Its private key.
     pub key: PathBuf,
 }
 
@@ -223,11 +227,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OnceSettings {
-    /// How long a token can be used and its answer be asked for again, in seconds.
+    /// How long a token is valid and its response can be requested again, in seconds.
     pub ttl_s: u64,
-    /// The most tokens that are out at once.
+    /// The maximum number of unexpired tokens.
     pub capacity: usize,
-    /// The most bytes of answers that are kept for repeats.
+    /// The maximum bytes of responses retained for repeats.
     pub kept_bytes: usize,
 }
 
@@ -245,11 +249,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct StopSettings {
-    /// The longest time from the signal to the exit, in milliseconds: everybody has a final answer by then,
-    /// and whoever sent the signal may kill the process soon after.
+    /// The maximum time from the signal to the exit, in milliseconds. All requests have a final
+    /// response by then, and the process may be killed soon after.
     pub most_ms: u64,
-    /// So long requests are still taken after the daemon stopped being ready, in milliseconds,
-    /// since whoever asks for readiness needs some time to notice.
+    /// How long requests are still accepted after the daemon stops being ready, in milliseconds,
+    /// so that readiness checks can notice.
     pub linger_ms: u64,
 }
 
@@ -262,18 +266,18 @@
     }
 }
 
-/// Where traces go.
+/// The export of traces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceSettings {
     /// A receiver of OTLP over HTTP, with JSON bodies.
     pub collector: SocketAddr,
-    /// The most spans that wait to be sent.
+    /// The maximum number of queued spans.
     #[serde(default = "default_span_buffer")]
     pub buffer: usize,
 }
 
-/// Where metrics go.
+/// The export of metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MetricsSettings {
@@ -285,8 +289,8 @@
     2
 }
 
-/// Half of the file descriptors of a daemon with 4,100; the backend server's connections take up to
-/// 1,800 of the rest.
+/// Half of a limit of 4,100 file descriptors; connections to the backend server use up to 1,800
+/// of the rest.
 fn default_connections() -> usize {
     2_048
 }
@@ -331,31 +335,29 @@
     4_096
 }
 
-/// The most threads that make sense beside a backend server.
 const MAX_THREADS: usize = 64;
 
-/// The most tokens that can be out: about 41 bytes each, and the store's values end at a megabyte.
+/// The maximum number of unexpired tokens: their outcomes have to fit into one object of the
+/// store.
 const MAX_TOKENS: usize = 20_000;
 
-/// The windows in which retries can be counted, in seconds: a shorter one holds hardly a request of a rare kind, and
-/// of a longer one operators would notice nothing.
+/// The range of the window for retries, in seconds.
 const MIN_RETRY_WINDOW_S: f64 = 0.1;
 const MAX_RETRY_WINDOW_S: f64 = 3_600.0;
 
-/// The windows in which quotas can be counted, in seconds.
+/// The range of the window for quotas, in seconds.
 const QUOTA_WINDOW_RANGE_S: RangeInclusive<f64> = 0.1..=3_600.0;
-/// For how long shares of quotas can be lent, in milliseconds. In less, renewals would be most of what daemons do.
+/// The range of the duration of quota leases, in milliseconds; shorter ones would cause too many
+/// renewals.
 const QUOTA_LEASE_RANGE_MS: RangeInclusive<u64> = 100..=10_000;
-/// The shortest time after which a credential that was taken away can be kept out for sure: twice the time between
-/// two reads of the table.
+/// The minimum revocation time: twice the interval between two reads of the table.
 const MIN_REVOCATION_MS: u64 = 3_000;
 
-/// What is left for requests after the linger time has to be worth something, in milliseconds: most
-/// requests end within a second.
+/// The minimum time for requests after the linger time, in milliseconds.
 const MIN_TIME_AFTER_LINGER_MS: u64 = 1_000;
 
 impl Settings {
-    /// Reads and checks a settings file; `file` is its name for errors.
+    /// Parses and checks a settings file; `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Diagnostic>> {
         let settings: Self =
             parse_settings(file, text, "docs/SETTINGS.md").map_err(|error| vec![error])?;
@@ -385,7 +387,7 @@
         if !self.listen.local.ip().is_loopback() {
             at(
                 &["listen", "local"],
-                "the local listener would be open to others, who could pass for the backend server",
+                "the local listener would be reachable from other hosts, which could act as the backend server",
                 "write an address of the loopback interface, as in 127.0.0.1:7001",
             );
         }
@@ -404,7 +406,7 @@
             if advertise.unwrap_or(listen).ip().is_unspecified() {
                 at(
                     &["listen", name],
-                    "others would be told an address that they can't connect to",
+                    "other daemons would get an address that they can't connect to",
                     &format!("write the address of this VM here, or in advertise.{name}"),
                 );
             }
@@ -430,9 +432,9 @@
             let (minimum, maximum) = (QUOTA_WINDOW_RANGE_S.start(), QUOTA_WINDOW_RANGE_S.end());
             at(
                 &["routes", "quota_window_s"],
-                "routes.quota_window_s, routes.quota_overage or routes.quota_slack can't be used",
+                "routes.quota_window_s, routes.quota_overage or routes.quota_slack is out of range",
                 &format!(
-                    "write seconds from {minimum} to {maximum}, a part from 0 to 1, and 0 or more"
+                    "write seconds from {minimum} to {maximum}, a fraction from 0 to 1, and 0 or more"
                 ),
             );
         }
@@ -459,7 +461,7 @@
         if self.operators.is_empty() && self.routes.is_none() {
             at(
                 &["operators"],
-                "no operator is trusted, so no bundle could ever come in force",
+                "no operator is trusted, so no bundle could ever be put in force",
                 "add a name and the public key that `sorrelctl key new` printed",
             );
         }
@@ -488,13 +490,13 @@
             at(
                 &["listen"],
                 "listen.routed and listen.announce need a route table",
-                "write where it lies, as in \"routes\": { \"object\": \"config/main\" }",
+                "write its location, as in \"routes\": { \"object\": \"config/main\" }",
             );
         }
         if self.stop.most_ms < self.stop.linger_ms.saturating_add(MIN_TIME_AFTER_LINGER_MS) {
             at(
                 &["stop", "most_ms"],
-                "a stop would be over before the requests that it took are answered",
+                "the stop would end before accepted requests are answered",
                 &format!("write stop.linger_ms and {MIN_TIME_AFTER_LINGER_MS} ms, or more"),
             );
         }
--- a/crates/sorrelturn-daemon/src/net/connections.rs
+++ b/crates/sorrelturn-daemon/src/net/connections.rs
@@ -1,8 +1,8 @@
-//! The open connections of all listeners, and which of them rests longest.
+//! The open connections of all listeners, and how long each has been idle.
 //!
-//! Clients keep connections for later. When there are too many, a new client takes the place of the one that
-//! went longest without a request, which opens another connection when it needs one. To refuse the new one
-//! instead would leave it without service for as long as others rest.
+//! Clients keep connections open for later use. At the limit, a new connection replaces the one
+//! that has been idle longest, whose client reconnects when it needs to. Refusing the new one
+//! instead would deny its client service for as long as others stay idle.
 
 use crate::node::lock;
 use smol::channel::{self, Receiver, Sender};
@@ -14,25 +14,24 @@
     },
 };
 
-/// In the place of the time since which a connection rests.
+/// Marks a connection that carries a request, in place of its idle time.
 const ACTIVE: u64 = u64::MAX;
 
 /// The open connections of a daemon.
 pub(crate) struct Connections {
     max_open: usize,
-    /// Counts the times that a connection began to rest: their order is all that is asked for, and a request
-    /// needs no clock for it.
+    /// Orders the times at which connections became idle, without a clock reading per request.
     idle_counter: AtomicU64,
     open: Mutex<HashMap<u64, Arc<State>>>,
 }
 
 struct State {
     idle_since: AtomicU64,
-    /// Closed when the connection is to end.
+    /// Closed to make the connection end.
     close: Sender<()>,
 }
 
-/// One open connection; counts as open while it lives.
+/// One open connection; it counts as open until it is dropped.
 pub(crate) struct Connection {
     connections: Arc<Connections>,
     id: u64,
@@ -40,11 +39,11 @@
     closed: Receiver<()>,
 }
 
-/// A connection doesn't rest while this lives.
+/// Keeps a connection marked as active until it is dropped.
 pub(crate) struct ActiveGuard<'a>(&'a Connection);
 
 impl Connections {
-    /// No connections yet; more than `most` are not kept open while they rest.
+    /// Creates an empty set; from `max_open` connections on, idle ones are closed.
     pub(crate) fn new(max_open: usize) -> Arc<Self> {
         Arc::new(Self {
             max_open,
@@ -53,7 +52,7 @@
         })
     }
 
-    /// Takes a new connection; if there are as many as may rest, the one that rested longest ends.
+    /// Adds a connection; at the limit, the one that has been idle longest is closed.
     pub(crate) fn open(self: &Arc<Self>) -> Connection {
         if lock(&self.open).len() >= self.max_open {
             self.close_idle(1);
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Ends so many of those that have rested longest.
+    /// Closes up to `count` connections, those that have been idle longest first.
     pub(crate) fn close_idle(&self, count: usize) {
         let open = lock(&self.open);
         let mut idle: Vec<_> = open.values().filter_map(State::idle_sender).collect();
@@ -98,13 +97,13 @@
 }
 
 impl Connection {
-    /// From now on it carries a request.
+    /// Marks the connection as active until the guard is dropped.
     pub(crate) fn mark_active(&self) -> ActiveGuard<'_> {
         self.state.idle_since.store(ACTIVE, Ordering::Relaxed);
         ActiveGuard(self)
     }
 
-    /// Waits until it is to end.
+    /// Waits until the connection has to close.
     pub(crate) async fn wait_for_close(&self) {
         let _ = self.closed.recv().await;
     }
--- a/crates/sorrelturn-daemon/src/net/listeners.rs
+++ b/crates/sorrelturn-daemon/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Where a daemon listens.
+//! The listening sockets of a daemon.
 
 use crate::{
     config::settings::{ListenSettings, Settings},
@@ -11,9 +11,9 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use std::{io, net::SocketAddr, sync::Arc};
 
-/// New connections that the kernel holds while the daemon is busy or stands still. An opening packet
-/// beyond them is dropped and sent again a second later, when clients have given up; the runtime asks for
-/// 128. The kernel cuts it to its own limit, 4,096 by default.
+/// New connections that the kernel queues while the daemon is busy. The first packet of a
+/// connection beyond them is dropped and sent again 1 s later, when clients have given up. The
+/// kernel limits it to `somaxconn`, 4,096 by default.
 const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// The sockets of one daemon.
@@ -29,7 +29,7 @@
 }
 
 impl Listeners {
-    /// Opens all of them.
+    /// Binds all sockets.
     pub(crate) fn bind(settings: &Settings) -> Result<Self, StartError> {
         let listen = &settings.listen;
         Ok(Self {
@@ -44,7 +44,7 @@
         })
     }
 
-    /// Where they listen, with the ports that they got for port 0.
+    /// Returns the bound addresses, with the ports selected for port 0.
     pub(crate) fn addresses(&self, settings: &Settings) -> Result<ListenSettings, StartError> {
         let bound_addr = |listener: &TcpListener, addr| {
             listener
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Accepts connections until `closing` ends, those of callers until `closing_entries` does.
+    /// Accepts connections until `closing` ends; those of callers until `closing_entries` does.
     pub(crate) fn serve(self, node: &Arc<Node>, closing_entries: &Closing, closing: &Closing) {
         let spawn = |listener, serve: fn(Arc<Node>, Accepted, Closing) -> _| {
             let task = serve::accept(Arc::clone(node), listener, closing.clone(), serve);
@@ -95,7 +95,8 @@
             serve::admin(node, accepted, closing).boxed()
         });
         if let Some(routed) = self.routed {
-            // The own backend server's calls come here too, as long as it works on anything.
+            // The own backend server sends its calls here, too, until it has no request in
+            // progress.
             let closing_entries = closing_entries.clone();
             let serve =
                 move |node, accepted, _| serve::routed(node, accepted, closing_entries.clone());
@@ -128,7 +129,8 @@
 
 fn open(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
-    // The next run listens where connections of the last one may still end.
+    // The next incarnation binds the same port while connections of the last one may still be
+    // closing.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(ACCEPT_BACKLOG)?;
--- a/crates/sorrelturn-daemon/src/net/mod.rs
+++ b/crates/sorrelturn-daemon/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Listeners, connections and timers, without knowledge of what is carried.
+//! Listeners, connections and timers, independent of what the requests mean.
 
 pub(crate) mod connections;
 pub(crate) mod listeners;
--- a/crates/sorrelturn-daemon/src/net/pool.rs
+++ b/crates/sorrelturn-daemon/src/net/pool.rs
@@ -1,5 +1,5 @@
-//! Pooled HTTP/1.1 connections to one address, each carrying one exchange at a time.
-//! See `docs/design/between-daemons.md`.
+//! Pooled HTTP/1.1 connections to one address, each with one exchange at a time. See
+//! `docs/design/between-daemons.md`.
 
 use crate::{
     clock::Clock, net::stream::BoxStream, net::timers::Timers, node::lock, request::body::Body,
@@ -22,41 +22,42 @@
     time::Duration,
 };
 
-/// The most idle connections that are kept.
+/// The maximum number of retained idle connections.
 const MAX_IDLE: usize = 256;
-/// An idle connection is not used again after this time: its other end may be about to close it,
-/// and a request that crosses the close may have run.
+/// The maximum idle time of a reused connection. The peer may close it after that, and a request
+/// that is sent at the same time may have run.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// What was opened for a burst is dropped when it has been idle for this time, for its memory at both
-/// ends (some 20 KB each); so many are kept beyond it, so that few and far calls find one open.
+/// The idle time after which connections opened for a burst are dropped, to free their memory.
+/// [`RETAINED_IDLE_COUNT`] are retained for infrequent calls.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 const RETAINED_IDLE_COUNT: usize = 4;
-/// The part of the other end's own idle time for which a connection is used again, in percent.
+/// The percentage of the peer's idle timeout for which a connection is reused.
 const PEER_IDLE_TIMEOUT_PERCENT: u64 = 60;
-/// What one exchange may have on its way unread, in bytes; bounds the memory of a slow reader.
+/// The buffer limit of a connection, in bytes; it bounds the memory for a slow reader.
 pub(crate) const MAX_BUF_BYTES: usize = 128 << 10;
 
-/// An answer is overdue after so many times of what answers take: one that is only slow must seldom raise
-/// doubts. See `docs/design/silent-connections.md`.
+/// A response is overdue after this multiple of the average response time. See
+/// `docs/design/silent-connections.md`.
 const OVERDUE_FACTOR: u32 = 8;
-/// And not before this time: it lets a packet be lost once (200 ms) and a process stand still for a tenth of
-/// a second, and few answers take longer by themselves.
+/// The minimum time until a response is overdue, longer than one packet retransmission (200 ms)
+/// or a short pause of the process.
 const MIN_OVERDUE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Each answer counts for one part in so many of what answers take.
+/// The divisor of the moving average of response times.
 const SMOOTHING_DIVISOR: u64 = 16;
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
-    /// Not a byte of it was sent: as many connections are open as may be.
+    /// Nothing was sent: the limit of open connections is reached.
     Full,
-    /// Not a byte of it was sent.
+    /// Nothing was sent.
     NotSent,
-    /// It was sent, or a part of it was.
+    /// All or part of the request was sent.
     Interrupted,
-    /// It was sent over a connection that is silent, and its other end never had it nor ever will.
+    /// The request was sent over a broken path; the peer never received it and will refuse it
+    /// from now on.
     NeverArrived,
-    /// It came, and its answer was lost on a connection that is silent.
+    /// The request arrived, and its response was lost on a broken path.
     AnswerLost,
 }
 
@@ -66,17 +67,17 @@
     max_open: AtomicUsize,
     idle_timeout_ms: AtomicU64,
     open: Arc<AtomicUsize>,
-    /// The one that was used last is at the back.
+    /// The most recently used connection is at the back.
     idle: Mutex<VecDeque<Idle>>,
     response_times: ResponseTimes,
 }
 
-/// What answers tell of the path to the other end.
+/// What responses show about the path to the peer.
 struct ResponseTimes {
     clock: Clock,
-    /// What answers take to their heads.
+    /// The moving average of the time until the head of a response, in microseconds.
     typical_us: AtomicU64,
-    /// When an answer came last over a connection that had been open for as long as makes one overdue.
+    /// When a response last arrived over a connection older than the overdue timeout.
     old_connection_answer_ms: AtomicU64,
 }
 
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Two answers at once may lose one of them, which the next ones make good.
+    /// Concurrent calls may lose one sample, which later ones make up for.
     fn record(&self, sent: Now, opened: Now) {
         let now = self.clock.now();
         let took_us = (now - sent).as_micros() as u64;
@@ -107,7 +108,7 @@
         (typical * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT)
     }
 
-    /// Whether an old connection brought an answer since then.
+    /// Returns whether a response has arrived over an old connection since then.
     fn old_connection_answered_since(&self, since: Now) -> bool {
         Duration::from_millis(self.old_connection_answer_ms.load(Ordering::Relaxed)) > since
     }
@@ -118,8 +119,8 @@
     since: Now,
 }
 
-/// An open connection. It counts as open as long as somebody could send over it, and not until its
-/// task has ended: else connections that were dropped would take the place of new ones.
+/// An open connection. It counts as open until nothing can be sent over it, even if its task
+/// hasn't ended yet; otherwise dropped connections would block new ones.
 struct Conn {
     sender: SendRequest<Body>,
     socket: TcpStream,
@@ -129,33 +130,33 @@
 
 /// A connection that was just opened.
 pub(crate) struct Opened {
-    /// What requests go over.
+    /// The stream for requests.
     pub(crate) stream: BoxStream,
-    /// The socket below it, for its options.
+    /// The underlying socket, for its options.
     pub(crate) socket: TcpStream,
 }
 
 /// A connection that carries one exchange.
 ///
-/// It goes back to the pool only after a whole exchange. Otherwise it is dropped, which closes it:
-/// that is how the other end learns that its work is of no more use.
+/// It returns to the pool only after a complete exchange. Otherwise it is dropped and closes,
+/// which tells the peer that the response is no longer needed.
 pub(crate) struct Lease {
     pool: Arc<Pool>,
     conn: Conn,
 }
 
 impl Lease {
-    /// The socket, for its options.
+    /// Returns the socket, for its options.
     pub(crate) fn socket(&self) -> &TcpStream {
         &self.conn.socket
     }
 
-    /// The exchange was whole: the connection can carry another one.
+    /// Returns the connection to the pool after a complete exchange.
     pub(crate) fn give_back(self) {
         let mut idle = lock(&self.pool.idle);
-        // Read by the holder of the lock, so that the queue is in the order of its times.
+        // Read under the lock, so that the queue is ordered by time.
         let now = self.pool.clock.now();
-        // One at a time: each exchange gives back one, so old ones can't pile up.
+        // One per exchange is enough, since each exchange returns only one connection.
         if is_spare(&idle, now) {
             idle.pop_front();
         }
@@ -168,7 +169,7 @@
     }
 }
 
-/// Whether the connection that has been idle for longest was opened for a burst that is over.
+/// Returns whether the connection that has been idle longest was opened for a burst that is over.
 fn is_spare(idle: &VecDeque<Idle>, now: Now) -> bool {
     let oldest = idle.front().map(|oldest| now.saturating_sub(oldest.since));
     idle.len() >= RETAINED_IDLE_COUNT
@@ -185,7 +186,7 @@
 }
 
 impl Pool {
-    /// A pool of at most this many connections.
+    /// Creates a pool of at most `max_open` connections.
     pub(crate) fn new(max_open: usize, clock: Clock) -> Arc<Self> {
         Arc::new(Self {
             clock,
@@ -197,13 +198,13 @@
         })
     }
 
-    /// Changes how many connections may be open; those that are open already stay.
+    /// Changes the maximum number of open connections; open ones stay.
     pub(crate) fn set_max_open(&self, max_open: usize) {
         self.max_open.store(max_open, Ordering::Relaxed);
     }
 
-    /// The other end says that it closes connections that rest for so long. They are used again
-    /// for a part of it only, since a request that crosses the close may have run.
+    /// Applies the idle timeout that the peer reported. Connections are reused for a fraction of
+    /// it only, since a request that is sent while the peer closes the connection may have run.
     pub(crate) fn set_peer_idle_timeout(&self, peer_timeout: Duration) {
         let usable_ms = peer_timeout.as_millis() as u64 * PEER_IDLE_TIMEOUT_PERCENT / 100;
         let max_ms = IDLE_TIMEOUT.as_millis() as u64;
@@ -215,24 +216,24 @@
         Duration::from_millis(self.idle_timeout_ms.load(Ordering::Relaxed))
     }
 
-    /// Drops the idle connections; those that carry something go on.
+    /// Drops the idle connections; exchanges in progress continue.
     pub(crate) fn drop_idle(&self) {
         lock(&self.idle).clear();
     }
 
-    /// Whether a connection that rests hasn't been closed by the other end.
+    /// Returns whether the peer has left an idle connection open.
     pub(crate) fn has_open_idle(&self) -> bool {
         let idle = lock(&self.idle);
         idle.iter().any(|idle| !idle.conn.sender.is_closed())
     }
 
-    /// Whether a connection rests.
+    /// Returns whether a connection is idle.
     pub(crate) fn has_idle(&self) -> bool {
         !lock(&self.idle).is_empty()
     }
 
-    /// One that rested when this was sent is silent: those that have rested as long may be so too, and
-    /// are dropped. Those that carried an answer since then are heard.
+    /// Drops the connections that have been idle since `sent` or longer, after one of them got no
+    /// response. Those that got a response since then are retained.
     pub(crate) fn drop_idle_unanswered_since(&self, sent: Now) {
         let mut idle = lock(&self.idle);
         let first_answered = idle.iter().position(|idle| idle.since > sent);
@@ -240,8 +241,8 @@
         drop(idle.drain(..unanswered));
     }
 
-    /// Ends when the answer to what was sent is overdue, and connections that are as old bring none either. A
-    /// slow other end answers over the others meanwhile, and raises no doubts.
+    /// Waits until the response to a request sent at `sent` is overdue and no connection of that
+    /// age gets one either. A peer that is only slow responds over the others meanwhile.
     pub(crate) async fn wait_until_suspect(&self, timers: &Timers, sent: Now) {
         let mut since = sent;
         loop {
@@ -260,11 +261,11 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer; `connect` opens a new connection, and
-    /// has `connect_timeout` for it.
+    /// Sends a request and waits for the head of the response; `connect` opens a new connection
+    /// within `connect_timeout`.
     ///
-    /// An idle connection that turns out to be closed has sent nothing; the request comes back
-    /// and goes over the next one.
+    /// If an idle connection turns out to be closed, nothing was sent, and the request is sent
+    /// over the next one.
     pub(crate) async fn send<F>(
         self: &Arc<Self>,
         ex: &Executor<'static>,
@@ -280,7 +281,7 @@
             let was_idle = idle.is_some();
             let mut conn = match idle {
                 Some(conn) => conn,
-                // Boxed, since it is rare: each request would take the memory for it.
+                // Boxed to keep the future of the common case small.
                 None => Box::pin(self.open(ex, connect_timeout, connect())).await?,
             };
             if conn.sender.ready().await.is_err() {
@@ -305,7 +306,7 @@
         }
     }
 
-    /// Sends a request over a new connection and waits for the head of its answer.
+    /// Sends a request over a new connection and waits for the head of the response.
     pub(crate) async fn send_new(
         self: &Arc<Self>,
         ex: &Executor<'static>,
@@ -322,7 +323,7 @@
         Ok((res, Lease { pool, conn }))
     }
 
-    /// The connection that was used last: those below it grow old and are dropped.
+    /// Takes the most recently used connection, so that the others reach the idle timeout.
     fn take_idle(&self) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         while let Some(last) = idle.pop_back() {
@@ -359,7 +360,7 @@
             .await
             .map_err(|_| SendError::NotSent)?;
         let drive = async move {
-            // How it ended is told to whoever waits for an answer over it.
+            // The exchange that waits for a response gets the error.
             let _ = conn.await;
         };
         ex.spawn(drive).detach();
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -1,4 +1,4 @@
-//! The listeners and their connections.
+//! Accepts connections and serves requests on them.
 
 use crate::{
     backend::announce,
@@ -42,36 +42,34 @@
     time::Duration,
 };
 
-/// The longest time for the head of a request, so that slow senders hold no connection for long.
+/// The timeout for the head of a request, so that slow senders don't occupy connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest time that a connection of a peer rests; longer than the peer would use it again.
+/// The idle timeout of a peer's connection; longer than the peer reuses it.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// The longest time that a connection of a caller rests where routes tell kinds. The operators'
-/// limit changes while connections rest; this is longer than any that callers would use again.
+/// The idle timeout of a caller's connection on the routed listener; longer than callers reuse
+/// one. The limit in the route table may change while connections are idle.
 const ROUTED_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// The longest time for the head of a request on a connection that was opened while the daemon stops, so that
-/// one that carries nothing doesn't hold the exit for two seconds.
+/// The timeout for the head of a request on a connection that was opened while the daemon stops,
+/// so that an unused one doesn't delay the exit.
 const STOPPING_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// The largest head of a request, in bytes, and what a reader may leave unread.
+/// The maximum size of the head of a request, and of the unread part of a response, in bytes.
 const MAX_BUF_BYTES: usize = 64 << 10;
-/// The longest time for a peer to prove that it belongs to the fleet.
+/// The timeout for the TLS handshake of a peer.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most connections of one listener.
+/// The maximum number of connections per listener.
 const MAX_CONNECTIONS: usize = 8_192;
-/// The pause after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// So many connections that rest end when file descriptors are short: with the pause, room for 400 new
-/// clients a second.
+/// The number of idle connections to close when no file descriptor is free.
 const IDLE_CLOSED_ON_SHORTAGE: usize = 8;
 
-/// Ends when its sender is dropped; connections then finish what they carry and close.
+/// Closes when its sender is dropped; connections then finish their requests and close.
 pub(crate) type Closing = Receiver<()>;
 
 /// A connection that was just accepted.
 pub(crate) struct Accepted {
-    /// Its socket.
     pub(crate) tcp: TcpStream,
-    /// Its place among the open ones.
+    /// Its entry among the open connections.
     pub(crate) conn: Connection,
 }
 
@@ -133,7 +131,7 @@
     None
 }
 
-/// A connection of a caller.
+/// Serves a caller's connection.
 pub(crate) async fn caller(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     let Ok(peer) = tcp.peer_addr() else {
@@ -154,7 +152,7 @@
     let _ = http1(timers, stream, Some(&conn), HEAD_TIMEOUT, closing, answer).await;
 }
 
-/// A connection for requests that are told by routes.
+/// Serves a connection for requests that match routes.
 pub(crate) async fn routed(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     if closing.is_closed() {
         let serve =
@@ -165,32 +163,31 @@
     plain(node, accepted, ROUTED_IDLE_TIMEOUT, closing, serve).await;
 }
 
-/// A connection of the own backend server that announces itself.
+/// Serves a connection for announcements of the own backend server.
 pub(crate) async fn announce(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::serve(node, req).await;
     plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
 }
 
-/// A connection of whoever asks whether this daemon is ready.
+/// Serves a connection for readiness checks.
 pub(crate) async fn ready(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::ready(node, req).await;
     plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
 }
 
-/// A connection of the own backend server.
+/// Serves a connection of the own backend server.
 pub(crate) async fn local(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| nested::serve(node, req).await;
     plain(node, accepted, HEAD_TIMEOUT, closing, serve).await;
 }
 
-/// A connection of an operator.
+/// Serves an operator's connection.
 pub(crate) async fn admin(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| crate::operators::admin::serve(node, req).await;
     plain(node, accepted, HEAD_TIMEOUT, closing, serve).await;
 }
 
-/// A connection without anything between TCP and the requests on it. How it ends is of no interest:
-/// whoever asked sees it.
+/// Serves a connection without TLS. Errors are ignored, since the client notices them.
 async fn plain(
     node: Arc<Node>,
     accepted: Accepted,
@@ -205,8 +202,9 @@
     let _ = http1(timers, stream, Some(&conn), head_timeout, closing, answer).await;
 }
 
-/// Serves a connection; `head_timeout` is the longest time for the head of each request, the wait for
-/// it included. `closable` is given where the connection may end for a new one while it rests.
+/// Serves a connection. `head_timeout` limits the time until the head of each request is
+/// complete, idle time included. `closable` is given if the connection may be closed for a new
+/// one while it is idle.
 async fn http1<F>(
     timers: Timers,
     stream: impl AsyncRead + AsyncWrite + Unpin,
@@ -227,14 +225,14 @@
             Ok::<_, Infallible>(res)
         }
     });
-    // Opened while connections close: it carries one request.
+    // A connection that was opened during the shutdown carries one request.
     let closes_soon = closing.is_closed();
     let conn = http1::Builder::new()
         .timer(timers)
         .header_read_timeout(head_timeout)
         .max_buf_size(MAX_BUF_BYTES)
         .keep_alive(!closes_soon)
-        // Between daemons nobody reads the date; each byte of a short call's answer crosses failure domains.
+        // Daemons ignore the date; omitting it saves bytes between failure domains.
         .auto_date_header(closable.is_some())
         .serve_connection(hyper_server_io(stream), service);
     let mut conn = pin!(conn);
@@ -258,10 +256,11 @@
     }
 }
 
-/// A connection of another daemon.
+/// Serves a connection of another daemon.
 pub(crate) async fn peer(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
-    // It never ends for a new one: a call that crosses the end would count as one that may have run.
+    // Never closed for a new connection: a call that is sent at the same time would count as one
+    // that may have run.
     let _active_guard = conn.mark_active();
     let timed_out = async {
         Timer::after(HANDSHAKE_TIMEOUT).await;
@@ -303,14 +302,15 @@
     headers::strip_internal(req.headers_mut());
     let req = req.map(|body| body::guarded(&node.timers, body, |_| {}));
     let Some(_guard) = AttemptGuard::begin(node, attempt_id(&context)) else {
-        // Its sender was told that it never came, or had given the question up before this word was out: then it
-        // hears it now, and may send another attempt.
+        // Its sender was told that the attempt never arrived, or stopped waiting for that status:
+        // it gets the status now, and may send another attempt.
         return attempt_status_response(AttemptStatus::NeverCame);
     };
     owner::serve(node, context, req).await.into_peer_response()
 }
 
-/// The answer to a peer that asks what became of an attempt; `None` if it doesn't ask.
+/// Returns the response to a peer's query for the status of an attempt; `None` if the headers
+/// hold no such query.
 fn status_query_response(node: &Node, headers: &HeaderMap) -> Option<Response<Body>> {
     let query = headers.get(ATTEMPT_STATUS)?;
     let query = AttemptStatusQuery::decode(query.as_bytes()).ok()?;
@@ -318,7 +318,7 @@
         let sent_ago = Duration::from_millis(query.sent_ms_ago.into());
         lock(&node.attempts).status(node.now(), query.attempt, sent_ago)
     } else {
-        // An earlier run had it, or not.
+        // An earlier incarnation may have had the attempt.
         AttemptStatus::Over
     };
     node.events.record(
@@ -332,21 +332,21 @@
     Some(attempt_status_response(attempt_status))
 }
 
-/// The word on what became of an attempt.
+/// Returns a response with the status of an attempt.
 fn attempt_status_response(attempt_status: AttemptStatus) -> Response<Body> {
     let mut res = status(StatusCode::NO_CONTENT);
     headers::set(res.headers_mut(), ATTEMPT_STATUS, &attempt_status.encode());
     res
 }
 
-/// Counts an attempt of a peer as at work while it lives.
+/// Marks a peer's attempt as in progress until it is dropped.
 struct AttemptGuard<'a> {
     node: &'a Node,
     attempt: AttemptId,
 }
 
 impl<'a> AttemptGuard<'a> {
-    /// `None` if the attempt may not run any more.
+    /// Returns `None` if the attempt may no longer run.
     fn begin(node: &'a Node, attempt: AttemptId) -> Option<Self> {
         let may_run = lock(&node.attempts).begin(node.now(), attempt);
         may_run.then_some(Self { node, attempt })
@@ -359,7 +359,8 @@
     }
 }
 
-/// Two ways to tell where a body ends are a way to smuggle a request behind another one.
+/// Returns whether the headers state the length of the body in two ways, which allows request
+/// smuggling.
 pub(crate) fn has_ambiguous_length(req: &Request<Incoming>) -> bool {
     let headers = req.headers();
     let lengths = headers
--- a/crates/sorrelturn-daemon/src/net/stream.rs
+++ b/crates/sorrelturn-daemon/src/net/stream.rs
@@ -1,4 +1,4 @@
-//! Connections between daemons: TCP, and TLS with the fleet's keys on both sides.
+//! Connections between daemons: TCP, or TLS with the fleet's keys on both sides.
 
 use crate::config::settings::FleetKeySettings;
 use arc_swap::ArcSwap;
@@ -15,7 +15,7 @@
 use sorrelturn_platform::ReadySocket;
 use std::{io, path::Path, sync::Arc};
 
-/// The name that every daemon's certificate carries; who a daemon is comes from its record.
+/// The name in every daemon's certificate; a daemon's identity comes from its member record.
 const FLEET_NAME: &str = "sorrelturn";
 
 /// A connection with or without TLS.
@@ -35,13 +35,13 @@
         /// The reason.
         error: String,
     },
-    /// the keys don't fit together: {0}
+    /// the keys don't match: {0}
     Mismatch(String),
 }
 
 impl std::error::Error for KeysError {}
 
-/// How daemons prove to one another that they belong to the fleet.
+/// The keys by which daemons prove that they belong to the fleet.
 pub(crate) struct FleetKeys {
     settings: Option<FleetKeySettings>,
     current: ArcSwap<Option<TlsPair>>,
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Reads the keys anew, for connections from now on; keeps the old ones if that fails.
+    /// Reads the keys again for new connections; retains the old ones on failure.
     pub(crate) fn reload(&self) -> Result<(), KeysError> {
         if let Some(settings) = &self.settings {
             self.current.store(Arc::new(Some(TlsPair::load(settings)?)));
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    /// The client's side of a new connection.
+    /// Opens the client side of a connection.
     pub(crate) async fn connect(&self, tcp: TcpStream) -> io::Result<BoxStream> {
         tcp.set_nodelay(true)?;
         let pair = self.current.load_full();
@@ -83,7 +83,7 @@
         ))
     }
 
-    /// The server's side of a new connection; fails for a stranger.
+    /// Opens the server side of a connection; fails for a client outside the fleet.
     pub(crate) async fn accept(&self, tcp: TcpStream) -> io::Result<BoxStream> {
         let pair = self.current.load_full();
         let Some(pair) = pair.as_ref() else {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The client's side of a connection to a daemon, for commands and tests.
+/// Opens the client side of a connection to a daemon, for commands and tests.
 pub async fn fleet_client_stream(
     keys: &FleetKeySettings,
     tcp: TcpStream,
--- a/crates/sorrelturn-daemon/src/net/timers.rs
+++ b/crates/sorrelturn-daemon/src/net/timers.rs
@@ -1,9 +1,9 @@
-//! Coarse timers for deadlines. See `docs/design/threads.md` for the measurement.
+//! Coarse timers for deadlines. See `docs/design/threads.md`.
 //!
-//! A timer of the runtime costs several system calls, and nearly every deadline is dropped unused.
-//! Here a deadline is an entry in a map, and one task sleeps until the first one. Deadlines are
-//! mostly as long as one another, so a new one seldom comes before those that wait already, and
-//! the task is seldom woken for it.
+//! A timer of the runtime costs several system calls, and nearly every deadline is dropped
+//! unused. Here, a deadline is an entry in a map, and one task sleeps until the first one.
+//! Since most deadlines have similar durations, a new one is seldom the first, and the task is
+//! seldom woken for it.
 
 use crate::{clock::Clock, node::lock};
 use hyper::rt::{Sleep, Timer as HyperTimer};
@@ -21,7 +21,7 @@
     time::{Duration, Instant},
 };
 
-/// How late a deadline may be noticed.
+/// The maximum delay until an expired deadline is noticed.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The deadlines of one daemon.
@@ -40,12 +40,12 @@
 struct Waiters {
     wakers: BTreeMap<(Now, u64), Waker>,
     next_id: u64,
-    /// When [`Timers::run`] looks next; `None` while it sleeps until it is woken.
+    /// When [`Timers::run`] checks next; `None` while it sleeps until it is woken.
     next_check: Option<Now>,
 }
 
 impl Timers {
-    /// Timers, and the end of the channel that [`Timers::run`] needs.
+    /// Returns the timers, and the receiver that [`Timers::run`] needs.
     pub(crate) fn new(clock: Clock) -> (Self, Receiver<()>) {
         let (wake_up, woken) = channel::bounded(1);
         let shared = Arc::new(Shared {
@@ -59,7 +59,7 @@
         (timers, woken)
     }
 
-    /// Wakes what is due, for ever.
+    /// Wakes expired deadlines until all timers are dropped.
     pub(crate) async fn run(self, woken: Receiver<()>) {
         loop {
             let now = self.clock.now();
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Wakes what is due by now, though [`Timers::run`] would look later.
+    /// Wakes expired deadlines now, before the next regular check.
     pub(crate) fn check_now(&self) {
-        // If it is full, a look is due anyway.
+        // If the channel is full, a check is due anyway.
         let _ = self.wake_up.try_send(());
     }
 
-    /// Ends at a point in time, or a little later.
+    /// Returns a deadline at a point in time.
     pub(crate) fn at(&self, at: Now) -> Deadline {
         Deadline {
             timers: self.clone(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Ends after some time, or a little later.
+    /// Returns a deadline after a duration.
     pub(crate) fn after(&self, wait: Duration) -> Deadline {
         self.at(self.clock.now() + wait)
     }
@@ -110,7 +110,7 @@
         lock(&self.waiters)
     }
 
-    /// Takes what is due, and says when to look again.
+    /// Takes the expired deadlines, and returns when to check next.
     fn take_due(&self, now: Now) -> (impl Iterator<Item = Waker> + use<>, Option<Now>) {
         let mut waiters = self.lock();
         let later = waiters.wakers.split_off(&(now, u64::MAX));
@@ -122,7 +122,7 @@
     }
 }
 
-/// A future that ends at a point in time.
+/// A future that completes at a point in time, or up to [`TICK_INTERVAL`] later.
 pub(crate) struct Deadline {
     timers: Timers,
     at: Now,
--- a/crates/sorrelturn-daemon/tests/settings.rs
+++ b/crates/sorrelturn-daemon/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The default settings file fits the code, and bad settings are refused at their place.
+//! The default settings file matches the defaults of the code, and invalid settings are
+//! rejected with their position.
 
 use sorrelturn_daemon::Settings;
 use std::{path::Path, process::Command};
@@ -8,15 +9,15 @@
 }
 
 fn default_text() -> String {
-    std::fs::read_to_string(default_file()).expect("the file is in the repository")
+    std::fs::read_to_string(default_file()).expect("the default file exists")
 }
 
 #[test]
-fn the_default_file_says_what_the_code_takes_for_granted() {
-    let settings = Settings::parse("default", &default_text()).expect("the default is right");
-    // What may be left out has the same value when it is left out.
-    let mut text = serde_json::to_value(&settings).expect("json");
-    let object = text.as_object_mut().expect("an object");
+fn the_default_file_matches_the_defaults_of_the_code() {
+    let settings = Settings::parse("default", &default_text()).expect("the default file is valid");
+    // A field that is left out has the value of the default file.
+    let mut text = serde_json::to_value(&settings).expect("settings serialize to JSON");
+    let object = text.as_object_mut().expect("the value is an object");
     for field in [
         "threads",
         "once",
@@ -31,23 +32,24 @@
     }
     object["backend"]
         .as_object_mut()
-        .expect("an object")
+        .expect("the value is an object")
         .remove("connect_ms");
     object["platform"]
         .as_object_mut()
-        .expect("an object")
+        .expect("the value is an object")
         .remove("timeout_ms");
-    let short = Settings::parse("short", &text.to_string()).expect("the rest has defaults");
+    let short =
+        Settings::parse("short", &text.to_string()).expect("all omitted fields have defaults");
     assert_eq!(short, settings);
 }
 
 #[test]
-fn every_field_of_the_default_file_stands_on_the_page() {
+fn every_field_of_the_default_file_is_documented() {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
-    let page = std::fs::read_to_string(page).expect("the page is in the repository");
-    let settings = Settings::parse("default", &default_text()).expect("the default is right");
-    let json = serde_json::to_value(&settings).expect("json");
-    for (field, value) in json.as_object().expect("an object") {
+    let page = std::fs::read_to_string(page).expect("docs/SETTINGS.md exists");
+    let settings = Settings::parse("default", &default_text()).expect("the default file is valid");
+    let json = serde_json::to_value(&settings).expect("settings serialize to JSON");
+    for (field, value) in json.as_object().expect("the value is an object") {
         let nested = value.as_object().filter(|_| field != "operators");
         let names: Vec<String> = match nested {
             Some(nested) => nested
@@ -73,7 +75,7 @@
         (
             r#""local": "127.0.0.1:7001""#,
             r#""local": "10.0.0.1:7001""#,
-            "open to others",
+            "reachable from other hosts",
         ),
         (
             r#""peers": "127.0.0.1:7002""#,
@@ -114,7 +116,7 @@
         (
             r#""most_ms": 60000"#,
             r#""most_ms": 1000"#,
-            "before the requests that it took",
+            "before accepted requests are answered",
         ),
         (
             r#""example": "2152"#,
@@ -126,8 +128,11 @@
         let text = default_text();
         assert!(text.contains(from), "{from}");
         let bad = text.replacen(from, to, 1);
-        let findings = Settings::parse("bad.jsonc", &bad).expect_err(to);
-        let shown = findings.iter().map(ToString::to_string).collect::<String>();
+        let diagnostics = Settings::parse("bad.jsonc", &bad).expect_err(to);
+        let shown = diagnostics
+            .iter()
+            .map(ToString::to_string)
+            .collect::<String>();
         assert!(shown.contains(message), "{to}: {shown}");
         assert!(shown.contains("--> bad.jsonc:"), "{shown}");
         assert!(shown.contains("help: "), "{shown}");
@@ -143,7 +148,7 @@
             .arg(file)
             .arg("--check-settings")
             .output()
-            .expect("it runs")
+            .expect("the program runs")
     };
     assert_eq!(check(&default_file()).status.code(), Some(0));
     let missing = check(Path::new("/nowhere/settings.jsonc"));
@@ -151,32 +156,40 @@
     assert!(String::from_utf8_lossy(&missing.stderr).contains("help:"));
 }
 
-/// A number of `routes` and values for it, and what is said of the wrong ones.
-fn check_number_of_routes(field: &str, right: &[&str], wrong: &[&str], said: &str) {
+/// Checks that values of a number in `routes` are accepted or rejected with this message.
+fn check_routes_number(field: &str, valid: &[&str], invalid: &[&str], message: &str) {
     let with = |value: &str| {
         let routes = format!(r#""routes": {{ "object": "config/main", "{field}": {value} }},"#);
         let text = default_text().replacen(r#""threads""#, &format!("{routes} \"threads\""), 1);
         Settings::parse("it.jsonc", &text)
     };
-    for right in right {
-        assert!(with(right).is_ok(), "{right}");
+    for valid in valid {
+        assert!(with(valid).is_ok(), "{valid} is rejected");
     }
-    for wrong in wrong {
-        let findings = with(wrong).expect_err(wrong);
-        let shown = findings.iter().map(ToString::to_string).collect::<String>();
-        assert!(shown.contains(said), "{wrong}: {shown}");
+    for invalid in invalid {
+        let diagnostics = with(invalid).expect_err(invalid);
+        let shown = diagnostics
+            .iter()
+            .map(ToString::to_string)
+            .collect::<String>();
+        assert!(shown.contains(message), "{invalid}: {shown}");
     }
 }
 
 #[test]
-fn the_window_of_retries_is_some_seconds() {
-    let said = "write seconds from 0.1 to 3600";
-    check_number_of_routes("retry_window_s", &["10", "1.5"], &["0", "-3", "9999"], said);
+fn the_retry_window_is_within_limits() {
+    let message = "write seconds from 0.1 to 3600";
+    check_routes_number(
+        "retry_window_s",
+        &["10", "1.5"],
+        &["0", "-3", "9999"],
+        message,
+    );
 }
 
 #[test]
-fn a_lease_of_quotas_is_neither_instant_nor_endless() {
-    let said = "write milliseconds from 100 to 10000";
-    let (right, wrong) = (["100", "250", "10000"], ["0", "99", "10001"]);
-    check_number_of_routes("quota_lease_ms", &right, &wrong, said);
+fn the_duration_of_quota_leases_is_within_limits() {
+    let message = "write milliseconds from 100 to 10000";
+    let (valid, invalid) = (["100", "250", "10000"], ["0", "99", "10001"]);
+    check_routes_number("quota_lease_ms", &valid, &invalid, message);
 }
