--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     config::in_force::{InForce, Origin},
-    config::knowledge,
+    config::route_staleness,
     fleet::control_client::{self as control, ControlError},
     fleet::gossip,
     fleet::reports,
@@ -92,7 +92,7 @@
 ) -> Result<(), FetchError> {
     if let Some(settings) = &node.settings.routes {
         let Some(peer) = peer else {
-            return knowledge::read_table(node, &settings.object).await;
+            return route_staleness::read_table(node, &settings.object).await;
         };
         let text = peer_routes(node, peer).await?;
         return accept_peer_routes(node, &text).map_err(FetchError::RoutesRefused);
--- a/crates/sorrelturn-daemon/src/config/mod.rs
+++ b/crates/sorrelturn-daemon/src/config/mod.rs
@@ -2,5 +2,5 @@
 
 pub(crate) mod fetch;
 pub(crate) mod in_force;
-pub(crate) mod knowledge;
+pub(crate) mod route_staleness;
 pub(crate) mod settings;
--- a/crates/sorrelturn-daemon/src/config/knowledge.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -41,7 +41,7 @@
 const MAX_UNKNOWN_READS_PER_SECOND: f64 = 1.0;
 
 /// The staleness of the route table of this daemon, and the reads that reduce it.
-pub(crate) struct Knowledge {
+pub(crate) struct RouteStaleness {
     freshness: Mutex<Freshness>,
     /// The revision of the table's object that was accepted last; it needn't be parsed again.
     accepted: AtomicU64,
@@ -56,7 +56,7 @@
     waiters: Mutex<Vec<Sender<()>>>,
 }
 
-impl Knowledge {
+impl RouteStaleness {
     pub(crate) fn new(now: Now) -> Self {
         Self {
             freshness: Mutex::default(),
@@ -146,7 +146,7 @@
     // The staleness of a higher version doesn't hold for the one in force here.
     if let Some(age_ms) = age_ms.filter(|_| version <= node.bundle_version()) {
         let age = Duration::from_millis(age_ms.into());
-        lock(&node.knowledge.freshness).confirm_from_peer(sent, age);
+        lock(&node.route_staleness.freshness).confirm_from_peer(sent, age);
     }
 }
 
@@ -157,11 +157,11 @@
     let found = node.platform.get(object).await;
     let found = found.map_err(FetchError::Platform)?;
     let found = found.ok_or(FetchError::Absent)?;
-    if !node.knowledge.has_accepted(found.version) {
+    if !node.route_staleness.has_accepted(found.version) {
         fetch::accept_routes(node, &found.value).map_err(FetchError::RoutesRefused)?;
-        node.knowledge.record_accepted(found.version);
+        node.route_staleness.record_accepted(found.version);
     }
-    node.knowledge.confirm(sent);
+    node.route_staleness.confirm(sent);
     Ok(())
 }
 
@@ -177,13 +177,13 @@
         return true;
     };
     let max_age = max_age.saturating_sub(REVOCATION_MARGIN);
-    lock(&node.knowledge.freshness).is_within(now, max_age)
+    lock(&node.route_staleness.freshness).is_within(now, max_age)
 }
 
 /// Reads the table in the background if it is stale.
 pub(crate) fn refresh(node: &Arc<Node>) {
-    let refresh_age = *lock(&node.knowledge.refresh_age);
-    let age = node.knowledge.age(node.now());
+    let refresh_age = *lock(&node.route_staleness.refresh_age);
+    let age = node.route_staleness.age(node.now());
     if age.is_none_or(|age| age > refresh_age) {
         start_read(node);
     }
@@ -195,7 +195,7 @@
     let until = node.now() + MAX_READ_WAIT;
     loop {
         let (tx, rx) = channel::bounded(1);
-        lock(&node.knowledge.waiters).push(tx);
+        lock(&node.route_staleness.waiters).push(tx);
         if holds() {
             return true;
         }
@@ -215,12 +215,12 @@
     let Some(routes) = &node.settings.routes else {
         return;
     };
-    let knowledge = &node.knowledge;
-    let failures = knowledge.failures.load(Ordering::Relaxed);
+    let staleness = &node.route_staleness;
+    let failures = staleness.failures.load(Ordering::Relaxed);
     let interval = MIN_READ_RETRY_INTERVAL * 2u32.pow(failures.saturating_sub(1).min(8));
     let interval = interval.min(MAX_READ_RETRY_INTERVAL);
-    let failed_recently = knowledge.last_failure.elapsed_since(node.now()) < interval;
-    if failed_recently || knowledge.is_reading.swap(true, Ordering::Relaxed) {
+    let failed_recently = staleness.last_failure.elapsed_since(node.now()) < interval;
+    if failed_recently || staleness.is_reading.swap(true, Ordering::Relaxed) {
         return;
     }
     let (node, object) = (Arc::clone(node), routes.object.clone());
@@ -228,12 +228,16 @@
     let read = async move {
         // The watchers log the reason of a failure; here, credentials are refused.
         if read_table(&node, &object).await.is_err() {
-            node.knowledge.last_failure.set(node.now());
-            node.knowledge.failures.fetch_add(1, Ordering::Relaxed);
+            node.route_staleness.last_failure.set(node.now());
+            node.route_staleness
+                .failures
+                .fetch_add(1, Ordering::Relaxed);
         }
-        node.knowledge.is_reading.store(false, Ordering::Relaxed);
+        node.route_staleness
+            .is_reading
+            .store(false, Ordering::Relaxed);
         // A request that arrived during this read may need another one.
-        node.knowledge.wake_waiters();
+        node.route_staleness.wake_waiters();
     };
     ex.spawn(read).detach();
 }
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -87,7 +87,7 @@
             digest.version,
             sorrelturn_fleet::Source::Peer(from),
         );
-        let knowledge_age_ms = self.node.knowledge.age_ms(self.node.now());
+        let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
         let differs = members.total() != digest.members;
         let suspects = &self.node.suspects;
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -4,7 +4,7 @@
 use crate::{
     backend::state,
     config::fetch,
-    config::knowledge,
+    config::route_staleness,
     fleet::control::ControlClient,
     fleet::control_client::{self as control, ControlError},
     fleet::next_run,
@@ -205,7 +205,7 @@
     })
     .await?;
     fetch::fetch_if_newer(node, reply.version, Source::Peer(peer.instance.clone()));
-    knowledge::confirm_from_peer(node, sent, reply.version, reply.knowledge_age_ms);
+    route_staleness::confirm_from_peer(node, sent, reply.version, reply.knowledge_age_ms);
     if let Some(theirs) = reply.crashes {
         suspects::heard(node, &theirs);
         let ours = node.suspects.news(node.now());
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::unix_ms,
     config::fetch::{self, FetchError},
-    config::knowledge,
+    config::route_staleness,
     fleet::control_client as control,
     fleet::gossip,
     node::{Node, lock},
@@ -205,8 +205,8 @@
     loop {
         Timer::after(pause.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         if let Some(routes) = &node.settings.routes {
-            let read = knowledge::read_table(node, &routes.object).await;
-            if node.knowledge.accepted_revision() > told.0.load(Ordering::Relaxed) {
+            let read = route_staleness::read_table(node, &routes.object).await;
+            if node.route_staleness.accepted_revision() > told.0.load(Ordering::Relaxed) {
                 silent();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
@@ -231,7 +231,7 @@
     let value = object.value.as_str();
     if node.settings.routes.is_some() {
         match fetch::accept_routes(node, value) {
-            Ok(()) => node.knowledge.record_accepted(object.version),
+            Ok(()) => node.route_staleness.record_accepted(object.version),
             Err(error) => node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]),
         }
         return;
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -6,7 +6,7 @@
     backend::state::Routed,
     clock::Clock,
     config::in_force::{InForce, Origin, RetryLimits},
-    config::knowledge::Knowledge,
+    config::route_staleness::RouteStaleness,
     config::settings::Settings,
     ending::Ending,
     fleet::control_client::ControlLinks,
@@ -70,7 +70,7 @@
     pub(crate) parents: Arc<Parents>,
     pub(crate) in_force: ArcSwapOption<InForce>,
     /// How old the knowledge of the route table is.
-    pub(crate) knowledge: Knowledge,
+    pub(crate) route_staleness: RouteStaleness,
     /// Quotas of workspaces.
     pub(crate) quota: Quota,
     pub(crate) routes: ArcSwap<Routes>,
@@ -211,7 +211,7 @@
     pub(crate) fn knowledge_age_ms(&self) -> Option<u32> {
         let in_force = self.in_force.load();
         let has_workspaces = in_force.as_ref()?.bundle.has_workspaces();
-        has_workspaces.then(|| self.knowledge.age_ms(self.now()))?
+        has_workspaces.then(|| self.route_staleness.age_ms(self.now()))?
     }
 
     /// Puts a bundle in force if its version is higher; returns whether it was.
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -152,7 +152,7 @@
     ] {
         let _ = node.metrics.gauge(metric.name, value);
     }
-    if let Some(age_ms) = node.knowledge.age_ms(node.now()) {
+    if let Some(age_ms) = node.route_staleness.age_ms(node.now()) {
         let _ = node
             .metrics
             .gauge(metrics::KNOWLEDGE_AGE.name, u64::from(age_ms));
--- a/crates/sorrelturn-daemon/src/operators/workspaces.rs
+++ b/crates/sorrelturn-daemon/src/operators/workspaces.rs
@@ -68,7 +68,7 @@
         .collect();
     WorkspacesReport {
         instance: node.settings.instance.clone(),
-        knowledge_age_ms: node.knowledge.age_ms(node.now()),
+        knowledge_age_ms: node.route_staleness.age_ms(node.now()),
         part_lent: node.quota.part_lent(node.now()),
         workspaces,
     }
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -4,7 +4,7 @@
     clock::unix_ns,
     config::fetch,
     config::in_force::{InForce, KindState},
-    config::knowledge,
+    config::route_staleness,
     fleet::next_run,
     fleet::routes::Route,
     node::{Node, lock},
@@ -332,7 +332,7 @@
         answer.bundle_version,
         Source::Peer(route.record.instance.clone()),
     );
-    knowledge::confirm_from_peer(node, sent, answer.bundle_version, answer.knowledge_age_ms);
+    route_staleness::confirm_from_peer(node, sent, answer.bundle_version, answer.knowledge_age_ms);
 }
 
 /// Decides whether another try follows.
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -1,7 +1,7 @@
 //! Who asks: the credential that a request shows, and the workspace that holds it.
 
 use crate::{
-    backend::state::Routed, config::in_force::InForce, config::knowledge, node::Node,
+    backend::state::Routed, config::in_force::InForce, config::route_staleness, node::Node,
     request::answer::Reply, request::owner,
 };
 use hyper::HeaderMap;
@@ -45,9 +45,11 @@
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
         match who_asks(&in_force.bundle, &route, shown.as_ref()) {
-            Some(workspace) if workspace.is_none() || knowledge::is_valid(node, node.now()) => {
+            Some(workspace)
+                if workspace.is_none() || route_staleness::is_valid(node, node.now()) =>
+            {
                 if workspace.is_some() {
-                    knowledge::refresh(node);
+                    route_staleness::refresh(node);
                 }
                 return Ok(Identified {
                     in_force,
@@ -56,7 +58,11 @@
                 });
             }
             Some(_) => {
-                if !knowledge::wait_until(node, || knowledge::is_valid(node, node.now())).await {
+                if !route_staleness::wait_until(node, || {
+                    route_staleness::is_valid(node, node.now())
+                })
+                .await
+                {
                     return Err(later());
                 }
             }
@@ -65,9 +71,10 @@
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
             None => {
-                let may_prove = node.knowledge.may_read_for_unknown(node.now());
+                let may_prove = node.route_staleness.may_read_for_unknown(node.now());
                 if !may_prove
-                    || !knowledge::wait_until(node, || node.knowledge.covers(arrived)).await
+                    || !route_staleness::wait_until(node, || node.route_staleness.covers(arrived))
+                        .await
                 {
                     return Err(later());
                 }
@@ -78,12 +85,12 @@
 
 /// Whether it is certain that no table holds the credential that a request shows.
 fn is_unknown(node: &Node, shown: Option<CredentialHash>, arrived: Now) -> bool {
-    let covers = node.knowledge.covers(arrived);
+    let covers = node.route_staleness.covers(arrived);
     match shown {
-        Some(credential) if covers => node.knowledge.remember_unknown(credential),
+        Some(credential) if covers => node.route_staleness.remember_unknown(credential),
         Some(credential) => {
-            let is_valid = knowledge::is_valid(node, node.now());
-            return is_valid && node.knowledge.is_unknown(credential);
+            let is_valid = route_staleness::is_valid(node, node.now());
+            return is_valid && node.route_staleness.is_unknown(credential);
         }
         None => {}
     }
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -6,7 +6,7 @@
     backend::link::Backend,
     backend::state::Routed,
     clock::{Clock, unix_ms},
-    config::knowledge::Knowledge,
+    config::route_staleness::RouteStaleness,
     config::settings::{ListenSettings, RouteSettings, Settings},
     ending::Ending,
     fleet::control_client::ControlLinks,
@@ -345,7 +345,7 @@
         )),
         parents: Arc::new(Parents::default()),
         in_force: ArcSwapOption::empty(),
-        knowledge: Knowledge::new(clock.now()),
+        route_staleness: RouteStaleness::new(clock.now()),
         quota: Quota::new(
             incarnation,
             quota_bound.unwrap_or_default(),
