--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -1,8 +1,8 @@
 //! The listener for announcements of the own backend server, and the readiness endpoint.
 //!
 //! A backend server announces its incarnation and its state at intervals. That it is leaving is
-//! acknowledged only after the state is in the platform's store, so that the next incarnation
-//! of this daemon knows it, too.
+//! acknowledged once the state is in the platform's store, or after a timeout by which other
+//! daemons know it, so that the next incarnation of this daemon learns it, too.
 
 use crate::{
     backend::report::{read_deregistration, read_heartbeat},
@@ -25,7 +25,7 @@
 
 const MAX_ANNOUNCEMENT_BYTES: usize = 4 << 10;
 /// The time within which an announcement is acknowledged, even if the store doesn't respond.
-/// Backend servers wait for 1 s at most.
+/// Backend servers wait for 1 s at most, and other daemons know the state by then.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(600);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -164,7 +164,7 @@
     connected.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Reports the crash to the fleet. It keeps its id until a connection could be opened again. If
+/// Reports the crash to the fleet. The id stays the same until a new connection is opened. If
 /// `is_final`, requests that are interrupted later start a new check.
 fn report(node: &Arc<Node>, is_final: bool) {
     let opened = node.backend.connections_opened();
--- a/crates/sorrelturn-daemon/src/backend/link.rs
+++ b/crates/sorrelturn-daemon/src/backend/link.rs
@@ -118,17 +118,17 @@
         };
         // Boxed to keep the future of the common case small.
         let mut second = Box::pin(self.send_once(ex, copy));
-        let by_first = async { (first.as_mut().await, true) };
-        let by_second = async { (second.as_mut().await, false) };
-        let answered = match by_first.or(by_second).await {
-            (Ok(answered), _) => Ok(answered),
+        let first_response = async { (first.as_mut().await, true) };
+        let second_response = async { (second.as_mut().await, false) };
+        let response = match first_response.or(second_response).await {
+            (Ok(response), _) => Ok(response),
             (Err(_), true) => second.await,
             (Err(_), false) => first.await,
         };
         // Whichever attempt failed, the other one may have run.
-        let mut answered = answered.map_err(|_| SendError::Interrupted)?;
-        answered.sent_twice = true;
-        Ok(answered)
+        let mut response = response.map_err(|_| SendError::Interrupted)?;
+        response.sent_twice = true;
+        Ok(response)
     }
 
     async fn send_once(
--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -170,7 +170,7 @@
 /// higher.
 pub(crate) fn accept_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let Some(routed) = &node.routed else {
-        return Err("no route table is expected here".to_owned());
+        return Err("this daemon doesn't use a route table".to_owned());
     };
     accept_table(node, &(routed.dialect.read_routes)(text)?)
 }
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -24,9 +24,9 @@
 /// The window of both.
 const EDGE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// How long requests are refused after one failed because a service below its kind had no
-/// instance.
-const LACK_RETENTION: Duration = Duration::from_millis(200);
+/// How long a service below a kind is assumed to have no instance after a refusal for that
+/// reason.
+const NO_INSTANCE_RETENTION: Duration = Duration::from_millis(200);
 
 /// The source of a bundle, to pass on to other daemons.
 pub(crate) enum Origin {
@@ -100,7 +100,7 @@
     /// Whether a request of this kind was answered.
     was_answered: AtomicBool,
     /// When a request of this kind was refused last because a service below had no instance.
-    lacked_below_at: LastTime,
+    no_instance_below_at: LastTime,
     /// Detects retries of callers by the remaining time of their requests.
     pub(crate) retry_detector: Mutex<RetryDetector>,
     /// How long this daemon has been refusing requests of this kind as the entry.
@@ -271,14 +271,14 @@
 
 impl KindState {
     /// Records a refusal because a service below this kind has no instance.
-    pub(crate) fn record_lack_below(&self, now: Now) {
-        self.lacked_below_at.set(now);
+    pub(crate) fn record_no_instance_below(&self, now: Now) {
+        self.no_instance_below_at.set(now);
     }
 
     /// Returns whether the next request would probably be refused for the same reason.
-    pub(crate) fn recently_lacked_instance_below(&self, now: Now) -> bool {
-        self.lacked_below_at
-            .is_after(now.saturating_sub(LACK_RETENTION))
+    pub(crate) fn had_no_instance_below_recently(&self, now: Now) -> bool {
+        self.no_instance_below_at
+            .is_after(now.saturating_sub(NO_INSTANCE_RETENTION))
     }
 
     fn fresh(limits: RetryLimits) -> Arc<Self> {
@@ -295,7 +295,7 @@
             retries,
             is_call: AtomicBool::new(false),
             was_answered: AtomicBool::new(false),
-            lacked_below_at: LastTime::default(),
+            no_instance_below_at: LastTime::default(),
             retry_detector: Mutex::default(),
             refusal_streak: Mutex::default(),
         })
--- a/crates/sorrelturn-daemon/src/config/settings.rs
+++ b/crates/sorrelturn-daemon/src/config/settings.rs
@@ -45,8 +45,8 @@
     /// The number of threads that handle requests.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// The maximum number of open connections of all listeners; a new one beyond it closes the
-    /// one that has been idle longest.
+    /// The number of open connections of all listeners at which each new one closes the one that
+    /// has been idle longest.
     #[serde(default = "default_connections")]
     pub connections: usize,
     /// At-most-once execution.
--- a/crates/sorrelturn-daemon/src/net/timers.rs
+++ b/crates/sorrelturn-daemon/src/net/timers.rs
@@ -59,7 +59,7 @@
         (timers, woken)
     }
 
-    /// Wakes expired deadlines until all timers are dropped.
+    /// Wakes expired deadlines until it is cancelled.
     pub(crate) async fn run(self, woken: Receiver<()>) {
         loop {
             let now = self.clock.now();
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -321,7 +321,7 @@
         return;
     }
     if answer.refusal == Some(Refusal::NoInstanceBelow) {
-        kind_state.record_lack_below(node.now());
+        kind_state.record_no_instance_below(node.now());
     }
     if answer.refusal.is_none_or(Refusal::indicates_service_load) {
         kind_state.threshold.observe(node.now(), answer.threshold);
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -89,7 +89,7 @@
             let kind = self.in_force.bundle.kind(call);
             let state = self.in_force.kind_state_by_name(call);
             kind.is_some_and(|kind| routes.of_service(&kind.service).is_empty())
-                || state.is_some_and(|state| state.recently_lacked_instance_below(now))
+                || state.is_some_and(|state| state.had_no_instance_below_recently(now))
         })
     }
 
