--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -75,7 +75,7 @@
 pub(crate) struct BackendRequestGuard {
     node: Arc<Node>,
     request: RequestNames,
-    has_ended: bool,
+    is_finished: bool,
 }
 
 impl BackendRequestGuard {
@@ -83,20 +83,20 @@
         Self {
             node: Arc::clone(node),
             request,
-            has_ended: false,
+            is_finished: false,
         }
     }
 
     /// Records that the backend server responded completely, interrupted the exchange or never
     /// received the request.
     pub(crate) fn mark_finished(mut self) {
-        self.has_ended = true;
+        self.is_finished = true;
     }
 }
 
 impl Drop for BackendRequestGuard {
     fn drop(&mut self) {
-        if self.has_ended {
+        if self.is_finished {
             return;
         }
         let mut state = lock(&self.node.crashes.0);
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -30,7 +30,7 @@
 /// wastes the work of the calling request.
 const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The minimum interval between log entries about foreign reports.
+/// The minimum interval between log entries about reports that name no backend server.
 const FOREIGN_REPORT_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The backend server beside this daemon, and its dialect.
@@ -46,11 +46,11 @@
     pub(crate) noted_unknown: LastTime,
     /// Where the requests for the backend server come from.
     pub(crate) origins: Mutex<Origins>,
-    /// When a foreign report was logged last.
+    /// When a report that names no backend server was logged last.
     foreign_logged_at: LastTime,
     /// Whether the platform's store has the newest state, for the next incarnation of this
     /// daemon.
-    saved: AtomicBool,
+    is_saved: AtomicBool,
 }
 
 /// What a response of the backend server means for the request.
@@ -75,7 +75,7 @@
             noted_unknown: LastTime::default(),
             origins: Mutex::default(),
             foreign_logged_at: LastTime::default(),
-            saved: AtomicBool::new(false),
+            is_saved: AtomicBool::new(false),
         }
     }
 
@@ -222,7 +222,7 @@
 }
 
 fn on_backend_ready(node: &Arc<Node>, routed: &Routed) {
-    routed.saved.store(false, Ordering::Relaxed);
+    routed.is_saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
     node.room.with_gate(|gate, _| gate.reset_tuning());
     node.backend.drop_idle();
@@ -242,7 +242,7 @@
 }
 
 fn on_backend_leaving(node: &Arc<Node>, routed: &Routed) {
-    routed.saved.store(false, Ordering::Relaxed);
+    routed.is_saved.store(false, Ordering::Relaxed);
     node.set_own_backend(routed.current());
     node.start_leaving(LeavingCause::Backend);
     gossip::spread_own_record(node);
@@ -260,11 +260,11 @@
 /// Writes the record of this daemon, so that its next incarnation knows what this one
 /// acknowledged. Returns whether the store has it.
 pub(crate) async fn save(node: &Arc<Node>, routed: &Routed) -> bool {
-    if routed.saved.load(Ordering::Relaxed) {
+    if routed.is_saved.load(Ordering::Relaxed) {
         return true;
     }
     if member_record::write_own(node).await {
-        routed.saved.store(true, Ordering::Relaxed);
+        routed.is_saved.store(true, Ordering::Relaxed);
     }
-    routed.saved.load(Ordering::Relaxed)
+    routed.is_saved.load(Ordering::Relaxed)
 }
