--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -1,8 +1,9 @@
-//! Fetching a higher bundle from the store or from a peer. See `docs/design/spread.md`.
+//! Fetches newer bundles and route tables from the store or from a peer. See
+//! `docs/design/spread.md`.
 
 use crate::{
     config::in_force::{InForce, Origin},
-    config::knowledge,
+    config::route_staleness,
     fleet::control_client::{self as control, ControlError},
     fleet::gossip,
     fleet::reports,
@@ -21,24 +22,25 @@
 /// Why a bundle could not be fetched.
 #[derive(Debug, Display)]
 pub(crate) enum FetchError {
-    /// the peer doesn't answer: {0}
+    /// the peer doesn't respond: {0}
     Peer(ControlError),
     /// the peer is not a member any more
     UnknownPeer,
-    /// the platform doesn't answer: {0}
+    /// the platform doesn't respond: {0}
     Platform(PlatformError),
-    /// nobody has a bundle there
+    /// the source has no bundle
     Absent,
-    /// it can't be read
+    /// the manifest can't be parsed
     Unreadable,
-    /// it is not taken: {0}
+    /// the bundle is invalid: {0}
     Refused(ManifestError),
-    /// the route table is not taken: {0}
+    /// the route table is invalid: {0}
     RoutesRefused(String),
 }
 
-/// Somebody has this version; if it is higher, it is fetched. Cheap enough for every answer.
-pub(crate) fn heard_version(node: &Arc<Node>, version: u64, source: Source) {
+/// Starts a fetch if the announced version is higher than the one in force. Cheap enough for
+/// every response.
+pub(crate) fn fetch_if_newer(node: &Arc<Node>, version: u64, source: Source) {
     if version <= node.bundle_version() {
         return;
     }
@@ -71,7 +73,7 @@
     }
 }
 
-/// Fetches the bundle that a source has and puts it in force if it is higher.
+/// Fetches the bundle of a source and puts it in force if its version is higher.
 pub(crate) async fn fetch_from(node: &Arc<Node>, source: &Source) -> Result<(), FetchError> {
     let peer = match source {
         Source::Store => None,
@@ -83,17 +85,17 @@
     fetch_from_member(node, peer.as_ref()).await
 }
 
-/// As [`fetch_from`], with the platform's store for no member.
+/// Does the same as [`fetch_from`]; `None` stands for the platform's store.
 pub(crate) async fn fetch_from_member(
     node: &Arc<Node>,
     peer: Option<&MemberRecord>,
 ) -> Result<(), FetchError> {
     if let Some(settings) = &node.settings.routes {
         let Some(peer) = peer else {
-            return knowledge::read_table(node, &settings.object).await;
+            return route_staleness::read_table(node, &settings.object).await;
         };
         let text = peer_routes(node, peer).await?;
-        return take_own_routes(node, &text).map_err(FetchError::RoutesRefused);
+        return accept_peer_routes(node, &text).map_err(FetchError::RoutesRefused);
     }
     let signed = match peer {
         None => store_manifest(node).await?,
@@ -111,11 +113,11 @@
         return Ok(());
     }
     let before = node.in_force.load_full();
-    let mut have = held(before.as_deref(), &manifest);
+    let mut available = retained_sections(before.as_deref(), &manifest);
     let missing: Vec<ContentHash> = manifest
         .sections
         .values()
-        .filter(|hash| !have.contains_key(hash))
+        .filter(|hash| !available.contains_key(hash))
         .cloned()
         .collect();
     let fetched = match peer {
@@ -126,29 +128,29 @@
         .await
         .map_err(FetchError::Peer)?,
     };
-    have.extend(
+    available.extend(
         fetched
             .into_iter()
             .map(|section| (ContentHash::of(&section.bytes), section)),
     );
-    take(node, signed, &manifest, &have).map_err(FetchError::Refused)
+    put_bundle_in_force(node, signed, &manifest, &available).map_err(FetchError::Refused)
 }
 
-/// Puts a verified manifest in force with sections by content.
-pub(crate) fn take(
+/// Joins the sections that a verified manifest lists, and puts the bundle in force.
+pub(crate) fn put_bundle_in_force(
     node: &Arc<Node>,
     signed: SignedManifest,
     manifest: &Manifest,
-    have: &BTreeMap<ContentHash, SectionBytes>,
+    available: &BTreeMap<ContentHash, SectionBytes>,
 ) -> Result<(), ManifestError> {
     let bundle = join(manifest, |hash| {
-        have.get(hash).map(|section| section.bytes.as_slice())
+        available.get(hash).map(|section| section.bytes.as_slice())
     })?;
     let sections = manifest
         .sections
         .iter()
         .filter_map(|(name, hash)| {
-            let bytes = have.get(hash)?.bytes.clone();
+            let bytes = available.get(hash)?.bytes.clone();
             let name = name.clone();
             Some(SectionBytes { name, bytes })
         })
@@ -164,22 +166,24 @@
     Ok(())
 }
 
-/// Reads a route table as operators wrote it, and puts it in force if its version is higher.
-pub(crate) fn take_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
+/// Parses a route table in the form that operators write, and puts it in force if its version is
+/// higher.
+pub(crate) fn accept_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let Some(routed) = &node.routed else {
-        return Err("no route table is expected here".to_owned());
+        return Err("this daemon doesn't use a route table".to_owned());
     };
-    take_table(node, &(routed.dialect.read_routes)(text)?)
+    accept_table(node, &(routed.dialect.read_routes)(text)?)
 }
 
-/// The same in the form in which daemons pass it on, which holds no credentials, only their hashes.
-fn take_own_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
+/// Does the same for the form that daemons exchange, which has hashes in place of credentials.
+fn accept_peer_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let table: RouteTable = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    take_table(node, &table)
+    accept_table(node, &table)
 }
 
-fn take_table(node: &Arc<Node>, table: &RouteTable) -> Result<(), String> {
-    // Before its version is compared: one without a version would else be passed over without a word.
+fn accept_table(node: &Arc<Node>, table: &RouteTable) -> Result<(), String> {
+    // Checked before the version is compared, since a table without a version would be skipped
+    // without an error.
     table.check().map_err(|error| error.to_string())?;
     let version = table.version;
     if version <= node.bundle_version() {
@@ -203,7 +207,10 @@
         .ok_or(FetchError::Absent)
 }
 
-fn held(before: Option<&InForce>, manifest: &Manifest) -> BTreeMap<ContentHash, SectionBytes> {
+fn retained_sections(
+    before: Option<&InForce>,
+    manifest: &Manifest,
+) -> BTreeMap<ContentHash, SectionBytes> {
     before
         .into_iter()
         .flat_map(|in_force| in_force.sections())
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -1,4 +1,4 @@
-//! The bundle in force, with what is learnt under it.
+//! The bundle in force, with what the daemon learns while it is.
 
 use crate::node::{LastTime, lock};
 use sorrelturn_bundle::{
@@ -17,48 +17,48 @@
     time::Duration,
 };
 
-/// The retries that are allowed for each sending of a kind.
+/// The retries allowed for each first attempt of a kind.
 const EDGE_RETRY_RATIO: f64 = 0.1;
-/// The retries of a kind that are allowed besides.
+/// The retries of a kind allowed in addition, in each window.
 const EDGE_RETRY_SLACK: f64 = 10.0;
-/// The window in which both are counted.
+/// The window of both.
 const EDGE_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// So long it is believed that something below a kind has no instance. A daemon that starts anew is back
-/// in a second or two; each time this ends, the requests of a few milliseconds try in vain.
-const LACK_HOLDS: Duration = Duration::from_millis(200);
+/// How long a service below a kind is assumed to have no instance after a refusal for that
+/// reason.
+const NO_INSTANCE_RETENTION: Duration = Duration::from_millis(200);
 
-/// What a bundle was read from.
+/// The source of a bundle, to pass on to other daemons.
 pub(crate) enum Origin {
-    /// Sections that an operator signed for.
+    /// Sections and the manifest that an operator signed.
     Signed {
         manifest: SignedManifest,
         sections: Vec<SectionBytes>,
     },
-    /// A route table, in the form in which daemons pass it on.
+    /// A route table, in the form that daemons exchange.
     Routes(String),
 }
 
-/// The retries that this daemon may make at one service.
+/// The limits for the retries of this daemon at one service.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RetryTerms {
-    /// For each first sending there.
+pub(crate) struct RetryLimits {
+    /// The retries for each first attempt.
     pub(crate) ratio: f64,
-    /// Besides, in each window.
+    /// The retries in addition, in each window.
     pub(crate) slack: f64,
-    /// The window in which both are counted.
+    /// The window of both.
     pub(crate) window: Duration,
 }
 
-impl RetryTerms {
-    /// A count on these terms.
-    fn counted(self) -> Arc<Mutex<RetryWindow>> {
-        let counted = RetryWindow::new(self.window, self.ratio, self.slack);
-        Arc::new(Mutex::new(counted))
+impl RetryLimits {
+    /// Returns an empty window with these limits.
+    fn new_window(self) -> Arc<Mutex<RetryWindow>> {
+        let window = RetryWindow::new(self.window, self.ratio, self.slack);
+        Arc::new(Mutex::new(window))
     }
 }
 
-impl Default for RetryTerms {
+impl Default for RetryLimits {
     fn default() -> Self {
         Self {
             ratio: EDGE_RETRY_RATIO,
@@ -68,54 +68,54 @@
     }
 }
 
-/// A bundle in force with what is learnt under it.
+/// A bundle in force, with what is learned about its kinds and callers.
 pub(crate) struct InForce {
-    /// The bundle.
     pub(crate) bundle: Bundle,
-    /// What it was read from, to pass on.
+    /// The bundle's source, to pass on.
     pub(crate) origin: Origin,
     kinds: HashMap<String, Arc<KindState>>,
     callers: HashMap<CallerId, CallerState>,
-    /// The lowest importance that a workspace has.
+    /// The lowest importance of a workspace.
     lowest_workspace: Option<Importance>,
-    /// One bit for each importance that root requests have, as far as they were answered.
+    /// One bit for each importance of root requests that were answered.
     root_importances: AtomicU8,
-    /// The same of those that may be repeated.
+    /// The same for requests that may be repeated.
     repeatable_importances: AtomicU8,
 }
 
-/// What one caller may still ask for at this entry.
+/// The remaining request and retry budgets of a caller at this entry.
 struct CallerState {
     rate: Mutex<RateBucket>,
     retries: Mutex<RetryBucket>,
 }
 
-/// What is learnt about one kind of request.
+/// What is learned about one kind of request.
 pub(crate) struct KindState {
-    /// The threshold that answers announced.
+    /// The threshold announced in responses.
     pub(crate) threshold: LearnedThreshold,
-    /// What was sent and sent again: of the kind, or of its service where routes tell kinds.
+    /// The first attempts and retries of the kind, or of its service if routes define the kinds.
     pub(crate) retries: Arc<Mutex<RetryWindow>>,
-    /// Whether requests of this kind are calls of backend servers, as those who answer them learnt.
+    /// Whether requests of this kind are calls of backend servers, according to the responses.
     pub(crate) is_call: AtomicBool,
-    /// Whether anybody answered a request of this kind.
+    /// Whether a request of this kind was answered.
     was_answered: AtomicBool,
-    /// When a request of this kind was refused last because something below it has no instance.
-    lacked_below: LastTime,
-    /// How much time callers begin with.
-    pub(crate) first_tries: Mutex<RetryDetector>,
-    /// How long this daemon has been refusing them as the entry.
-    pub(crate) refusing: Mutex<RefusalStreak>,
+    /// When a request of this kind was refused last because a service below had no instance.
+    no_instance_below_at: LastTime,
+    /// Detects retries of callers by the remaining time of their requests.
+    pub(crate) retry_detector: Mutex<RetryDetector>,
+    /// How long this daemon has been refusing requests of this kind as the entry.
+    pub(crate) refusal_streak: Mutex<RefusalStreak>,
 }
 
 impl InForce {
-    /// Puts a bundle in the place of `before`; what was learnt stays.
+    /// Builds the state of a bundle that replaces `before`; what was learned about the same kinds
+    /// is retained.
     pub(crate) fn new(
         bundle: Bundle,
         origin: Origin,
         before: Option<&Self>,
         now: Now,
-        terms: RetryTerms,
+        limits: RetryLimits,
     ) -> Self {
         let source = bundle.source();
         let mut kinds: HashMap<String, Arc<KindState>> = source
@@ -126,11 +126,11 @@
                 let known = before.and_then(|before| before.kinds.get(name));
                 (
                     name.clone(),
-                    known.map_or_else(|| KindState::fresh(terms), Arc::clone),
+                    known.map_or_else(|| KindState::fresh(limits), Arc::clone),
                 )
             })
             .collect();
-        kinds.extend(route_kinds(&bundle, before, terms));
+        kinds.extend(route_kinds(&bundle, before, limits));
         let callers = source
             .callers
             .iter()
@@ -142,10 +142,10 @@
                 Some((bundle.caller_id(name)?, state))
             })
             .collect();
-        let of_workspaces = bundle
+        let workspace_importances = bundle
             .workspaces()
             .filter_map(|workspace| workspace.importance);
-        let lowest_workspace = of_workspaces.min();
+        let lowest_workspace = workspace_importances.min();
         let in_force = Self {
             lowest_workspace,
             bundle,
@@ -159,8 +159,8 @@
         in_force
     }
 
-    /// Learns from an answer whether requests of a kind are calls.
-    pub(crate) fn heard_of_kind(&self, state: &KindState, is_call: bool) {
+    /// Records whether requests of a kind are calls, as a response states.
+    pub(crate) fn record_kind_answer(&self, state: &KindState, is_call: bool) {
         let before = state.is_call.swap(is_call, Ordering::Relaxed);
         let known = state.was_answered.swap(true, Ordering::Relaxed);
         if before != is_call || !known {
@@ -186,29 +186,29 @@
             .store(repeatable, Ordering::Relaxed);
     }
 
-    /// Whether a kind must not run twice while root requests of the same importance may.
+    /// Returns whether a kind must not run twice while root requests of the same importance may.
     pub(crate) fn is_once_among_repeatable(&self, kind: &KindEntry) -> bool {
         let repeatable = self.repeatable_importances.load(Ordering::Relaxed);
         kind.at_most_once() && repeatable & (1 << kind.importance().rank()) != 0
     }
 
-    /// How many lower importances root requests have, and how many they have in all.
-    pub(crate) fn rank_of_root(&self, importance: Importance) -> (usize, usize) {
+    /// Returns the number of lower importances among root requests, and the number of all.
+    pub(crate) fn root_rank(&self, importance: Importance) -> (usize, usize) {
         let lower = (1u8 << importance.rank()) - 1;
         let bits = self.root_importances.load(Ordering::Relaxed);
         let rank = (bits & lower).count_ones();
         (rank as usize, bits.count_ones() as usize)
     }
 
-    /// How many steps of importance a workspace stands above the least important one.
-    pub(crate) fn steps_above(&self, workspace: Option<&WorkspaceEntry>) -> usize {
+    /// Returns how many ranks of importance a workspace is above the least important one.
+    pub(crate) fn rank_above_lowest(&self, workspace: Option<&WorkspaceEntry>) -> usize {
         let own = workspace.and_then(|workspace| workspace.importance);
         let own = own.map_or(0, Importance::rank);
         let lowest = self.lowest_workspace.map_or(0, Importance::rank);
         usize::from(own.saturating_sub(lowest))
     }
 
-    /// The sections that it was put together from; none for a route table.
+    /// Returns the bundle's sections; none for a route table.
     pub(crate) fn sections(&self) -> &[SectionBytes] {
         match &self.origin {
             Origin::Signed { sections, .. } => sections,
@@ -216,20 +216,20 @@
         }
     }
 
-    /// What is learnt about a kind of this bundle.
+    /// Returns what is learned about a kind of this bundle.
     pub(crate) fn kind_state(&self, kind: &KindEntry) -> Arc<KindState> {
         self.kinds
             .get(&kind.name)
-            .map_or_else(|| KindState::fresh(RetryTerms::default()), Arc::clone)
+            .map_or_else(|| KindState::fresh(RetryLimits::default()), Arc::clone)
     }
 
-    /// The threshold over everything that a kind calls, as far as it is known here.
+    /// Returns the highest known threshold of all that a kind calls.
     pub(crate) fn threshold_below(&self, kind: &KindEntry, now: Now) -> Priority {
-        self.threshold_of(kind.kind.calls.keys().map(String::as_str), now)
+        self.max_threshold(kind.kind.calls.keys().map(String::as_str), now)
     }
 
-    /// The highest threshold of some kinds.
-    pub(crate) fn threshold_of<'a>(
+    /// Returns the highest threshold of some kinds.
+    pub(crate) fn max_threshold<'a>(
         &self,
         kinds: impl Iterator<Item = &'a str>,
         now: Now,
@@ -241,26 +241,27 @@
             .unwrap_or_default()
     }
 
-    /// What is learnt about a kind of this name.
-    pub(crate) fn state_of(&self, kind: &str) -> Option<&KindState> {
+    /// Returns what is learned about the kind of this name.
+    pub(crate) fn kind_state_by_name(&self, kind: &str) -> Option<&KindState> {
         self.kinds.get(kind).map(Arc::as_ref)
     }
 
-    /// Takes one request out of a caller's rate.
-    pub(crate) fn caller_may_ask(&self, caller: &CallerEntry, now: Now) -> bool {
+    /// Takes one request from a caller's rate limit. Returns whether it is allowed.
+    pub(crate) fn take_caller_rate(&self, caller: &CallerEntry, now: Now) -> bool {
         self.callers
             .get(&caller.id)
             .is_none_or(|state| lock(&state.rate).take(now))
     }
 
-    /// Takes the price of a retry that is made for a caller's request; its successes pay for it.
-    pub(crate) fn caller_pays_retry(&self, caller: CallerId) -> bool {
+    /// Takes one retry from a caller's budget, which successes refill. Returns whether it is
+    /// allowed.
+    pub(crate) fn take_caller_retry(&self, caller: CallerId) -> bool {
         self.callers
             .get(&caller)
             .is_none_or(|state| lock(&state.retries).take())
     }
 
-    /// A caller's request succeeded.
+    /// Adds to a caller's retry budget after a success.
     pub(crate) fn caller_succeeded(&self, caller: CallerId) {
         if let Some(state) = self.callers.get(&caller) {
             lock(&state.retries).succeeded();
@@ -269,18 +270,19 @@
 }
 
 impl KindState {
-    /// A request of this kind was refused because something below it has no instance.
-    pub(crate) fn lacks_below(&self, now: Now) {
-        self.lacked_below.set(now);
+    /// Records a refusal because a service below this kind has no instance.
+    pub(crate) fn record_no_instance_below(&self, now: Now) {
+        self.no_instance_below_at.set(now);
     }
 
-    /// Whether the next one would probably be refused for the same reason.
-    pub(crate) fn still_lacks_below(&self, now: Now) -> bool {
-        self.lacked_below.is_after(now.saturating_sub(LACK_HOLDS))
+    /// Returns whether the next request would probably be refused for the same reason.
+    pub(crate) fn had_no_instance_below_recently(&self, now: Now) -> bool {
+        self.no_instance_below_at
+            .is_after(now.saturating_sub(NO_INSTANCE_RETENTION))
     }
 
-    fn fresh(terms: RetryTerms) -> Arc<Self> {
-        Self::new(LearnedThreshold::default(), terms.counted())
+    fn fresh(limits: RetryLimits) -> Arc<Self> {
+        Self::new(LearnedThreshold::default(), limits.new_window())
     }
 
     fn is_root(&self) -> bool {
@@ -293,18 +295,19 @@
             retries,
             is_call: AtomicBool::new(false),
             was_answered: AtomicBool::new(false),
-            lacked_below: LastTime::default(),
-            first_tries: Mutex::default(),
-            refusing: Mutex::default(),
+            no_instance_below_at: LastTime::default(),
+            retry_detector: Mutex::default(),
+            refusal_streak: Mutex::default(),
         })
     }
 }
 
-/// The kinds of routes share the retries of the service that they lead to.
+/// Builds the states of the kinds that routes define; those of one service share its retry
+/// window.
 fn route_kinds(
     bundle: &Bundle,
     before: Option<&InForce>,
-    terms: RetryTerms,
+    limits: RetryLimits,
 ) -> HashMap<String, Arc<KindState>> {
     let mut by_service: HashMap<&str, Arc<Mutex<RetryWindow>>> = HashMap::new();
     let mut kinds = HashMap::new();
@@ -317,7 +320,7 @@
     for kind in bundle.route_kinds() {
         let retries = by_service
             .entry(&kind.service)
-            .or_insert_with(|| terms.counted());
+            .or_insert_with(|| limits.new_window());
         let known = before.and_then(|before| before.kinds.get(&kind.name));
         let state = match known {
             Some(known) if Arc::ptr_eq(&known.retries, retries) => Arc::clone(known),
--- a/crates/sorrelturn-daemon/src/config/mod.rs
+++ b/crates/sorrelturn-daemon/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! What operators decide: settings of a process, and the bundle in force.
+//! The operators' configuration: the settings of the process and the bundle in force.
 
 pub(crate) mod fetch;
 pub(crate) mod in_force;
-pub(crate) mod knowledge;
+pub(crate) mod route_staleness;
 pub(crate) mod settings;
--- /dev/null
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -0,0 +1,243 @@
+//! Tracks the staleness of the route table and refreshes it from the store. See
+//! `docs/design/credentials.md`.
+
+use crate::{
+    config::fetch::{self, FetchError},
+    node::{LastTime, Node, lock},
+};
+use smol::{
+    channel::{self, Sender},
+    future::FutureExt,
+};
+use sorrelturn_bundle::CredentialHash;
+use sorrelturn_policy::{Freshness, Now, RateBucket};
+use std::{
+    collections::HashSet,
+    sync::{
+        Arc, Mutex,
+        atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering},
+    },
+    time::Duration,
+};
+
+/// Subtracted from the revocation time, for uneven clocks and the delay until a request is
+/// checked.
+const REVOCATION_MARGIN: Duration = Duration::from_millis(500);
+/// The staleness from which a request with a credential refreshes the table is random in this
+/// range. The first daemon to read it spares the others, which get the update with the next
+/// responses.
+const REFRESH_AGE_RANGE: (Duration, Duration) =
+    (Duration::from_millis(2_500), Duration::from_millis(3_500));
+/// The delay after a failed read; it doubles with each further failure.
+const MIN_READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum delay after a failed read.
+const MAX_READ_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// The maximum time that a request waits for a read of the table.
+const MAX_READ_WAIT: Duration = Duration::from_millis(60);
+/// The maximum number of remembered unknown credentials, 32 bytes each.
+const MAX_UNKNOWN_CREDENTIALS: usize = 1_024;
+/// Limits the reads that unknown credentials cause, so that a flood of them costs the platform
+/// little.
+const MAX_UNKNOWN_READS_PER_SECOND: f64 = 1.0;
+
+/// The staleness of the route table of this daemon, and the reads that reduce it.
+pub(crate) struct RouteStaleness {
+    freshness: Mutex<Freshness>,
+    /// The revision of the table's object that was accepted last; it needn't be parsed again.
+    accepted: AtomicU64,
+    is_reading: AtomicBool,
+    last_failure: LastTime,
+    /// The number of consecutive failed reads.
+    failures: AtomicU32,
+    refresh_age: Mutex<Duration>,
+    unknown_reads: Mutex<RateBucket>,
+    /// Credentials that the newest table lacked at an earlier request.
+    unknown: Mutex<HashSet<CredentialHash>>,
+    waiters: Mutex<Vec<Sender<()>>>,
+}
+
+impl RouteStaleness {
+    pub(crate) fn new(now: Now) -> Self {
+        Self {
+            freshness: Mutex::default(),
+            accepted: AtomicU64::new(0),
+            is_reading: AtomicBool::new(false),
+            last_failure: LastTime::default(),
+            failures: AtomicU32::new(0),
+            refresh_age: Mutex::new(REFRESH_AGE_RANGE.0),
+            unknown_reads: Mutex::new(RateBucket::new(MAX_UNKNOWN_READS_PER_SECOND, now)),
+            unknown: Mutex::default(),
+            waiters: Mutex::default(),
+        }
+    }
+
+    /// Returns whether the table with this revision was accepted already.
+    pub(crate) fn has_accepted(&self, revision: u64) -> bool {
+        self.accepted_revision() == revision
+    }
+
+    /// Returns the revision of the table that was accepted last.
+    pub(crate) fn accepted_revision(&self) -> u64 {
+        self.accepted.load(Ordering::Relaxed)
+    }
+
+    /// Records that the table with this revision, or a higher version, is in force.
+    pub(crate) fn record_accepted(&self, revision: u64) {
+        self.accepted.fetch_max(revision, Ordering::Relaxed);
+    }
+
+    /// Returns the staleness of the table; `None` if it is unknown.
+    pub(crate) fn age(&self, now: Now) -> Option<Duration> {
+        lock(&self.freshness).age(now)
+    }
+
+    /// Returns the staleness in whole milliseconds, rounded up, for other daemons.
+    pub(crate) fn age_ms(&self, now: Now) -> Option<u32> {
+        let age = self.age(now)?;
+        u32::try_from(age.as_millis()).ok()?.checked_add(1)
+    }
+
+    /// Returns whether an unknown credential may cause a read now.
+    pub(crate) fn may_read_for_unknown(&self, now: Now) -> bool {
+        lock(&self.unknown_reads).take(now)
+    }
+
+    /// Returns whether it is certain that no newer table existed at `at`.
+    pub(crate) fn covers(&self, at: Now) -> bool {
+        lock(&self.freshness).is_confirmed_since(at)
+    }
+
+    /// Returns whether a credential that the table in force lacks was unknown at an earlier
+    /// request. Repeated use of a revoked credential causes no further read, even after a new
+    /// table.
+    pub(crate) fn is_unknown(&self, credential: CredentialHash) -> bool {
+        lock(&self.unknown).contains(&credential)
+    }
+
+    /// Records that the newest table lacks a credential.
+    pub(crate) fn remember_unknown(&self, credential: CredentialHash) {
+        let mut unknown = lock(&self.unknown);
+        if unknown.len() >= MAX_UNKNOWN_CREDENTIALS {
+            unknown.clear();
+        }
+        unknown.insert(credential);
+    }
+
+    fn confirm(&self, at: Now) {
+        lock(&self.freshness).confirm(at);
+        self.failures.store(0, Ordering::Relaxed);
+        let (minimum, maximum) = REFRESH_AGE_RANGE;
+        let jitter = (maximum - minimum).mul_f64(fastrand::f64());
+        *lock(&self.refresh_age) = minimum + jitter;
+        self.wake_waiters();
+    }
+
+    /// Wakes all requests that wait; those that were cancelled are ignored.
+    fn wake_waiters(&self) {
+        for waiter in lock(&self.waiters).drain(..) {
+            let _ = waiter.try_send(());
+        }
+    }
+}
+
+/// Applies the staleness that another daemon reported in the response to a message sent at
+/// `sent`, with `version` in force.
+pub(crate) fn confirm_from_peer(node: &Node, sent: Now, version: u64, age_ms: Option<u32>) {
+    // The staleness of a higher version doesn't hold for the one in force here.
+    if let Some(age_ms) = age_ms.filter(|_| version <= node.bundle_version()) {
+        let age = Duration::from_millis(age_ms.into());
+        lock(&node.route_staleness.freshness).confirm_from_peer(sent, age);
+    }
+}
+
+/// Reads the route table from the store. The table counts as confirmed from the time when the
+/// read was sent.
+pub(crate) async fn read_table(node: &Arc<Node>, object: &str) -> Result<(), FetchError> {
+    let sent = node.now();
+    let found = node.platform.get(object).await;
+    let found = found.map_err(FetchError::Platform)?;
+    let found = found.ok_or(FetchError::Absent)?;
+    if !node.route_staleness.has_accepted(found.version) {
+        fetch::accept_routes(node, &found.value).map_err(FetchError::RoutesRefused)?;
+        node.route_staleness.record_accepted(found.version);
+    }
+    node.route_staleness.confirm(sent);
+    Ok(())
+}
+
+/// Returns whether a credential in the table may be accepted now. None is accepted for longer
+/// than the revocation time without a confirmation of the table.
+pub(crate) fn is_valid(node: &Node, now: Now) -> bool {
+    let max_age = node
+        .settings
+        .routes
+        .as_ref()
+        .and_then(|routes| routes.revocation());
+    let Some(max_age) = max_age else {
+        return true;
+    };
+    let max_age = max_age.saturating_sub(REVOCATION_MARGIN);
+    lock(&node.route_staleness.freshness).is_within(now, max_age)
+}
+
+/// Reads the table in the background if it is stale.
+pub(crate) fn refresh(node: &Arc<Node>) {
+    let refresh_age = *lock(&node.route_staleness.refresh_age);
+    let age = node.route_staleness.age(node.now());
+    if age.is_none_or(|age| age > refresh_age) {
+        start_read(node);
+    }
+}
+
+/// Waits up to [`MAX_READ_WAIT`] until `holds` returns true. All requests that wait share one
+/// read.
+pub(crate) async fn wait_until(node: &Arc<Node>, holds: impl Fn() -> bool) -> bool {
+    let until = node.now() + MAX_READ_WAIT;
+    loop {
+        let (tx, rx) = channel::bounded(1);
+        lock(&node.route_staleness.waiters).push(tx);
+        if holds() {
+            return true;
+        }
+        start_read(node);
+        let confirmed = async { rx.recv().await.is_ok() };
+        let timed_out = async {
+            node.timers.at(until).await;
+            false
+        };
+        if !confirmed.or(timed_out).await {
+            return holds();
+        }
+    }
+}
+
+fn start_read(node: &Arc<Node>) {
+    let Some(routes) = &node.settings.routes else {
+        return;
+    };
+    let staleness = &node.route_staleness;
+    let failures = staleness.failures.load(Ordering::Relaxed);
+    let interval = MIN_READ_RETRY_INTERVAL * 2u32.pow(failures.saturating_sub(1).min(8));
+    let interval = interval.min(MAX_READ_RETRY_INTERVAL);
+    let failed_recently = staleness.last_failure.elapsed_since(node.now()) < interval;
+    if failed_recently || staleness.is_reading.swap(true, Ordering::Relaxed) {
+        return;
+    }
+    let (node, object) = (Arc::clone(node), routes.object.clone());
+    let ex = Arc::clone(&node.ex);
+    let read = async move {
+        // The watchers log the reason of a failure; here, credentials are refused.
+        if read_table(&node, &object).await.is_err() {
+            node.route_staleness.last_failure.set(node.now());
+            node.route_staleness
+                .failures
+                .fetch_add(1, Ordering::Relaxed);
+        }
+        node.route_staleness
+            .is_reading
+            .store(false, Ordering::Relaxed);
+        // A request that arrived during this read may need another one.
+        node.route_staleness.wake_waiters();
+    };
+    ex.spawn(read).detach();
+}
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -82,12 +82,12 @@
         let from = digest.from.instance.clone();
         gossip::record_visitor(&self.node, &from);
         gossip::receive_member_record(&self.node, digest.from);
-        fetch::heard_version(
+        fetch::fetch_if_newer(
             &self.node,
             digest.version,
             sorrelturn_fleet::Source::Peer(from),
         );
-        let knowledge_age_ms = self.node.knowledge.age_ms(self.node.now());
+        let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
         let differs = members.total() != digest.members;
         let suspects = &self.node.suspected_requests;
@@ -111,7 +111,7 @@
     }
 
     async fn announce(self, _: context::Context, from: String, version: u64) -> u64 {
-        fetch::heard_version(&self.node, version, sorrelturn_fleet::Source::Peer(from));
+        fetch::fetch_if_newer(&self.node, version, sorrelturn_fleet::Source::Peer(from));
         lock(&self.node.spread).in_force()
     }
 
@@ -184,7 +184,7 @@
 pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     // Control messages may arrive at any time, so the connection never counts as idle.
-    let _carries = conn.carries();
+    let _carries = conn.mark_active();
     let Ok(stream) = node.keys.accept(tcp).await else {
         node.note(&events::BAD_PEER, vec![Field::new("port", "control")]);
         return;
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Clock,
-    net::pool::{BUF_LIMIT_BYTES, Lease, Opened, Pool, SendError},
+    net::pool::{Lease, MAX_BUF_BYTES, Opened, Pool, SendError},
     net::stream::FleetKeys,
     net::timers::Timers,
     request::body::{self, Body},
@@ -22,7 +22,7 @@
 /// Largest message that the peer's daemon buffers completely.
 ///
 /// A slow reader can stall the connection for a longer message, which the options below would treat as a failure.
-const MAX_BUFFERED_MESSAGE_BYTES: u64 = BUF_LIMIT_BYTES as u64;
+const MAX_BUFFERED_MESSAGE_BYTES: u64 = MAX_BUF_BYTES as u64;
 /// Time without an acknowledgement after which a peer counts as unresponsive. Two consecutive losses of a packet are
 /// tolerated.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(700);
@@ -114,16 +114,16 @@
                 // The response to a long request may legitimately take long.
                 return smol::future::pending().await;
             }
-            pool.in_doubt(runtime.timers, sent).await;
+            pool.wait_until_suspect(runtime.timers, sent).await;
             // Boxed because it is rare and would enlarge the future of each request.
             let error = Box::pin(self.attempt_outcome(runtime, attempt, sent)).await;
-            pool.forget_unheard_since(sent);
+            pool.drop_idle_unanswered_since(sent);
             Err(error)
         };
         let (res, lease) = response.or(unresponsive).await?;
         let reenable_timeouts = has_timeouts && !is_buffered_by_reader(res.body());
         if reenable_timeouts && disable_timeouts(lease.socket()).is_err() {
-            return Err(SendError::Broke);
+            return Err(SendError::Interrupted);
         }
         Ok((
             res,
@@ -160,7 +160,7 @@
                 None
             };
             match self.query_status(runtime, attempt, sent).or(timeout).await {
-                Some(AttemptStatus::NeverCame) => return SendError::NeverCame,
+                Some(AttemptStatus::NeverCame) => return SendError::NeverArrived,
                 Some(AttemptStatus::Over) => {
                     runtime.timers.after(RESPONSE_TRANSIT_TIME).await;
                     return SendError::AnswerLost;
@@ -199,8 +199,8 @@
 
     /// Drops the idle connections; calls in progress on others continue.
     pub(crate) fn drop_idle(&self) {
-        self.pool_with_timeouts.forget_idle();
-        self.pool_without_timeouts.forget_idle();
+        self.pool_with_timeouts.drop_idle();
+        self.pool_without_timeouts.drop_idle();
     }
 }
 
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock::unix_ms,
     config::fetch::{self, FetchError},
-    config::knowledge,
+    config::route_staleness,
     fleet::control_client as control,
     fleet::gossip,
     node::{Node, lock},
@@ -209,8 +209,8 @@
     loop {
         Timer::after(interval.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         if let Some(routes) = &node.settings.routes {
-            let read = knowledge::read_table(node, &routes.object).await;
-            if node.knowledge.newest() > watched.0.load(Ordering::Relaxed) {
+            let read = route_staleness::read_table(node, &routes.object).await;
+            if node.route_staleness.accepted_revision() > watched.0.load(Ordering::Relaxed) {
                 restart_watches();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
@@ -234,8 +234,8 @@
 fn receive_head(node: &Arc<Node>, object: &Object) {
     let value = object.value.as_str();
     if node.settings.routes.is_some() {
-        match fetch::take_routes(node, value) {
-            Ok(()) => node.knowledge.took(object.version),
+        match fetch::accept_routes(node, value) {
+            Ok(()) => node.route_staleness.record_accepted(object.version),
             Err(error) => node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]),
         }
         return;
@@ -244,7 +244,7 @@
         .ok()
         .and_then(|signed| signed.verify(&node.trusted).ok());
     match manifest {
-        Some(manifest) => fetch::heard_version(node, manifest.version, Source::Store),
+        Some(manifest) => fetch::fetch_if_newer(node, manifest.version, Source::Store),
         None => node.note(
             &events::BUNDLE_REFUSED,
             vec![Field::new(
--- a/crates/sorrelturn-daemon/src/net/listeners.rs
+++ b/crates/sorrelturn-daemon/src/net/listeners.rs
@@ -1,4 +1,4 @@
-//! Where a daemon listens.
+//! The listening sockets of a daemon.
 
 use crate::{
     config::settings::{ListenSettings, Settings},
@@ -11,10 +11,10 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use std::{io, net::SocketAddr, sync::Arc};
 
-/// New connections that the kernel holds while the daemon is busy or stands still. An opening packet
-/// beyond them is dropped and sent again a second later, when clients have given up; the runtime asks for
-/// 128. The kernel cuts it to its own limit, 4,096 by default.
-const BACKLOG: i32 = 4_096;
+/// New connections that the kernel queues while the daemon is busy. The first packet of a
+/// connection beyond them is dropped and sent again 1 s later, when clients have given up. The
+/// kernel limits it to `somaxconn`, 4,096 by default.
+const ACCEPT_BACKLOG: i32 = 4_096;
 
 /// The sockets of one daemon.
 pub(crate) struct Listeners {
@@ -29,7 +29,7 @@
 }
 
 impl Listeners {
-    /// Opens all of them.
+    /// Binds all sockets.
     pub(crate) fn bind(settings: &Settings) -> Result<Self, StartError> {
         let listen = &settings.listen;
         Ok(Self {
@@ -38,37 +38,38 @@
             peers: bind(listen.peers)?,
             control: bind(listen.control)?,
             admin: bind(listen.admin)?,
-            routed: bind_some(listen.routed)?,
-            announce: bind_some(listen.announce)?,
-            ready: bind_some(listen.ready)?,
+            routed: bind_optional(listen.routed)?,
+            announce: bind_optional(listen.announce)?,
+            ready: bind_optional(listen.ready)?,
         })
     }
 
-    /// Where they listen, with the ports that they got for port 0.
+    /// Returns the bound addresses, with the ports selected for port 0.
     pub(crate) fn addresses(&self, settings: &Settings) -> Result<ListenSettings, StartError> {
-        let of = |listener: &TcpListener, addr| {
+        let bound_addr = |listener: &TcpListener, addr| {
             listener
                 .local_addr()
                 .map_err(|error| StartError::Listen { addr, error })
         };
-        let of_some = |listener: &Option<TcpListener>, addr: Option<SocketAddr>| {
-            let both = listener.as_ref().zip(addr);
-            both.map(|(listener, addr)| of(listener, addr)).transpose()
+        let optional_addr = |listener: &Option<TcpListener>, addr: Option<SocketAddr>| {
+            let pair = listener.as_ref().zip(addr);
+            pair.map(|(listener, addr)| bound_addr(listener, addr))
+                .transpose()
         };
         let listen = &settings.listen;
         Ok(ListenSettings {
-            callers: of(&self.callers, listen.callers)?,
-            local: of(&self.local, listen.local)?,
-            peers: of(&self.peers, listen.peers)?,
-            control: of(&self.control, listen.control)?,
-            admin: of(&self.admin, listen.admin)?,
-            routed: of_some(&self.routed, listen.routed)?,
-            announce: of_some(&self.announce, listen.announce)?,
-            ready: of_some(&self.ready, listen.ready)?,
+            callers: bound_addr(&self.callers, listen.callers)?,
+            local: bound_addr(&self.local, listen.local)?,
+            peers: bound_addr(&self.peers, listen.peers)?,
+            control: bound_addr(&self.control, listen.control)?,
+            admin: bound_addr(&self.admin, listen.admin)?,
+            routed: optional_addr(&self.routed, listen.routed)?,
+            announce: optional_addr(&self.announce, listen.announce)?,
+            ready: optional_addr(&self.ready, listen.ready)?,
         })
     }
 
-    /// Accepts connections until `closing` ends, those of callers until `closing_entries` does.
+    /// Accepts connections until `closing` ends; those of callers until `closing_entries` does.
     pub(crate) fn serve(self, node: &Arc<Node>, closing_entries: &Closing, closing: &Closing) {
         let spawn = |listener, serve: fn(Arc<Node>, Accepted, Closing) -> _| {
             let task = serve::accept(Arc::clone(node), listener, closing.clone(), serve);
@@ -94,7 +95,8 @@
             serve::admin(node, accepted, closing).boxed()
         });
         if let Some(routed) = self.routed {
-            // The own backend server's calls come here too, as long as it works on anything.
+            // The own backend server sends its calls here, too, until it has no request in
+            // progress.
             let closing_entries = closing_entries.clone();
             let serve =
                 move |node, accepted, _| serve::routed(node, accepted, closing_entries.clone());
@@ -114,7 +116,7 @@
     }
 }
 
-fn bind_some(addr: Option<SocketAddr>) -> Result<Option<TcpListener>, StartError> {
+fn bind_optional(addr: Option<SocketAddr>) -> Result<Option<TcpListener>, StartError> {
     match addr {
         Some(addr) => bind(addr).map(Some),
         None => Ok(None),
@@ -127,9 +129,10 @@
 
 fn open(addr: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
-    // The next run listens where connections of the last one may still end.
+    // The next incarnation binds the same port while connections of the last one may still be
+    // closing.
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     std::net::TcpListener::from(socket).try_into()
 }
--- a/crates/sorrelturn-daemon/src/net/timers.rs
+++ b/crates/sorrelturn-daemon/src/net/timers.rs
@@ -1,9 +1,9 @@
-//! Coarse timers for deadlines. See `docs/design/threads.md` for the measurement.
+//! Coarse timers for deadlines. See `docs/design/threads.md`.
 //!
-//! A timer of the runtime costs several system calls, and nearly every deadline is dropped unused.
-//! Here a deadline is an entry in a map, and one task sleeps until the first one. Deadlines are
-//! mostly as long as one another, so a new one seldom comes before those that wait already, and
-//! the task is seldom woken for it.
+//! A timer of the runtime costs several system calls, and nearly every deadline is dropped
+//! unused. Here, a deadline is an entry in a map, and one task sleeps until the first one.
+//! Since most deadlines have similar durations, a new one is seldom the first, and the task is
+//! seldom woken for it.
 
 use crate::{clock::Clock, node::lock};
 use hyper::rt::{Sleep, Timer as HyperTimer};
@@ -21,8 +21,8 @@
     time::{Duration, Instant},
 };
 
-/// How late a deadline may be noticed.
-const TICK: Duration = Duration::from_millis(5);
+/// The maximum delay until an expired deadline is noticed.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The deadlines of one daemon.
 #[derive(Clone)]
@@ -33,23 +33,23 @@
 }
 
 struct Shared {
-    waiting: Mutex<Waiting>,
+    waiters: Mutex<Waiters>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Waiters {
     wakers: BTreeMap<(Now, u64), Waker>,
     next_id: u64,
-    /// When [`Timers::run`] looks next; `None` while it sleeps until it is woken.
-    next_look: Option<Now>,
+    /// When [`Timers::run`] checks next; `None` while it sleeps until it is woken.
+    next_check: Option<Now>,
 }
 
 impl Timers {
-    /// Timers, and the end of the channel that [`Timers::run`] needs.
+    /// Returns the timers, and the receiver that [`Timers::run`] needs.
     pub(crate) fn new(clock: Clock) -> (Self, Receiver<()>) {
         let (wake_up, woken) = channel::bounded(1);
         let shared = Arc::new(Shared {
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
         });
         let timers = Self {
             clock,
@@ -59,38 +59,38 @@
         (timers, woken)
     }
 
-    /// Wakes what is due, for ever.
+    /// Wakes expired deadlines until it is cancelled.
     pub(crate) async fn run(self, woken: Receiver<()>) {
         loop {
             let now = self.clock.now();
-            let (due, next_look) = self.shared.look(now);
+            let (due, next_check) = self.shared.take_due(now);
             for waker in due {
                 waker.wake();
             }
-            let earlier = async { woken.recv().await.is_ok() };
-            let goes_on = match next_look {
+            let woken_early = async { woken.recv().await.is_ok() };
+            let is_running = match next_check {
                 Some(at) => {
-                    let look = async {
+                    let sleep = async {
                         Timer::after(at.saturating_sub(now)).await;
                         true
                     };
-                    look.or(earlier).await
+                    sleep.or(woken_early).await
                 }
-                None => earlier.await,
+                None => woken_early.await,
             };
-            if !goes_on {
+            if !is_running {
                 return;
             }
         }
     }
 
-    /// Wakes what is due by now, though [`Timers::run`] would look later.
-    pub(crate) fn look_now(&self) {
-        // If it is full, a look is due anyway.
+    /// Wakes expired deadlines now, before the next regular check.
+    pub(crate) fn check_now(&self) {
+        // If the channel is full, a check is due anyway.
         let _ = self.wake_up.try_send(());
     }
 
-    /// Ends at a point in time, or a little later.
+    /// Returns a deadline at a point in time.
     pub(crate) fn at(&self, at: Now) -> Deadline {
         Deadline {
             timers: self.clone(),
@@ -99,30 +99,30 @@
         }
     }
 
-    /// Ends after some time, or a little later.
+    /// Returns a deadline after a duration.
     pub(crate) fn after(&self, wait: Duration) -> Deadline {
         self.at(self.clock.now() + wait)
     }
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        lock(&self.waiting)
+    fn lock(&self) -> MutexGuard<'_, Waiters> {
+        lock(&self.waiters)
     }
 
-    /// Takes what is due, and says when to look again.
-    fn look(&self, now: Now) -> (impl Iterator<Item = Waker> + use<>, Option<Now>) {
-        let mut waiting = self.lock();
-        let later = waiting.wakers.split_off(&(now, u64::MAX));
-        let due = std::mem::replace(&mut waiting.wakers, later);
-        let first = waiting.wakers.first_key_value();
-        let next_look = first.map(|((at, _), _)| (*at).max(now + TICK));
-        waiting.next_look = next_look;
-        (due.into_values(), next_look)
+    /// Takes the expired deadlines, and returns when to check next.
+    fn take_due(&self, now: Now) -> (impl Iterator<Item = Waker> + use<>, Option<Now>) {
+        let mut waiters = self.lock();
+        let later = waiters.wakers.split_off(&(now, u64::MAX));
+        let due = std::mem::replace(&mut waiters.wakers, later);
+        let first = waiters.wakers.first_key_value();
+        let next_check = first.map(|((at, _), _)| (*at).max(now + TICK_INTERVAL));
+        waiters.next_check = next_check;
+        (due.into_values(), next_check)
     }
 }
 
-/// A future that ends at a point in time.
+/// A future that completes at a point in time, or up to [`TICK_INTERVAL`] later.
 pub(crate) struct Deadline {
     timers: Timers,
     at: Now,
@@ -130,7 +130,7 @@
 }
 
 impl Deadline {
-    fn forget(&mut self) {
+    fn remove(&mut self) {
         if let Some(id) = self.id.take() {
             self.timers.shared.lock().wakers.remove(&(self.at, id));
         }
@@ -143,21 +143,24 @@
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let this = &mut *self;
         if this.timers.clock.now() >= this.at {
-            this.forget();
+            this.remove();
             return Poll::Ready(());
         }
-        let mut waiting = this.timers.shared.lock();
+        let mut waiters = this.timers.shared.lock();
         let id = *this.id.get_or_insert_with(|| {
-            waiting.next_id += 1;
-            waiting.next_id
+            waiters.next_id += 1;
+            waiters.next_id
         });
         let key = (this.at, id);
-        let known = waiting.wakers.get(&key);
+        let known = waiters.wakers.get(&key);
         if known.is_none_or(|waker| !waker.will_wake(cx.waker())) {
-            waiting.wakers.insert(key, cx.waker().clone());
+            waiters.wakers.insert(key, cx.waker().clone());
         }
-        if waiting.next_look.is_none_or(|look| this.at + TICK < look) {
-            waiting.next_look = Some(this.at);
+        if waiters
+            .next_check
+            .is_none_or(|check| this.at + TICK_INTERVAL < check)
+        {
+            waiters.next_check = Some(this.at);
             let _ = this.timers.wake_up.try_send(());
         }
         Poll::Pending
@@ -166,7 +169,7 @@
 
 impl Drop for Deadline {
     fn drop(&mut self) {
-        self.forget();
+        self.remove();
     }
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -5,8 +5,8 @@
     backend::link::Backend,
     backend::state::Routed,
     clock::Clock,
-    config::in_force::{InForce, Origin, RetryTerms},
-    config::knowledge::Knowledge,
+    config::in_force::{InForce, Origin, RetryLimits},
+    config::route_staleness::RouteStaleness,
     config::settings::Settings,
     ending::Ending,
     fleet::control_client::ControlLinks,
@@ -70,7 +70,7 @@
     pub(crate) parents: Arc<Parents>,
     pub(crate) in_force: ArcSwapOption<InForce>,
     /// How old the knowledge of the route table is.
-    pub(crate) knowledge: Knowledge,
+    pub(crate) route_staleness: RouteStaleness,
     /// Quotas of workspaces.
     pub(crate) quota: Quota,
     pub(crate) routes: ArcSwap<Routes>,
@@ -211,7 +211,7 @@
     pub(crate) fn knowledge_age_ms(&self) -> Option<u32> {
         let in_force = self.in_force.load();
         let has_workspaces = in_force.as_ref()?.bundle.has_workspaces();
-        has_workspaces.then(|| self.knowledge.age_ms(self.now()))?
+        has_workspaces.then(|| self.route_staleness.age_ms(self.now()))?
     }
 
     /// Puts a bundle in force if its version is higher; returns whether it was.
@@ -248,12 +248,12 @@
 
     /// This daemon's share of the retries that all daemons may make, so that they need no talk
     /// about it.
-    fn retry_terms(&self) -> RetryTerms {
+    fn retry_terms(&self) -> RetryLimits {
         let Some(routes) = &self.settings.routes else {
-            return RetryTerms::default();
+            return RetryLimits::default();
         };
         let members = lock(&self.membership).present().count();
-        RetryTerms {
+        RetryLimits {
             ratio: routes.retry_ratio,
             slack: routes.retry_slack * RETRY_SLACK_USED / members.max(LEAST_SHARERS) as f64,
             window: Duration::from_secs_f64(routes.retry_window_s),
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -193,7 +193,7 @@
     if !allowed.is_empty() && !allowed.contains(&kind.name) {
         return Err(Reply::not_run(Refusal::NotAllowed));
     }
-    if !in_force.caller_may_ask(caller, node.now()) {
+    if !in_force.take_caller_rate(caller, node.now()) {
         return Err(Reply::not_run(Refusal::CallerRate).with_retry_after(retry_after()));
     }
     let trace = headers::text(req_headers, TRACEPARENT)
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -91,8 +91,8 @@
             Ok((res, lease)) => read_reply(node, call, res, lease),
             Err(SendError::Full) => Err(Failure::Full),
             Err(SendError::NotSent) => Err(Failure::NotSent),
-            Err(SendError::Broke) => Err(Failure::Interrupted),
-            Err(SendError::NeverCame) => Err(Failure::NeverArrived),
+            Err(SendError::Interrupted) => Err(Failure::Interrupted),
+            Err(SendError::NeverArrived) => Err(Failure::NeverArrived),
             Err(SendError::AnswerLost) => Err(Failure::AnswerLost),
         }
     };
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -4,7 +4,7 @@
     clock::unix_ns,
     config::fetch,
     config::in_force::{InForce, KindState},
-    config::knowledge,
+    config::route_staleness,
     fleet::next_incarnation,
     fleet::routes::Route,
     node::{Node, lock},
@@ -339,18 +339,18 @@
         return;
     }
     if answer.refusal == Some(Refusal::NoInstanceBelow) {
-        kind_state.lacks_below(node.now());
+        kind_state.record_no_instance_below(node.now());
     }
     if answer.refusal.is_none_or(Refusal::indicates_service_load) {
         kind_state.threshold.observe(node.now(), answer.threshold);
     }
-    call.in_force.heard_of_kind(kind_state, answer.is_call);
-    fetch::heard_version(
+    call.in_force.record_kind_answer(kind_state, answer.is_call);
+    fetch::fetch_if_newer(
         node,
         answer.bundle_version,
         Source::Peer(route.record.instance.clone()),
     );
-    knowledge::told(node, sent, answer.bundle_version, answer.knowledge_age_ms);
+    route_staleness::confirm_from_peer(node, sent, answer.bundle_version, answer.knowledge_age_ms);
 }
 
 /// Decides whether another try follows, and records the decision.
@@ -429,7 +429,7 @@
 /// Returns false if either budget is used up.
 fn take_retry_budget(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
-    let caller_pays = !is_root || call.in_force.caller_pays_retry(call.context.caller);
+    let caller_pays = !is_root || call.in_force.take_caller_retry(call.context.caller);
     caller_pays && lock(&kind_state.retries).try_retry(node.now())
 }
 
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -1,9 +1,9 @@
 //! Runs one call at its owner: the exchange with the backend server and the handling of its result.
 
 use crate::{
-    backend::crash::{self, AtWork},
-    backend::link::Answered,
-    backend::state::{self, Routed, Word},
+    backend::crash::{self, BackendRequestGuard},
+    backend::link::BackendResponse,
+    backend::state::{self, ResponseKind, Routed},
     clock::unix_ns,
     config::in_force::InForce,
     fleet::{gossip, suspects},
@@ -86,9 +86,9 @@
         let graph = lock(&routed.graph);
         graph.required_calls(&self.kind.name).any(|call| {
             let kind = self.in_force.bundle.kind(call);
-            let state = self.in_force.state_of(call);
+            let state = self.in_force.kind_state_by_name(call);
             kind.is_some_and(|kind| routes.of_service(&kind.service).is_empty())
-                || state.is_some_and(|state| state.still_lacks_below(now))
+                || state.is_some_and(|state| state.had_no_instance_below_recently(now))
         })
     }
 
@@ -137,7 +137,7 @@
             return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
         };
         let node = Arc::clone(&self.node);
-        let in_progress = AtWork::new(&node, self.context.names);
+        let in_progress = BackendRequestGuard::new(&node, self.context.names);
         let copy_request = |req: &Request<Body>| self.copy_request(req);
         let take_retry = || self.take_retry_for_resend();
         let sent = node
@@ -155,28 +155,28 @@
                 self.handle_response(slot, guard, answered, in_progress)
             }
             Some(Err(SendError::Full)) => {
-                in_progress.ended();
+                in_progress.mark_finished();
                 slot.release(Outcome::Cancelled);
                 let share = self.context.attempts;
                 refund_attempts(self.refusal_reply(Refusal::Overload), share)
             }
             Some(Err(SendError::NotSent)) => {
-                in_progress.ended();
+                in_progress.mark_finished();
                 node.backend_reached(false);
                 slot.release(Outcome::Failed);
                 let share = self.context.attempts;
                 refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), share)
             }
-            Some(Err(SendError::Broke)) => {
-                in_progress.ended();
+            Some(Err(SendError::Interrupted)) => {
+                in_progress.mark_finished();
                 slot.release(Outcome::Failed);
-                let refusal = match crash::broke_off(&node, self.context.names).await {
+                let refusal = match crash::check_for_crash(&node, self.context.names).await {
                     true => Refusal::BackendCrashed,
                     false => Refusal::BackendBroke,
                 };
                 self.failure_reply(&guard, refusal)
             }
-            Some(Err(SendError::NeverCame | SendError::AnswerLost)) => {
+            Some(Err(SendError::NeverArrived | SendError::AnswerLost)) => {
                 slot.release(Outcome::Failed);
                 self.failure_reply(&guard, Refusal::BackendBroke)
             }
@@ -203,7 +203,7 @@
     /// announced its shutdown gets none: it relies on receiving no new requests.
     fn take_retry_for_resend(&self) -> bool {
         let routed = self.node.routed.as_ref();
-        let accepts_no_requests = routed.is_some_and(|routed| routed.serving().is_none());
+        let accepts_no_requests = routed.is_some_and(|routed| routed.serving_id().is_none());
         if accepts_no_requests || self.is_quarantined() {
             return false;
         }
@@ -225,7 +225,7 @@
         let names = &routed.dialect.headers;
         let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let headers = req.headers_mut();
-        headers.insert(names.expected_backend.clone(), routed.serving()?);
+        headers.insert(names.expected_backend.clone(), routed.serving_id()?);
         headers.insert(names.time_left_ms.clone(), (time_left as u64).into());
         Some(req)
     }
@@ -257,16 +257,16 @@
         self,
         slot: Slot,
         guard: ParentGuard,
-        answered: Answered,
-        in_progress: AtWork,
+        answered: BackendResponse,
+        in_progress: BackendRequestGuard,
     ) -> Reply {
-        let Answered {
+        let BackendResponse {
             mut res,
             lease,
             sent_twice,
         } = answered;
         if let Some(keep_alive) = headers::text(res.headers(), "keep-alive") {
-            self.node.backend.heard_keep_alive(keep_alive);
+            self.node.backend.set_keep_alive(keep_alive);
         }
         // Only daemons set internal headers: a backend server must not send a verdict to a caller.
         headers::strip_internal(res.headers_mut());
@@ -274,9 +274,9 @@
         let service = self.in_force.bundle.service(&self.kind.service);
         let response_class = self.node.routed.as_ref().map(|routed| {
             let response_class =
-                routed.judge(self.attempt_id.as_ref(), res.status(), res.headers());
-            if response_class == Word::NotRun {
-                state::answered_by(&self.node, routed, res.headers());
+                routed.classify_response(self.attempt_id.as_ref(), res.status(), res.headers());
+            if response_class == ResponseKind::NotRun {
+                state::record_answering_backend(&self.node, routed, res.headers());
             }
             response_class
         });
@@ -284,14 +284,14 @@
             // The reported load is meant only for the backend server's own daemon.
             res.headers_mut().remove(&routed.dialect.headers.load);
         }
-        if response_class == Some(Word::NotOurs) {
-            in_progress.ended();
+        if response_class == Some(ResponseKind::Mismatched) {
+            in_progress.mark_finished();
             slot.release(Outcome::Failed);
             return self.failure_reply(&guard, Refusal::BackendBroke);
         }
         let is_refused_status =
             service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = is_refused_status || response_class == Some(Word::NotRun);
+        let refused = is_refused_status || response_class == Some(ResponseKind::NotRun);
         let is_draining = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
@@ -299,7 +299,7 @@
             gossip::leave(&self.node, LeavingCause::Backend);
         }
         if refused {
-            in_progress.ended();
+            in_progress.mark_finished();
             if res.body().is_end_stream() {
                 lease.give_back();
             }
@@ -366,7 +366,7 @@
         }
         let calls = graph.calls(&self.kind.name);
         self.in_force
-            .threshold_of(calls.iter().map(String::as_str), now)
+            .max_threshold(calls.iter().map(String::as_str), now)
     }
 
     /// Streams the body to the caller; releases slot, connection and registration when it ends.
@@ -376,7 +376,7 @@
         outcome: Outcome,
         guard: ParentGuard,
         res: Response<Incoming>,
-        (lease, in_progress): (Lease, AtWork),
+        (lease, in_progress): (Lease, BackendRequestGuard),
     ) -> Response<Body> {
         let holds_slot = res
             .body()
@@ -396,7 +396,7 @@
             body::guarded_answer(&timers, incoming, deadline, move |is_complete| {
                 if is_complete {
                     lease.give_back();
-                    in_progress.ended();
+                    in_progress.mark_finished();
                     suspects::record_completed(&hop.node, hop.context.names);
                 }
                 if let Some(slot) = slot {
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -1,7 +1,7 @@
 //! Identifies callers: the credential of a request and the workspace that it belongs to.
 
 use crate::{
-    backend::state::Routed, config::in_force::InForce, config::knowledge, node::Node,
+    backend::state::Routed, config::in_force::InForce, config::route_staleness, node::Node,
     request::answer::Reply, request::owner,
 };
 use hyper::HeaderMap;
@@ -47,9 +47,11 @@
         let route = in_force.bundle.match_route(host, path).cloned();
         let route = route.ok_or_else(|| Reply::not_run(Refusal::UnknownKind))?;
         match requesting_workspace(&in_force.bundle, &route, presented.as_ref()) {
-            Some(workspace) if workspace.is_none() || knowledge::is_valid(node, node.now()) => {
+            Some(workspace)
+                if workspace.is_none() || route_staleness::is_valid(node, node.now()) =>
+            {
                 if workspace.is_some() {
-                    knowledge::refresh(node);
+                    route_staleness::refresh(node);
                 }
                 return Ok(Identified {
                     in_force,
@@ -58,7 +60,11 @@
                 });
             }
             Some(_) => {
-                if !knowledge::wait_until(node, || knowledge::is_valid(node, node.now())).await {
+                if !route_staleness::wait_until(node, || {
+                    route_staleness::is_valid(node, node.now())
+                })
+                .await
+                {
                     return Err(retry_later());
                 }
             }
@@ -67,9 +73,12 @@
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
             None => {
-                let may_read = node.knowledge.may_prove(node.now());
+                let may_read = node.route_staleness.may_read_for_unknown(node.now());
                 if !may_read
-                    || !knowledge::wait_until(node, || node.knowledge.covers(arrived_at)).await
+                    || !route_staleness::wait_until(node, || {
+                        node.route_staleness.covers(arrived_at)
+                    })
+                    .await
                 {
                     return Err(retry_later());
                 }
@@ -80,12 +89,12 @@
 
 /// Whether it is certain that no table contains the credential of a request.
 fn is_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
-    let covers = node.knowledge.covers(arrived_at);
+    let covers = node.route_staleness.covers(arrived_at);
     match presented {
-        Some(credential) if covers => node.knowledge.note_unknown(credential),
+        Some(credential) if covers => node.route_staleness.remember_unknown(credential),
         Some(credential) => {
-            let is_valid = knowledge::is_valid(node, node.now());
-            return is_valid && node.knowledge.is_unknown(credential);
+            let is_valid = route_staleness::is_valid(node, node.now());
+            return is_valid && node.route_staleness.is_unknown(credential);
         }
         None => {}
     }
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -5,7 +5,7 @@
     backend::state::Routed,
     config::in_force::{InForce, KindState},
     fleet::quota,
-    net::serve::ambiguous,
+    net::serve::has_ambiguous_length,
     node::{Carried, Node, lock},
     operators::export,
     request::answer::Reply,
@@ -124,7 +124,7 @@
     phase: ConnectionPhase,
 ) -> Result<ResolvedRequest, Reply> {
     let headers = req.headers();
-    if ambiguous(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
+    if has_ambiguous_length(req) || !headers.contains_key(&routed.dialect.headers.request_id) {
         return Err(Reply::not_run(Refusal::Malformed));
     }
     let host = headers.get(HOST).and_then(|host| host.to_str().ok());
@@ -185,10 +185,13 @@
     }
     let is_retry = resolved
         .remaining_ms
-        .is_some_and(|remaining_ms| lock(&state.first_tries).observe(remaining_ms));
-    let (kind_rank, ranks) = resolved.in_force.rank_of_root(resolved.kind.importance());
+        .is_some_and(|remaining_ms| lock(&state.retry_detector).observe(remaining_ms));
+    let (kind_rank, ranks) = resolved.in_force.root_rank(resolved.kind.importance());
     // A workspace of higher importance raises the rank of its requests.
-    let rank = kind_rank + resolved.in_force.steps_above(resolved.workspace.as_deref());
+    let rank = kind_rank
+        + resolved
+            .in_force
+            .rank_above_lowest(resolved.workspace.as_deref());
     let mut bucket = resolved.request.shedding_bucket();
     if resolved.in_force.is_once_among_repeatable(&resolved.kind) {
         bucket = bucket_for_at_most_once(bucket);
@@ -211,7 +214,8 @@
             Field::new("was_tried", is_retry),
         ],
     );
-    let retry_after = lock(&state.refusing).record_refusal(node.now(), &mut fastrand::Rng::new());
+    let retry_after =
+        lock(&state.refusal_streak).record_refusal(node.now(), &mut fastrand::Rng::new());
     Err(Reply::not_run(Refusal::Overload).with_retry_after(retry_after))
 }
 
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -6,7 +6,7 @@
     backend::link::Backend,
     backend::state::Routed,
     clock::{Clock, unix_ms},
-    config::knowledge::Knowledge,
+    config::route_staleness::RouteStaleness,
     config::settings::{ListenSettings, RouteSettings, Settings},
     ending::Ending,
     fleet::control_client::ControlLinks,
@@ -329,7 +329,7 @@
     let spans = settings.trace.map_or(0, |trace| trace.buffer);
     let timeout = Duration::from_millis(settings.platform.timeout_ms);
     let quota_bound = settings.routes.as_ref().map(RouteSettings::quota_bound);
-    let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_terms);
+    let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_validity);
     let connect_time = Duration::from_millis(settings.backend.connect_ms);
     Ok(Node {
         platform: Platform::new(settings.platform.address, timeout)
@@ -345,7 +345,7 @@
         )),
         parents: Arc::new(Parents::default()),
         in_force: ArcSwapOption::empty(),
-        knowledge: Knowledge::new(clock.now()),
+        route_staleness: RouteStaleness::new(clock.now()),
         quota: Quota::new(
             incarnation,
             quota_bound.unwrap_or_default(),
@@ -391,7 +391,7 @@
         last = now;
         if paused >= LAG_CHECK {
             // The runtime's timers stand still while the VM is suspended; what is due by now isn't due by them.
-            node.timers.look_now();
+            node.timers.check_now();
         }
         node.admission.with_gate(|gate, _| gate.report_lag(paused));
         if paused >= PAUSE {
