--- a/crates/sorrelturn-bench/src/fleet.rs
+++ b/crates/sorrelturn-bench/src/fleet.rs
@@ -230,7 +230,7 @@
         while !self
             .daemons
             .iter()
-            .all(|daemon| daemon.knows() == (all, true))
+            .all(|daemon| daemon.discovery_state() == (all, true))
         {
             assert!(Instant::now() < until, "the fleet doesn't know itself");
             Timer::after(Duration::from_millis(20)).await;
--- a/crates/sorrelturn-bench/src/routed_fleet.rs
+++ b/crates/sorrelturn-bench/src/routed_fleet.rs
@@ -223,8 +223,8 @@
     }
 
     async fn try_start(&self, settings: Settings) -> Result<Daemon, StartError> {
-        let clock = Clock::read_by(self.read_time);
-        Daemon::start_by_clock(settings, self.dialect.clone(), Arc::clone(&self.ex), clock).await
+        let clock = Clock::from_source(self.read_time);
+        Daemon::start_with_clock(settings, self.dialect.clone(), Arc::clone(&self.ex), clock).await
     }
 
     fn settings(
--- a/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
+++ b/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
@@ -58,7 +58,7 @@
         .await
         .expect("the daemon starts");
         let caller = Client::new(Arc::clone(&ex), daemon.addresses.callers);
-        while daemon.knows() != (1, true) {
+        while daemon.discovery_state() != (1, true) {
             smol::Timer::after(Duration::from_millis(10)).await;
         }
         for position in 0..220 {
--- a/crates/sorrelturn-command/src/commands/bundle_publish.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_publish.rs
@@ -3,7 +3,7 @@
 use super::{CommandEntry, key_args, note, note_arg, read_bundle, read_file, read_key};
 use crate::{
     Failure, Output, Publication, exit, publish, read_head,
-    remote::{ask_daemon, platform, platform_arg},
+    remote::{call_daemon, platform, platform_arg},
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use hyper::Method;
@@ -66,7 +66,7 @@
     let accepted = publish(&platform, head.as_ref(), &publication).await?;
     let body = serde_json::to_vec(&publication).unwrap_or_default();
     for addr in args.get_many::<SocketAddr>("tell").into_iter().flatten() {
-        let told = ask_daemon::<StatusReport>(*addr, Method::PUT, "/bundle", body.clone());
+        let told = call_daemon::<StatusReport>(*addr, Method::PUT, "/bundle", body.clone());
         if let Err(failure) = told.await {
             eprintln!(
                 "warning: version {} is accepted, but {failure}",
--- a/crates/sorrelturn-command/src/commands/bundle_rollback.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_rollback.rs
@@ -55,7 +55,7 @@
         })?;
     let next = head.as_ref().map_or(1, |head| head.manifest.version + 1);
     let note = format!("rollback to version {wanted}");
-    let publication = Publication::sign_again(earlier, next, &note, &key)?;
+    let publication = Publication::sign_rollback(earlier, next, &note, &key)?;
     let accepted = publish(&platform, head.as_ref(), &publication).await?;
     let text = format!(
         "the content of version {wanted} is accepted as version {}",
--- a/crates/sorrelturn-command/src/commands/drain.rs
+++ b/crates/sorrelturn-command/src/commands/drain.rs
@@ -3,7 +3,7 @@
 use super::CommandEntry;
 use crate::{
     Failure, Output,
-    remote::{address, ask_daemon, daemon_arg},
+    remote::{address, call_daemon, daemon_arg},
 };
 use clap::{ArgMatches, Command};
 use hyper::Method;
@@ -24,7 +24,7 @@
 
 fn run(args: &ArgMatches) -> Result<Output, Failure> {
     let addr = address(args, "daemon");
-    let asked = ask_daemon::<StatusReport>(addr, Method::POST, "/drain", Vec::new());
+    let asked = call_daemon::<StatusReport>(addr, Method::POST, "/drain", Vec::new());
     let report = smol::block_on(asked)?;
     let text = format!(
         "{} takes no new calls; {} are in flight",
--- a/crates/sorrelturn-command/src/commands/explain.rs
+++ b/crates/sorrelturn-command/src/commands/explain.rs
@@ -3,7 +3,7 @@
 use super::CommandEntry;
 use crate::{
     Failure, Output, exit,
-    remote::{address, ask_daemon, daemon_arg},
+    remote::{address, call_daemon, daemon_arg},
 };
 use clap::{Arg, ArgMatches, Command, value_parser};
 use hyper::Method;
@@ -52,7 +52,7 @@
     }
     let path = format!("/explain/{request}");
     let addr = address(args, "daemon");
-    let records = smol::block_on(ask_daemon::<Vec<EventRecord>>(
+    let records = smol::block_on(call_daemon::<Vec<EventRecord>>(
         addr,
         Method::GET,
         &path,
--- a/crates/sorrelturn-command/src/commands/workspaces.rs
+++ b/crates/sorrelturn-command/src/commands/workspaces.rs
@@ -1,7 +1,7 @@
 //! `sorrelctl workspaces`
 
 use super::CommandEntry;
-use crate::{Failure, Output, remote::ask_daemon};
+use crate::{Failure, Output, remote::call_daemon};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use hyper::Method;
 use sorrelturn_daemon::{WorkspaceUsage, WorkspacesReport};
@@ -34,7 +34,7 @@
 fn run(args: &ArgMatches) -> Result<Output, Failure> {
     let mut reports = Vec::new();
     for addr in args.get_many::<SocketAddr>("daemon").into_iter().flatten() {
-        let asked = ask_daemon::<WorkspacesReport>(*addr, Method::GET, "/workspaces", Vec::new());
+        let asked = call_daemon::<WorkspacesReport>(*addr, Method::GET, "/workspaces", Vec::new());
         reports.push(smol::block_on(asked)?);
     }
     let mut rows: Vec<Vec<String>> = reports.iter().map(daemon_row).collect();
--- a/crates/sorrelturn-command/src/publication.rs
+++ b/crates/sorrelturn-command/src/publication.rs
@@ -64,7 +64,7 @@
     }
 
     /// Signs the sections of an earlier manifest as a new version.
-    pub fn sign_again(
+    pub fn sign_rollback(
         earlier: &Manifest,
         version: u64,
         note: &str,
--- a/crates/sorrelturn-command/src/remote.rs
+++ b/crates/sorrelturn-command/src/remote.rs
@@ -40,7 +40,7 @@
         .expect("clap requires the address")
 }
 
-pub(crate) async fn ask_daemon<T: DeserializeOwned>(
+pub(crate) async fn call_daemon<T: DeserializeOwned>(
     addr: SocketAddr,
     method: Method,
     path: &str,
--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -127,7 +127,7 @@
 
 /// Answers whether this daemon is ready for callers' requests.
 pub(crate) async fn ready(node: &Arc<Node>, _: Request<Incoming>) -> Response<Body> {
-    let stops = node.ending.has_begun();
+    let stops = node.shutdown.has_begun();
     let knows = node.in_force.load().is_some();
     status(if knows && !stops {
         StatusCode::OK
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -186,7 +186,7 @@
         Field::new("crash", format!("{:016x}", id.0)),
         Field::new("names", running.len()),
     ];
-    node.note(&events::BACKEND_CRASHED, fields);
+    node.record_event(&events::BACKEND_CRASHED, fields);
     let report = CrashReport {
         id,
         age_ms: 0,
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -147,7 +147,7 @@
         return;
     }
     routed.foreign_noted.set(now);
-    node.note(
+    node.record_event(
         &events::BACKEND_REPORT_REFUSED,
         vec![Field::new("reason", reason)],
     );
@@ -165,12 +165,12 @@
     let heard = lock(&routed.presence).receive(node.now(), news);
     match heard {
         PresenceChange::NowReady => {
-            node.note(&events::BACKEND_READY, fields);
+            node.record_event(&events::BACKEND_READY, fields);
             note_replaced(node, routed, before.as_ref());
             takes_work(node, routed);
         }
         PresenceChange::NowLeaving => {
-            node.note(&events::BACKEND_LEAVING, fields);
+            node.record_event(&events::BACKEND_LEAVING, fields);
             takes_no_work(node, routed);
         }
         PresenceChange::NoChange | PresenceChange::Outdated | PresenceChange::Unconfirmed => {}
@@ -191,7 +191,7 @@
     if lock(&routed.presence).record_answer_from(node.now(), id) {
         note_replaced(node, routed, before.as_ref());
         let fields = vec![Field::new("backend", id), Field::new("state", "answered")];
-        node.note(&events::BACKEND_READY, fields);
+        node.record_event(&events::BACKEND_READY, fields);
         takes_work(node, routed);
     }
 }
--- a/crates/sorrelturn-daemon/src/clock.rs
+++ b/crates/sorrelturn-daemon/src/clock.rs
@@ -16,12 +16,12 @@
 
 impl Clock {
     /// The system's clock, from now on.
-    pub fn of_system() -> Self {
-        Self::read_by(since_boot)
+    pub fn system() -> Self {
+        Self::from_source(since_boot)
     }
 
     /// A clock that is read like this, from now on.
-    pub fn read_by(read: fn() -> Duration) -> Self {
+    pub fn from_source(read: fn() -> Duration) -> Self {
         Self {
             read,
             start: read(),
@@ -34,7 +34,7 @@
     }
 
     /// What has passed since a point in time.
-    pub(crate) fn since(&self, then: Now) -> Duration {
+    pub(crate) fn elapsed_since(&self, then: Now) -> Duration {
         self.now().saturating_sub(then)
     }
 }
--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -42,7 +42,7 @@
     if version <= node.bundle_version() {
         return;
     }
-    let fetch = lock(&node.spread).version_announced(node.now(), version, source);
+    let fetch = lock(&node.bundle_tracker).version_announced(node.now(), version, source);
     if let Some(fetch) = fetch {
         let node = Arc::clone(node);
         let ex = Arc::clone(&node.ex);
@@ -59,7 +59,7 @@
                 FetchError::Refused(_) | FetchError::RoutesRefused(_) => &events::BUNDLE_REFUSED,
                 _ => &events::BUNDLE_FETCH_FAILED,
             };
-            node.note(
+            node.record_event(
                 kind,
                 vec![
                     Field::new("version", fetch.version),
@@ -67,7 +67,7 @@
                 ],
             );
         }
-        next = lock(&node.spread).fetch_finished(node.now(), &fetch);
+        next = lock(&node.bundle_tracker).fetch_finished(node.now(), &fetch);
     }
 }
 
@@ -107,7 +107,7 @@
         .ok_or(FetchError::Absent)?,
     };
     let manifest = signed.verify(&node.trusted).map_err(FetchError::Refused)?;
-    if manifest.version <= lock(&node.spread).in_force() {
+    if manifest.version <= lock(&node.bundle_tracker).in_force() {
         return Ok(());
     }
     let before = node.in_force.load_full();
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -94,7 +94,7 @@
         let crashes_differ = suspects.sum(self.node.now()) != digest.crashes;
         DigestReply {
             knowledge_age_ms,
-            version: lock(&self.node.spread).in_force(),
+            version: lock(&self.node.bundle_tracker).in_force(),
             members: differs.then_some(members),
             crashes: crashes_differ.then(|| suspects.news(self.node.now())),
         }
@@ -112,7 +112,7 @@
 
     async fn announce(self, _: context::Context, from: String, version: u64) -> u64 {
         fetch::heard_version(&self.node, version, sorrelturn_fleet::Source::Peer(from));
-        lock(&self.node.spread).in_force()
+        lock(&self.node.bundle_tracker).in_force()
     }
 
     async fn draw(self, _: context::Context, draw: AcquireRequest) -> AcquireReply {
@@ -160,7 +160,7 @@
     }
 
     async fn report(self, _: context::Context, report: Report) {
-        lock(&self.node.view).report(self.node.now(), report);
+        lock(&self.node.domain_view).report(self.node.now(), report);
     }
 
     async fn ping(self, _: context::Context) -> Incarnation {
@@ -186,7 +186,7 @@
     // Control messages come at any time, so it never rests.
     let _carries = conn.carries();
     let Ok(stream) = node.keys.accept(tcp).await else {
-        node.note(&events::BAD_PEER, vec![Field::new("port", "control")]);
+        node.record_event(&events::BAD_PEER, vec![Field::new("port", "control")]);
         return;
     };
     let channel = BaseChannel::with_defaults(transport(&node, stream));
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -53,7 +53,7 @@
 
 /// A daemon compared notes with this one, so this one is its neighbour.
 pub(crate) fn visited_by(node: &Node, instance: &str) {
-    let mut visitors = lock(&node.visitors);
+    let mut visitors = lock(&node.inbound_neighbours);
     if visitors.len() < MOST_VISITORS || visitors.contains_key(instance) {
         visitors.insert(instance.to_owned(), node.now());
     }
@@ -91,7 +91,7 @@
 fn targets(node: &Node) -> Vec<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
     refill(node, &mut neighbours);
-    let mut visitors = lock(&node.visitors);
+    let mut visitors = lock(&node.inbound_neighbours);
     visitors.retain(|_, seen| node.now().saturating_sub(*seen) < VISITOR_TIME);
     let membership = lock(&node.membership);
     neighbours
@@ -196,7 +196,7 @@
     let own = lock(&node.membership).digest();
     let digest = Digest {
         from: (**node.own_record.load()).clone(),
-        version: lock(&node.spread).in_force(),
+        version: lock(&node.bundle_tracker).in_force(),
         members: own.total(),
         crashes: node.suspects.sum(node.now()),
     };
@@ -235,7 +235,7 @@
         })
         .collect();
     for record in &records {
-        if node.outrank_earlier_run(record) {
+        if node.outrank_earlier_incarnation(record) {
             spread_own_record(node);
         }
     }
--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -32,7 +32,7 @@
             .iter()
             .all(|record| record.instance != node.settings.instance);
         for record in &records {
-            node.outrank_earlier_run(record);
+            node.outrank_earlier_incarnation(record);
             if record.instance == node.settings.instance {
                 state::heard_of_earlier_run(node, record.backend.as_ref());
             }
--- a/crates/sorrelturn-daemon/src/fleet/next_run.rs
+++ b/crates/sorrelturn-daemon/src/fleet/next_run.rs
@@ -93,5 +93,5 @@
         Field::new("member", &earlier.instance),
         Field::new("earlier", earlier.incarnation),
     ];
-    node.note(&events::NEXT_RUN_FOUND, fields);
+    node.record_event(&events::NEXT_RUN_FOUND, fields);
 }
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -177,7 +177,7 @@
         let question = AttemptStatusQuery {
             owner: attempt.owner,
             attempt: attempt.id,
-            sent_ms_ago: self.clock.since(sent).as_millis() as u32,
+            sent_ms_ago: self.clock.elapsed_since(sent).as_millis() as u32,
         };
         let mut req = Request::new(body::full(""));
         headers::set(req.headers_mut(), ATTEMPT_STATUS, &question.encode());
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -175,5 +175,5 @@
         Field::new("requests", requests.len()),
         Field::new("fingerprints", named.join(",")),
     ];
-    node.note(kind, fields);
+    node.record_event(kind, fields);
 }
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -62,7 +62,7 @@
             Timer::after(RANK_EVERY).await;
         }
         node.counts.watching.store(true, Ordering::Relaxed);
-        node.note(&events::WATCHER_STARTED, Vec::new());
+        node.record_event(&events::WATCHER_STARTED, Vec::new());
         let until_relieved = async {
             while is_due(&node).await {
                 Timer::after(RANK_EVERY).await;
@@ -70,7 +70,7 @@
         };
         watch_all(&node).or(until_relieved).await;
         node.counts.watching.store(false, Ordering::Relaxed);
-        node.note(&events::WATCHER_ENDED, Vec::new());
+        node.record_event(&events::WATCHER_ENDED, Vec::new());
     }
 }
 
@@ -176,9 +176,9 @@
 fn note_platform(node: &Node, lost: &mut bool, error: Option<&PlatformError>) {
     match (error, *lost) {
         (Some(error), false) => {
-            node.note(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
+            node.record_event(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
         }
-        (None, true) => node.note(&events::PLATFORM_BACK, Vec::new()),
+        (None, true) => node.record_event(&events::PLATFORM_BACK, Vec::new()),
         _ => {}
     }
     *lost = error.is_some();
@@ -210,7 +210,7 @@
                 silent();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
-                node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
+                node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
             }
         } else if let Ok(Some(object)) = node.platform.get(head_key(node)).await {
             if object.version > told.0.load(Ordering::Relaxed) {
@@ -232,7 +232,9 @@
     if node.settings.routes.is_some() {
         match fetch::take_routes(node, value) {
             Ok(()) => node.knowledge.took(object.version),
-            Err(error) => node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]),
+            Err(error) => {
+                node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", error)])
+            }
         }
         return;
     }
@@ -241,7 +243,7 @@
         .and_then(|signed| signed.verify(&node.trusted).ok());
     match manifest {
         Some(manifest) => fetch::heard_version(node, manifest.version, Source::Store),
-        None => node.note(
+        None => node.record_event(
             &events::BUNDLE_REFUSED,
             vec![Field::new(
                 "error",
@@ -285,7 +287,7 @@
         if advice.rejected_services != not_believed && !listed.is_empty() {
             for service in &advice.rejected_services {
                 let fields = vec![Field::new("service", service)];
-                node.note(&events::VM_LIST_NOT_BELIEVED, fields);
+                node.record_event(&events::VM_LIST_NOT_BELIEVED, fields);
             }
         }
         act_on(node, &advice).await;
@@ -314,7 +316,7 @@
         if node.now() >= since + SILENCE_OF_THE_GONE {
             silent_since.remove(&record.instance);
             let fields = vec![Field::new("member", &record.instance)];
-            node.note(&events::MEMBER_SWEPT, fields);
+            node.record_event(&events::MEMBER_SWEPT, fields);
             declare_gone(node, record).await;
         }
     }
@@ -373,7 +375,7 @@
         let silence = silence_timeout(node.domain_members());
         let status = {
             let membership = lock(&node.membership);
-            let mut view = lock(&node.view);
+            let mut view = lock(&node.domain_view);
             view.retain_members(|instance| {
                 membership
                     .get(instance)
--- a/crates/sorrelturn-daemon/src/lib.rs
+++ b/crates/sorrelturn-daemon/src/lib.rs
@@ -3,7 +3,6 @@
 mod backend;
 mod clock;
 mod config;
-mod ending;
 mod fleet;
 mod net;
 mod node;
@@ -11,6 +10,7 @@
 pub mod process;
 mod request;
 mod run;
+mod shutdown;
 mod store;
 
 pub use backend::report::{Deregistration, Heartbeat, read_deregistration, read_heartbeat};
--- a/crates/sorrelturn-daemon/src/net/pool.rs
+++ b/crates/sorrelturn-daemon/src/net/pool.rs
@@ -246,7 +246,7 @@
             let left = self
                 .heard
                 .overdue_after()
-                .saturating_sub(self.clock.since(since));
+                .saturating_sub(self.clock.elapsed_since(since));
             if !left.is_zero() {
                 timers.after(left).await;
                 continue;
@@ -324,7 +324,7 @@
     fn take_idle(&self) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         while let Some(last) = idle.pop_back() {
-            if self.clock.since(last.since) >= self.idle_time() {
+            if self.clock.elapsed_since(last.since) >= self.idle_time() {
                 idle.clear();
             } else if !last.conn.sender.is_closed() {
                 return Some(last.conn);
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -4,7 +4,7 @@
     backend::announce,
     net::connections::Connection,
     net::timers::Timers,
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     request::answer::Reply,
     request::body::{self, Body},
     request::entry,
@@ -96,7 +96,7 @@
                 if lacks_descriptors(&error) {
                     node.connections.end_resting(ENDED_FOR_ROOM);
                 }
-                node.note(&events::ACCEPT_FAILED, vec![Field::new("error", error)]);
+                node.record_event(&events::ACCEPT_FAILED, vec![Field::new("error", error)]);
                 Timer::after(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -271,7 +271,7 @@
     let stream = match node.keys.accept(tcp).or(too_late).await {
         Ok(stream) => stream,
         Err(error) => {
-            node.note(&events::BAD_PEER, vec![Field::new("error", error)]);
+            node.record_event(&events::BAD_PEER, vec![Field::new("error", error)]);
             return;
         }
     };
@@ -285,7 +285,7 @@
     if let Err(error) = result
         && error.is_parse()
     {
-        node.note(&events::BAD_PEER, vec![Field::new("error", error)]);
+        node.record_event(&events::BAD_PEER, vec![Field::new("error", error)]);
     }
 }
 
@@ -298,7 +298,7 @@
         if let Some(fate) = fate(node, req.headers()) {
             return fate;
         }
-        node.note(&events::BAD_PEER, vec![Field::new("error", "no context")]);
+        node.record_event(&events::BAD_PEER, vec![Field::new("error", "no context")]);
         return status(StatusCode::BAD_REQUEST);
     };
     headers::strip_internal(req.headers_mut());
@@ -372,9 +372,9 @@
 }
 
 fn bad_request(node: &Arc<Node>) -> Response<Body> {
-    node.note(&events::BAD_REQUEST, Vec::new());
+    node.record_event(&events::BAD_REQUEST, Vec::new());
     let request = sorrelturn_protocol::RequestId::random(&mut fastrand::Rng::new());
-    Reply::not_run(Refusal::Malformed).into_response(request, Carried::new(node))
+    Reply::not_run(Refusal::Malformed).into_response(request, ActiveRequest::new(node))
 }
 
 pub(crate) fn status(code: StatusCode) -> Response<Body> {
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -8,7 +8,6 @@
     config::in_force::{InForce, Origin, RetryTerms},
     config::knowledge::Knowledge,
     config::settings::Settings,
-    ending::Ending,
     fleet::control_client::ControlLinks,
     fleet::quota::Quota,
     fleet::routes::Routes,
@@ -19,6 +18,7 @@
     operators::metrics_page::MetricsPage,
     request::admission::Admission,
     request::parents::Parents,
+    shutdown::Shutdown,
     store::outcomes::SegmentVersions,
 };
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -79,13 +79,13 @@
     pub(crate) attempts: Mutex<AttemptRegister>,
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
-    pub(crate) spread: Mutex<BundleTracker>,
-    pub(crate) view: Mutex<DomainView>,
+    pub(crate) bundle_tracker: Mutex<BundleTracker>,
+    pub(crate) domain_view: Mutex<DomainView>,
     pub(crate) control_links: ControlLinks,
     pub(crate) neighbours: Mutex<VecDeque<String>>,
-    pub(crate) visitors: Mutex<HashMap<String, Now>>,
+    pub(crate) inbound_neighbours: Mutex<HashMap<String, Now>>,
     pub(crate) leaving: Mutex<Leaving>,
-    pub(crate) ending: Ending,
+    pub(crate) shutdown: Shutdown,
     pub(crate) own_record: ArcSwap<MemberRecord>,
     pub(crate) events: EventRing,
     pub(crate) spans: SpanBuffer,
@@ -99,13 +99,13 @@
 #[derive(Default)]
 pub(crate) struct Counts {
     /// Requests that this daemon carries in any role.
-    pub(crate) carried: AtomicUsize,
+    pub(crate) active_requests: AtomicUsize,
     /// Open connections of all listeners.
     pub(crate) connections: Arc<AtomicUsize>,
     /// Whether the backend server could not be reached last.
     pub(crate) backend_lost: AtomicBool,
     /// When this daemon reported to its watchers last.
-    pub(crate) reported: LastTime,
+    pub(crate) last_report: LastTime,
     /// Whether this daemon watches the platform.
     pub(crate) watching: AtomicBool,
     /// Bytes sent and received for control, for the budget of 3 KB a second.
@@ -134,7 +134,7 @@
 impl Counts {
     /// What the log says of them when the process stops.
     pub(crate) fn as_fields(&self) -> Vec<Field> {
-        let carried = self.carried.load(Ordering::Relaxed);
+        let carried = self.active_requests.load(Ordering::Relaxed);
         let connections = self.connections.load(Ordering::Relaxed);
         vec![
             Field::new("carried", carried),
@@ -144,22 +144,25 @@
 }
 
 /// Counts a request as carried while it lives.
-pub(crate) struct Carried {
+pub(crate) struct ActiveRequest {
     node: Arc<Node>,
 }
 
-impl Carried {
+impl ActiveRequest {
     pub(crate) fn new(node: &Arc<Node>) -> Self {
-        node.counts.carried.fetch_add(1, Ordering::Relaxed);
+        node.counts.active_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             node: Arc::clone(node),
         }
     }
 }
 
-impl Drop for Carried {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.node.counts.carried.fetch_sub(1, Ordering::Relaxed);
+        self.node
+            .counts
+            .active_requests
+            .fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -195,7 +198,7 @@
     }
 
     /// Notes an event that concerns no single request.
-    pub(crate) fn note(&self, kind: &'static EventKind, fields: Vec<Field>) {
+    pub(crate) fn record_event(&self, kind: &'static EventKind, fields: Vec<Field>) {
         self.events.record(kind, None, fields);
     }
 
@@ -217,8 +220,8 @@
     /// Puts a bundle in force if its version is higher; returns whether it was.
     pub(crate) fn put_in_force(&self, bundle: Bundle, origin: Origin) -> bool {
         let version = bundle.version;
-        let mut spread = lock(&self.spread);
-        if !spread.put_in_force(version) {
+        let mut tracker = lock(&self.bundle_tracker);
+        if !tracker.put_in_force(version) {
             return false;
         }
         let before = self.in_force.load();
@@ -238,8 +241,8 @@
         let retries = self.retry_terms();
         let in_force = InForce::new(bundle, origin, before.as_deref(), now, retries);
         self.in_force.store(Some(Arc::new(in_force)));
-        drop(spread);
-        self.note(
+        drop(tracker);
+        self.record_event(
             &events::BUNDLE_IN_FORCE,
             vec![Field::new("version", version)],
         );
@@ -261,14 +264,14 @@
     }
 
     /// Notes whether the backend server could be reached; one that is back starts cold.
-    pub(crate) fn backend_reached(&self, reached: bool) {
+    pub(crate) fn record_backend_reachability(&self, reached: bool) {
         let was_lost = self.counts.backend_lost.swap(!reached, Ordering::Relaxed);
         match (was_lost, reached) {
-            (false, false) => self.note(&events::BACKEND_LOST, Vec::new()),
+            (false, false) => self.record_event(&events::BACKEND_LOST, Vec::new()),
             (true, true) => {
                 self.admission
                     .with_gate(|gate, now| gate.backend_restarted(now));
-                self.note(&events::BACKEND_BACK, Vec::new());
+                self.record_event(&events::BACKEND_BACK, Vec::new());
             }
             _ => {}
         }
@@ -277,7 +280,7 @@
     /// Takes a record of a member; returns whether it was news.
     pub(crate) fn merge_member(&self, record: MemberRecord) -> bool {
         if record.instance == self.settings.instance {
-            return self.hear_of_self(&record);
+            return self.merge_own_record(&record);
         }
         let kind = match record.state {
             MemberState::Live => &events::MEMBER_JOINED,
@@ -294,14 +297,14 @@
         }
         self.rebuild_routes(&membership);
         drop(membership);
-        self.note(kind, fields);
+        self.record_event(kind, fields);
         true
     }
 
     /// Somebody has a record of this instance. Returns whether the own record changed.
-    fn hear_of_self(&self, record: &MemberRecord) -> bool {
+    fn merge_own_record(&self, record: &MemberRecord) -> bool {
         if record.incarnation != self.incarnation {
-            return self.outrank_earlier_run(record);
+            return self.outrank_earlier_incarnation(record);
         }
         let own = self.own_record.load();
         if !record.supersedes(&own) {
@@ -315,7 +318,7 @@
     /// An earlier run of this instance may look newer, if the clock was set back meanwhile. While
     /// this run is young, it puts its start behind the earlier one's; later it is the one that was
     /// replaced. Returns whether the own record changed.
-    pub(crate) fn outrank_earlier_run(&self, other: &MemberRecord) -> bool {
+    pub(crate) fn outrank_earlier_incarnation(&self, other: &MemberRecord) -> bool {
         let own = self.own_record.load();
         let is_earlier_run = other.instance == own.instance && other.incarnation != own.incarnation;
         // One that has said that it is gone has a later run, which it would outrank.
@@ -387,7 +390,7 @@
             return false;
         }
         self.set_own_state(MemberState::Leaving);
-        self.note(
+        self.record_event(
             &events::LEAVING,
             vec![Field::new("cause", format!("{cause:?}").to_lowercase())],
         );
@@ -400,7 +403,7 @@
             return false;
         }
         self.set_own_state(MemberState::Live);
-        self.note(&events::STAYING, Vec::new());
+        self.record_event(&events::STAYING, Vec::new());
         true
     }
 }
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -24,7 +24,7 @@
 /// A bundle that an operator brings after it was accepted, for the case that the platform fails
 /// right then.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct BroughtBundle {
+pub(crate) struct OperatorBundle {
     manifest: SignedManifest,
     sections: Vec<SectionBytes>,
 }
@@ -61,7 +61,7 @@
         .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
     StatusReport {
         record: (**node.own_record.load()).clone(),
-        bundle_version: lock(&node.spread).in_force(),
+        bundle_version: lock(&node.bundle_tracker).in_force(),
         in_flight,
         waiting,
         limit,
@@ -75,7 +75,7 @@
 fn reload_keys(node: &Node) -> Response<Body> {
     match node.keys.reload() {
         Ok(()) => {
-            node.note(&events::KEYS_ROTATED, Vec::new());
+            node.record_event(&events::KEYS_ROTATED, Vec::new());
             status(StatusCode::NO_CONTENT)
         }
         Err(error) => {
@@ -93,7 +93,7 @@
     else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    let Ok(brought) = serde_json::from_slice::<BroughtBundle>(&body.to_bytes()) else {
+    let Ok(brought) = serde_json::from_slice::<OperatorBundle>(&body.to_bytes()) else {
         return status(StatusCode::BAD_REQUEST);
     };
     let sections = brought
@@ -108,7 +108,7 @@
     match taken {
         Ok(()) => json(&report(node)),
         Err(error) => {
-            node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", &error)]);
+            node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", &error)]);
             let mut res = Response::new(body::full(format!("{error}\n")));
             *res.status_mut() = StatusCode::FORBIDDEN;
             res
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -59,7 +59,7 @@
 }
 
 /// Notes a duration.
-pub(crate) fn time<'t>(
+pub(crate) fn record_duration<'t>(
     node: &'t Node,
     metric: &'t Metric,
     took: Duration,
@@ -72,10 +72,10 @@
 }
 
 /// A request that began here has its answer; its importance is `none` where that wasn't found out.
-pub(crate) fn request_done(node: &Node, importance: &str, verdict: Verdict, took: Duration) {
+pub(crate) fn record_request(node: &Node, importance: &str, verdict: Verdict, took: Duration) {
     let tags = [("importance", importance), ("verdict", verdict.name())];
     count(node, &metrics::REQUESTS, &tags);
-    time(node, &metrics::HOP_TIME, took, &tags[..1]);
+    record_duration(node, &metrics::HOP_TIME, took, &tags[..1]);
 }
 
 fn send<'t, T: cadence::Metric + From<String>>(
@@ -107,7 +107,7 @@
         && before != limit
     {
         let fields = vec![Field::new("before", before), Field::new("now", limit)];
-        node.note(&events::LIMIT_CHANGED, fields);
+        node.record_event(&events::LIMIT_CHANGED, fields);
     }
 }
 
@@ -128,7 +128,7 @@
             Field::new("limit", limit),
             Field::new("threshold", threshold.0),
         ];
-        node.note(&events::UNDER_LOAD, fields);
+        node.record_event(&events::UNDER_LOAD, fields);
     }
 }
 
@@ -141,7 +141,7 @@
         .with_gate(|gate, now| (gate.in_flight(), gate.waiting(), gate.steady_limit(now)));
     let members = lock(&node.membership).present().count();
     let tokens = lock(&node.ledger).unexpired_count();
-    let version = lock(&node.spread).in_force();
+    let version = lock(&node.bundle_tracker).in_force();
     for (metric, value) in [
         (&metrics::IN_FLIGHT, u64::from(in_flight)),
         (&metrics::WAITING, waiting as u64),
--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -1,7 +1,7 @@
 //! What comes back from a call, and how it is told to peers and to callers.
 
 use crate::{
-    node::Carried,
+    node::ActiveRequest,
     request::body::{self, Body},
     request::headers,
 };
@@ -73,7 +73,11 @@
 
     /// The answer to a caller or to a backend server that made a nested call; it counts as carried
     /// until its last byte is on its way.
-    pub(crate) fn into_response(self, request: RequestId, carried: Carried) -> Response<Body> {
+    pub(crate) fn into_response(
+        self,
+        request: RequestId,
+        active_request: ActiveRequest,
+    ) -> Response<Body> {
         let mut res = match self.res {
             Some(res) => {
                 let mut res = *res;
@@ -85,7 +89,7 @@
         let headers = res.headers_mut();
         headers::set(headers, VERDICT, self.context.verdict.name());
         headers::set(headers, REQUEST_ID, &request.to_string());
-        res.map(|body| body::watched(body, move |_| drop(carried)))
+        res.map(|body| body::watched(body, move |_| drop(active_request)))
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::in_force::InForce,
-    node::{Carried, Node},
+    node::{ActiveRequest, Node},
     operators::export,
     request::answer::Reply,
     request::body::{self, Body},
@@ -50,7 +50,7 @@
     caller_ip: IpAddr,
     req: Request<Incoming>,
 ) -> Response<Body> {
-    let carried = Carried::new(node);
+    let active_request = ActiveRequest::new(node);
     let request = RequestId::random(&mut fastrand::Rng::new());
     let started = node.now();
     let may_be_repeat = may_be_repeat(node, &req);
@@ -63,13 +63,13 @@
         Err(reply) if may_be_repeat => ("none", unknown_here(reply)),
         Err(reply) => ("none", reply),
     };
-    export::request_done(
+    export::record_request(
         node,
         importance,
         reply.context.verdict,
         node.now() - started,
     );
-    reply.into_response(request, carried)
+    reply.into_response(request, active_request)
 }
 
 /// Whether this may repeat an at-most-once request that ran already: only its owner knows.
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -65,7 +65,7 @@
 ) -> Result<Reply, Failure> {
     let too_late = async {
         let deadline = node.timers.at(call.deadline);
-        deadline.or(node.ending.over()).await;
+        deadline.or(node.shutdown.answers_due()).await;
         Err(Failure::TooLate)
     };
     if route.record.incarnation == node.incarnation {
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -121,7 +121,7 @@
 fn ends_before(node: &Node, call: &Call) -> bool {
     let probably = call.kind.target.unwrap_or(TIME_WITHOUT_TARGET);
     let answered = call.deadline.min(node.now() + probably);
-    call.context.token.is_none() && node.ending.bound(answered) < answered
+    call.context.token.is_none() && node.shutdown.cap_deadline(answered) < answered
 }
 
 /// For how long a request is kept from backend servers since it crashes them, if it is. Only its owner knows what
@@ -163,7 +163,7 @@
     let was_silent = matches!(result, Err(Failure::NeverCame | Failure::AnswerLost));
     if on_its_way.finish(report(&result)) {
         route.link.forget();
-        node.note(
+        node.record_event(
             &events::EJECTED,
             vec![Field::new("member", &route.record.instance)],
         );
@@ -285,7 +285,7 @@
 
 fn request(node: &Node, call: &mut Call, progress: &mut Progress) -> Option<Request<Body>> {
     let body = call.payload.take()?;
-    let deadline = node.ending.bound(call.deadline);
+    let deadline = node.shutdown.cap_deadline(call.deadline);
     let left = deadline.saturating_sub(node.now());
     call.context.deadline_ms = left.as_millis().min(u128::from(u32::MAX)) as u32;
     call.context.attempts = share_of_try(call, progress);
@@ -343,7 +343,7 @@
     kind_state: &KindState,
     reply: &Reply,
 ) -> bool {
-    let deadline = node.ending.bound(call.deadline);
+    let deadline = node.shutdown.cap_deadline(call.deadline);
     let left = deadline.saturating_sub(node.now());
     let time_left = left >= LEAST_TIME_FOR_ANOTHER_TRY;
     if call.context.token.is_some() {
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -8,7 +8,7 @@
     config::in_force::InForce,
     fleet::{gossip, suspects},
     net::pool::{Lease, SendError},
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     operators::export,
     request::admission::Slot,
     request::answer::Reply,
@@ -54,7 +54,7 @@
     pub(crate) deadline: Now,
     pub(crate) started_ns: u64,
     pub(crate) started: Now,
-    pub(crate) _carried: Carried,
+    pub(crate) _active_request: ActiveRequest,
     /// The sender's id of this attempt, if kinds are determined by routes.
     pub(crate) attempt_id: Option<HeaderValue>,
 }
@@ -146,12 +146,12 @@
         let exchange = async { Some(sent.await) };
         let timeout = async {
             let deadline = node.timers.at(self.deadline + DEADLINE_GRACE);
-            deadline.or(node.ending.over()).await;
+            deadline.or(node.shutdown.answers_due()).await;
             None
         };
         match exchange.or(timeout).await {
             Some(Ok(answered)) => {
-                node.backend_reached(true);
+                node.record_backend_reachability(true);
                 self.handle_response(slot, guard, answered, in_progress)
             }
             Some(Err(SendError::Full)) => {
@@ -162,7 +162,7 @@
             }
             Some(Err(SendError::NotSent)) => {
                 in_progress.ended();
-                node.backend_reached(false);
+                node.record_backend_reachability(false);
                 slot.release(Outcome::Failed);
                 let share = self.context.attempts;
                 refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), share)
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -125,7 +125,7 @@
     }
     routed.noted_unknown.set(now);
     let credential = presented.map_or_else(|| "none".to_owned(), CredentialHash::short);
-    node.note(
+    node.record_event(
         &events::CREDENTIAL_UNKNOWN,
         vec![Field::new("credential", credential)],
     );
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::in_force::InForce,
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     request::answer::Reply,
     request::body::Body,
     request::entry,
@@ -27,7 +27,7 @@
 
 /// Handles one call from this daemon's backend server.
 pub(crate) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
-    let carried = Carried::new(node);
+    let active_request = ActiveRequest::new(node);
     let parent = find_parent(node, &req);
     let request = parent.as_ref().map_or_else(
         || RequestId::random(&mut fastrand::Rng::new()),
@@ -45,7 +45,7 @@
         }
         None => answer(node, None, request, req).await,
     };
-    reply.into_response(request, carried)
+    reply.into_response(request, active_request)
 }
 
 fn find_parent(node: &Node, req: &Request<Incoming>) -> Option<Arc<Parent>> {
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -3,7 +3,7 @@
 use crate::{
     backend::state::Routed,
     clock::unix_ns,
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     request::answer::Reply,
     request::body::Body,
     request::headers,
@@ -52,7 +52,7 @@
 
 /// Waits until this incarnation of the daemon shuts down, then refuses a request that can't be forwarded any more.
 pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
-    node.ending.over().await;
+    node.shutdown.answers_due().await;
     Reply::not_run(Refusal::Leaving).come_back(retry_after(node))
 }
 
@@ -86,10 +86,10 @@
         context.depth = u8::from(is_call(node, routed, &context.kind));
     }
     let deadline = node.now() + Duration::from_millis(context.deadline_ms.into());
-    let deadline = node.ending.bound(deadline);
+    let deadline = node.shutdown.cap_deadline(deadline);
     let hop = Hop {
         span: SpanId::random(&mut fastrand::Rng::new()),
-        _carried: Carried::new(node),
+        _active_request: ActiveRequest::new(node),
         node: Arc::clone(node),
         in_force,
         kind,
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -6,7 +6,7 @@
     config::in_force::{InForce, KindState},
     fleet::quota,
     net::serve::ambiguous,
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     operators::export,
     request::answer::Reply,
     request::body::{self, Body},
@@ -69,7 +69,7 @@
     let Some(routed) = &node.routed else {
         return crate::net::serve::status(StatusCode::NOT_FOUND);
     };
-    let carried = Carried::new(node);
+    let active_request = ActiveRequest::new(node);
     let arrived_at = node.now();
     let id = req.headers().get(&routed.dialect.headers.request_id);
     let id = id.cloned();
@@ -94,13 +94,13 @@
     if reply.context.refusal != Some(Refusal::UnknownCaller) {
         record_request_done(node, request, kind.as_deref(), arrived_at, &reply);
     }
-    export::request_done(
+    export::record_request(
         node,
         importance,
         reply.context.verdict,
         node.now() - arrived_at,
     );
-    into_response(routed, id, reply, carried)
+    into_response(routed, id, reply, active_request)
 }
 
 /// The id for events: the caller's id if it is a hexadecimal number, else its hash.
@@ -340,7 +340,7 @@
     routed: &Routed,
     id: Option<HeaderValue>,
     reply: Reply,
-    carried: Carried,
+    active_request: ActiveRequest,
 ) -> Response<Body> {
     let context = reply.context;
     let res = match reply.res {
@@ -360,7 +360,7 @@
             res
         }
     };
-    res.map(|body| body::watched(body, move |_| drop(carried)))
+    res.map(|body| body::watched(body, move |_| drop(active_request)))
 }
 
 fn refusal_status(refusal: Refusal, verdict: Verdict) -> StatusCode {
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -8,7 +8,6 @@
     clock::{Clock, unix_ms},
     config::knowledge::Knowledge,
     config::settings::{ListenSettings, RouteSettings, Settings},
-    ending::Ending,
     fleet::control_client::ControlLinks,
     fleet::gossip,
     fleet::join,
@@ -27,6 +26,7 @@
     request::admission::Admission,
     request::dialect::Dialect,
     request::parents::Parents,
+    shutdown::Shutdown,
     store::{member_record, outcomes, quarantine},
 };
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -125,11 +125,11 @@
         dialect: Dialect,
         ex: Arc<Executor<'static>>,
     ) -> impl Future<Output = Result<Self, StartError>> {
-        Self::start_by_clock(settings, dialect, ex, Clock::of_system())
+        Self::start_with_clock(settings, dialect, ex, Clock::system())
     }
 
     /// As [`Daemon::start`], by another clock.
-    pub async fn start_by_clock(
+    pub async fn start_with_clock(
         settings: Settings,
         dialect: Dialect,
         ex: Arc<Executor<'static>>,
@@ -137,8 +137,8 @@
     ) -> Result<Self, StartError> {
         let listeners = Listeners::bind(&settings)?;
         let addresses = listeners.addresses(&settings)?;
-        let (ending, answering) = Ending::new();
-        let node = Arc::new(node(settings, dialect, ex, clock, &addresses, ending)?);
+        let (shutdown, answering) = Shutdown::new();
+        let node = Arc::new(node(settings, dialect, ex, clock, &addresses, shutdown)?);
         if node.routed.is_some() {
             // Until the backend server was announced or answered, it takes no work.
             node.start_leaving(LeavingCause::Backend);
@@ -155,7 +155,7 @@
         };
         join::join(&daemon.node).await;
         daemon.spawn_tasks();
-        daemon.node.note(
+        daemon.node.record_event(
             &events::STARTED,
             vec![Field::new("incarnation", daemon.node.incarnation)],
         );
@@ -163,7 +163,7 @@
     }
 
     /// How many members it knows, itself among them, and whether it has a bundle.
-    pub fn knows(&self) -> (usize, bool) {
+    pub fn discovery_state(&self) -> (usize, bool) {
         let members = lock(&self.node.membership).present().count();
         (members, self.node.in_force.load().is_some())
     }
@@ -195,9 +195,9 @@
             Ok(settings) => {
                 let changed = settings != node.settings;
                 let fields = vec![Field::new("changed", changed)];
-                node.note(&events::SETTINGS_RELOADED, fields);
+                node.record_event(&events::SETTINGS_RELOADED, fields);
             }
-            Err(error) => node.note(
+            Err(error) => node.record_event(
                 &events::SETTINGS_REFUSED,
                 vec![Field::new("error", error.replace('\n', " "))],
             ),
@@ -211,9 +211,9 @@
         let node = &self.node;
         let last = node.now() + Duration::from_millis(node.settings.stop.most_ms);
         let answers_by = last.saturating_sub(LAST_ANSWERS_BEFORE);
-        node.ending.answers_by(answers_by);
+        node.shutdown.set_answer_deadline(answers_by);
         let linger = Duration::from_millis(node.settings.stop.linger_ms);
-        node.note(&events::STOPPING, node.counts.as_fields());
+        node.record_event(&events::STOPPING, node.counts.as_fields());
         // Its backend server goes on meanwhile: other daemons use it as long as they can.
         Timer::after(linger.saturating_sub(LEAVES_BEFORE)).await;
         let leave = || {
@@ -234,13 +234,13 @@
             drop(self.closing_entries);
             most
         };
-        let carried = || node.counts.carried.load(Ordering::Relaxed);
+        let carried = || node.counts.active_requests.load(Ordering::Relaxed);
         while !lock(&node.leaving).may_exit(node.now(), carried(), most) {
             Timer::after(STOP_STEP).await;
         }
         // What is asked for from now on is refused, and whoever still waits has its final answer,
         // while there is somebody to give them.
-        node.ending.answers_by(node.now());
+        node.shutdown.set_answer_deadline(node.now());
         drop(self.answering);
         // A process that is late gives them all the same: whoever kills it waits a little longer.
         let until = node.now() + LAST_ANSWERS_TIME;
@@ -260,7 +260,7 @@
             Timer::after(STOP_STEP).await;
         }
         let whole = carried() == 0;
-        node.note(
+        node.record_event(
             if whole {
                 &events::STOPPED
             } else {
@@ -295,7 +295,7 @@
     ex: Arc<Executor<'static>>,
     clock: Clock,
     addresses: &ListenSettings,
-    ending: Ending,
+    shutdown: Shutdown,
 ) -> Result<Node, StartError> {
     let (timers, woken) = Timers::new(clock);
     ex.spawn(timers.clone().run(woken)).detach();
@@ -357,13 +357,13 @@
         attempts: Mutex::default(),
         segment_versions: AsyncMutex::default(),
         membership: Mutex::new(Membership::default()),
-        spread: Mutex::new(BundleTracker::default()),
-        view: Mutex::new(DomainView::default()),
+        bundle_tracker: Mutex::new(BundleTracker::default()),
+        domain_view: Mutex::new(DomainView::default()),
         control_links: ControlLinks::default(),
         neighbours: Mutex::default(),
-        visitors: Mutex::default(),
+        inbound_neighbours: Mutex::default(),
         leaving: Mutex::new(Leaving::default()),
-        ending,
+        shutdown,
         own_record: ArcSwap::from_pointee(record),
         events: EventRing::new(&settings.instance, settings.events.kept),
         spans: SpanBuffer::new(spans),
@@ -396,7 +396,7 @@
         node.admission.with_gate(|gate, _| gate.report_lag(paused));
         if paused >= PAUSE {
             let fields = vec![Field::new("paused_ms", paused.as_millis())];
-            node.note(&events::PAUSE_NOTICED, fields);
+            node.record_event(&events::PAUSE_NOTICED, fields);
             gossip::spread_own_record(&node);
         }
     }
--- a/crates/sorrelturn-daemon/src/ending.rs
+++ b/crates/sorrelturn-daemon/src/shutdown.rs
@@ -15,47 +15,47 @@
 /// What is passed on ends so long before the final answers, so that the answer of whoever stops
 /// work at its deadline still arrives: a few hops of milliseconds each, on a busy machine.
 const ANSWER_TRAVELS: Duration = Duration::from_millis(100);
-/// The value of [`Ending::answers_by_ms`] while the daemon wasn't told to stop.
+/// The value of [`Shutdown::answer_deadline_ms`] while the daemon wasn't told to stop.
 const NOT_STOPPING: u64 = u64::MAX;
 
 /// When all requests have to be answered, once the daemon was told to stop.
-pub(crate) struct Ending {
-    answers_by_ms: AtomicU64,
+pub(crate) struct Shutdown {
+    answer_deadline_ms: AtomicU64,
     ended: Receiver<()>,
 }
 
-impl Ending {
+impl Shutdown {
     /// A run whose end isn't known yet; requests are over when the sender is dropped.
     pub(crate) fn new() -> (Self, Sender<()>) {
         let (sender, ended) = channel::bounded(1);
-        let ending = Self {
-            answers_by_ms: AtomicU64::new(NOT_STOPPING),
+        let shutdown = Self {
+            answer_deadline_ms: AtomicU64::new(NOT_STOPPING),
             ended,
         };
-        (ending, sender)
+        (shutdown, sender)
     }
 
     /// The daemon was told to stop and gives the last answers at `time`, or earlier if that was said before.
-    pub(crate) fn answers_by(&self, time: Now) {
+    pub(crate) fn set_answer_deadline(&self, time: Now) {
         let ms = time.as_millis() as u64;
-        self.answers_by_ms.fetch_min(ms, Ordering::Relaxed);
+        self.answer_deadline_ms.fetch_min(ms, Ordering::Relaxed);
     }
 
     /// Whether the daemon was told to stop.
     pub(crate) fn has_begun(&self) -> bool {
-        self.answers_by_ms.load(Ordering::Relaxed) != NOT_STOPPING
+        self.answer_deadline_ms.load(Ordering::Relaxed) != NOT_STOPPING
     }
 
     /// The deadline of what is passed on: the request's own, or the end of the run.
-    pub(crate) fn bound(&self, deadline: Now) -> Now {
-        match self.answers_by_ms.load(Ordering::Relaxed) {
+    pub(crate) fn cap_deadline(&self, deadline: Now) -> Now {
+        match self.answer_deadline_ms.load(Ordering::Relaxed) {
             NOT_STOPPING => deadline,
             ms => deadline.min(Duration::from_millis(ms).saturating_sub(ANSWER_TRAVELS)),
         }
     }
 
     /// Waits until every request needs its final answer.
-    pub(crate) async fn over(&self) {
+    pub(crate) async fn answers_due(&self) {
         let _ = self.ended.recv().await;
     }
 }
--- a/crates/sorrelturn-daemon/src/store/member_record.rs
+++ b/crates/sorrelturn-daemon/src/store/member_record.rs
@@ -22,7 +22,7 @@
     record
         .map_err(|error| {
             let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
-            node.note(&events::RECORD_UNREADABLE, fields);
+            node.record_event(&events::RECORD_UNREADABLE, fields);
         })
         .ok()
 }
@@ -85,5 +85,5 @@
         Field::new("state", format!("{:?}", record.state).to_lowercase()),
         Field::new("error", error),
     ];
-    node.note(&events::RECORD_UNSAVED, fields);
+    node.record_event(&events::RECORD_UNSAVED, fields);
 }
--- a/crates/sorrelturn-daemon/src/store/mod.rs
+++ b/crates/sorrelturn-daemon/src/store/mod.rs
@@ -15,6 +15,6 @@
             Field::new("key", prefix),
             Field::new("left_out", changes.left_out),
         ];
-        node.note(&events::RECORD_UNREADABLE, fields);
+        node.record_event(&events::RECORD_UNREADABLE, fields);
     }
 }
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -83,7 +83,7 @@
     for segment in unsaved {
         if let Err(error) = write(node, versions, &segment).await {
             lock(&node.ledger).mark_unsaved(segment.number);
-            node.note(&events::OUTCOMES_UNSAVED, vec![Field::new("error", error)]);
+            node.record_event(&events::OUTCOMES_UNSAVED, vec![Field::new("error", error)]);
             saved = false;
         }
     }
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -36,7 +36,7 @@
     let mut pause = AGAIN_AFTER;
     while let Err(error) = node.platform.put(&key, &value, Expected::Anything).await {
         let fields = vec![Field::new("key", &key), Field::new("error", error)];
-        node.note(&events::QUARANTINE_UNSAVED, fields);
+        node.record_event(&events::QUARANTINE_UNSAVED, fields);
         Timer::after(pause).await;
         pause = (pause * 2).min(AGAIN_AFTER_MOST);
     }
@@ -80,7 +80,7 @@
     record
         .map_err(|error| {
             let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
-            node.note(&events::RECORD_UNREADABLE, fields);
+            node.record_event(&events::RECORD_UNREADABLE, fields);
         })
         .ok()
 }
@@ -89,6 +89,6 @@
     if let Err(error) = node.platform.delete(&object.key).await {
         // Whoever reads it next removes it.
         let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
-        node.note(&events::QUARANTINE_UNSAVED, fields);
+        node.record_event(&events::QUARANTINE_UNSAVED, fields);
     }
 }
