--- a/crates/sorrelturn-daemon/src/bin/sorrelturnd.rs
+++ b/crates/sorrelturn-daemon/src/bin/sorrelturnd.rs
@@ -1,4 +1,4 @@
-//! The daemon with the project's own interface.
+//! The daemon with the project's own header names and dialect.
 
 use sorrelturn_daemon::{Dialect, process};
 use std::process::ExitCode;
--- a/crates/sorrelturn-daemon/src/clock.rs
+++ b/crates/sorrelturn-daemon/src/clock.rs
@@ -1,13 +1,14 @@
-//! The clocks: one for every decision, one of the wall for people.
+//! A monotonic clock for decisions, and the wall clock for timestamps.
 
 use nix::time::{ClockId, clock_gettime};
 use sorrelturn_policy::Now;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The time since the process started; never goes back, and goes on while the process is paused or its VM suspended.
+/// A monotonic clock that starts with the process and includes the time while the process is paused or its VM is
+/// suspended.
 ///
-/// The runtime's timers and [`std::time::Instant`] stand still while a VM is suspended. What others do goes on
-/// meanwhile: they give up, close connections, and forget. So nothing that is compared with what others know is measured by them.
+/// The runtime's timers and [`std::time::Instant`] stop while a VM is suspended, but other daemons continue: their
+/// timeouts and leases expire. Every duration that depends on other daemons is therefore measured by this clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     read: fn() -> Duration,
@@ -15,12 +16,12 @@
 }
 
 impl Clock {
-    /// The system's clock, from now on.
+    /// Creates a clock that starts now and reads the time since boot.
     pub fn system() -> Self {
         Self::from_source(since_boot)
     }
 
-    /// A clock that is read like this, from now on.
+    /// Creates a clock that starts now and reads its time with `read`.
     pub fn from_source(read: fn() -> Duration) -> Self {
         Self {
             read,
@@ -28,20 +29,20 @@
         }
     }
 
-    /// What has passed since the start.
+    /// Returns the time since this clock was created.
     pub fn now(&self) -> Now {
         (self.read)().saturating_sub(self.start)
     }
 
-    /// What has passed since a point in time.
+    /// Returns the time since `then`, or zero if `then` is in the future.
     pub(crate) fn elapsed_since(&self, then: Now) -> Duration {
         self.now().saturating_sub(then)
     }
 }
 
-/// What has passed since the VM started, the time that it was suspended included.
+/// Returns the time since the VM booted, including the time while it was suspended.
 pub fn since_boot() -> Duration {
-    // It fails for a clock that the kernel doesn't have, and every kernel since 2.6.39 has this one.
+    // Fails only if the kernel lacks this clock; Linux has had it since 2.6.39.
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or(Duration::ZERO, Duration::from)
 }
 
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a daemon share.
+//! The state that all tasks of a daemon share.
 
 use crate::{
     backend::crash::Crashes,
@@ -40,16 +40,16 @@
     time::Duration,
 };
 
-/// A run of a daemon is young for so long.
-const YOUNG_TIME: Duration = Duration::from_secs(30);
+/// How long after its start an incarnation may still outrank a record of an earlier one.
+const OUTRANK_PERIOD: Duration = Duration::from_secs(30);
 
-/// The part of the allowed slack of retries that is used: all daemons may start anew within a window, and
-/// remember nothing of what they took of it.
-const RETRY_SLACK_USED: f64 = 0.5;
-/// At the start few members are known; the slack is shared as if there were so many.
-const LEAST_SHARERS: usize = 12;
+/// The fraction of the configured retry slack that daemons use. Daemons that restart within a window lose their counts
+/// and may use their share again.
+const RETRY_SLACK_FRACTION: f64 = 0.5;
+/// The minimum number of members for dividing the retry slack, since few are known after a start.
+const MIN_SLACK_SHARERS: usize = 12;
 
-/// Everything that the tasks of one daemon share.
+/// The shared state of one daemon.
 pub(crate) struct Node {
     pub(crate) ex: Arc<Executor<'static>>,
     pub(crate) clock: Clock,
@@ -60,22 +60,22 @@
     pub(crate) keys: FleetKeys,
     pub(crate) platform: Platform,
     pub(crate) backend: Backend,
-    /// What broke off at the backend server.
+    /// Connections that broke at the backend server.
     pub(crate) crashes: Crashes,
-    /// Requests that may crash backend servers.
+    /// Requests suspected of crashing backend servers.
     pub(crate) suspects: Suspects,
-    /// Present where kinds are told by routes and the backend server announces itself.
+    /// Present if routes determine the kinds of requests and the backend server announces itself.
     pub(crate) routed: Option<Routed>,
     pub(crate) admission: Arc<Admission>,
     pub(crate) parents: Arc<Parents>,
     pub(crate) in_force: ArcSwapOption<InForce>,
-    /// How old the knowledge of the route table is.
+    /// The staleness of the route table.
     pub(crate) knowledge: Knowledge,
-    /// Quotas of workspaces.
+    /// The quotas of workspaces.
     pub(crate) quota: Quota,
     pub(crate) routes: ArcSwap<Routes>,
     pub(crate) ledger: Mutex<Ledger>,
-    /// The attempts of other daemons here.
+    /// Attempts that other daemons sent here.
     pub(crate) attempts: Mutex<AttemptRegister>,
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
@@ -95,24 +95,24 @@
     pub(crate) counts: Counts,
 }
 
-/// Numbers of the moment, for the planned stop and for operators.
+/// Counters and flags for the shutdown and for operators.
 #[derive(Default)]
 pub(crate) struct Counts {
-    /// Requests that this daemon carries in any role.
+    /// Requests that this daemon handles now, in any role.
     pub(crate) active_requests: AtomicUsize,
-    /// Open connections of all listeners.
+    /// Open connections over all listeners.
     pub(crate) connections: Arc<AtomicUsize>,
-    /// Whether the backend server could not be reached last.
+    /// Whether the last attempt to reach the backend server failed.
     pub(crate) backend_lost: AtomicBool,
-    /// When this daemon reported to its watchers last.
+    /// When this daemon last reported to its watchers.
     pub(crate) last_report: LastTime,
-    /// Whether this daemon watches the platform.
+    /// Whether this daemon watches the platform for its failure domain.
     pub(crate) watching: AtomicBool,
-    /// Bytes sent and received for control, for the budget of 3 KB a second.
+    /// Bytes of control messages, sent and received.
     pub(crate) control_bytes: AtomicU64,
 }
 
-/// A point in time that tasks share; before it is set, it lies infinitely long ago.
+/// The shared time of the last occurrence of something; infinitely long ago until it is set.
 #[derive(Default)]
 pub(crate) struct LastTime(Mutex<Option<Now>>);
 
@@ -121,7 +121,7 @@
         *lock(&self.0) = Some(now);
     }
 
-    /// Whether it was set at `since` or later.
+    /// Whether the last occurrence was at `since` or later.
     pub(crate) fn is_after(&self, since: Now) -> bool {
         lock(&self.0).is_some_and(|last| last >= since)
     }
@@ -132,18 +132,18 @@
 }
 
 impl Counts {
-    /// What the log says of them when the process stops.
+    /// Returns the fields that events about stopping have.
     pub(crate) fn as_fields(&self) -> Vec<Field> {
-        let carried = self.active_requests.load(Ordering::Relaxed);
+        let active_requests = self.active_requests.load(Ordering::Relaxed);
         let connections = self.connections.load(Ordering::Relaxed);
         vec![
-            Field::new("carried", carried),
+            Field::new("carried", active_requests),
             Field::new("connections", connections),
         ]
     }
 }
 
-/// Counts a request as carried while it lives.
+/// Counts a request as active until it is dropped.
 pub(crate) struct ActiveRequest {
     node: Arc<Node>,
 }
@@ -166,14 +166,13 @@
     }
 }
 
-/// Locks a mutex; what another thread left behind when it panicked is still whole, because every
-/// critical section here is one step.
+/// Locks a mutex and ignores poisoning: every critical section is a single step, so a panic leaves no partial change.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Node {
-    /// Whether anybody gets the metrics.
+    /// Whether metrics are collected.
     pub(crate) fn has_metrics(&self) -> bool {
         self.settings.metrics.is_some() || self.routed.is_some()
     }
@@ -182,7 +181,7 @@
         self.clock.now()
     }
 
-    /// How many members the own failure domain has.
+    /// Returns the number of members in this daemon's failure domain.
     pub(crate) fn domain_members(&self) -> usize {
         let own = &self.settings.failure_domain;
         let membership = lock(&self.membership);
@@ -192,17 +191,17 @@
             .count()
     }
 
-    /// Whether this daemon refuses new calls.
+    /// Whether this daemon is leaving and refuses new calls.
     pub(crate) fn is_leaving(&self) -> bool {
         self.own_record.load().state != MemberState::Live
     }
 
-    /// Notes an event that concerns no single request.
+    /// Records an event that isn't about a single request.
     pub(crate) fn record_event(&self, kind: &'static EventKind, fields: Vec<Field>) {
         self.events.record(kind, None, fields);
     }
 
-    /// The version of the bundle in force; 0 before the first.
+    /// Returns the version of the bundle in force, or 0 before the first one.
     pub(crate) fn bundle_version(&self) -> u64 {
         let in_force = self.in_force.load();
         in_force
@@ -210,14 +209,15 @@
             .map_or(0, |in_force| in_force.bundle.version)
     }
 
-    /// How old the knowledge of the bundle is, in milliseconds, where credentials hang on it.
+    /// Returns the staleness of the bundle in milliseconds, or `None` if the bundle has no workspaces and so no
+    /// credentials.
     pub(crate) fn knowledge_age_ms(&self) -> Option<u32> {
         let in_force = self.in_force.load();
         let has_workspaces = in_force.as_ref()?.bundle.has_workspaces();
         has_workspaces.then(|| self.knowledge.age_ms(self.now()))?
     }
 
-    /// Puts a bundle in force if its version is higher; returns whether it was.
+    /// Puts a bundle in force if its version is higher than the current one. Returns whether it did.
     pub(crate) fn put_in_force(&self, bundle: Bundle, origin: Origin) -> bool {
         let version = bundle.version;
         let mut tracker = lock(&self.bundle_tracker);
@@ -249,8 +249,7 @@
         true
     }
 
-    /// This daemon's share of the retries that all daemons may make, so that they need no talk
-    /// about it.
+    /// Returns this daemon's share of the retries that all daemons may make together. It needs no coordination.
     fn retry_terms(&self) -> RetryTerms {
         let Some(routes) = &self.settings.routes else {
             return RetryTerms::default();
@@ -258,12 +257,13 @@
         let members = lock(&self.membership).present().count();
         RetryTerms {
             ratio: routes.retry_ratio,
-            slack: routes.retry_slack * RETRY_SLACK_USED / members.max(LEAST_SHARERS) as f64,
+            slack: routes.retry_slack * RETRY_SLACK_FRACTION
+                / members.max(MIN_SLACK_SHARERS) as f64,
             window: Duration::from_secs_f64(routes.retry_window_s),
         }
     }
 
-    /// Notes whether the backend server could be reached; one that is back starts cold.
+    /// Records whether the backend server could be reached. One that is reachable again gets a cold start.
     pub(crate) fn record_backend_reachability(&self, reached: bool) {
         let was_lost = self.counts.backend_lost.swap(!reached, Ordering::Relaxed);
         match (was_lost, reached) {
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Takes a record of a member; returns whether it was news.
+    /// Merges the record of a member. Returns whether it changed anything.
     pub(crate) fn merge_member(&self, record: MemberRecord) -> bool {
         if record.instance == self.settings.instance {
             return self.merge_own_record(&record);
@@ -301,7 +301,7 @@
         true
     }
 
-    /// Somebody has a record of this instance. Returns whether the own record changed.
+    /// Merges a record of this instance that a peer has. Returns whether the own record changed.
     fn merge_own_record(&self, record: &MemberRecord) -> bool {
         if record.incarnation != self.incarnation {
             return self.outrank_earlier_incarnation(record);
@@ -310,43 +310,48 @@
         if !record.supersedes(&own) {
             return false;
         }
-        // Taken for gone while it couldn't be reached: what it says itself holds.
+        // Peers declared this daemon gone while it was unreachable; its own state takes precedence.
         self.change_own_record(|own| own.sequence = record.sequence);
         true
     }
 
-    /// An earlier run of this instance may look newer, if the clock was set back meanwhile. While
-    /// this run is young, it puts its start behind the earlier one's; later it is the one that was
-    /// replaced. Returns whether the own record changed.
+    /// Moves the start time of this incarnation after that of an earlier one, which looks newer if the wall clock was set
+    /// back. Does so only within [`OUTRANK_PERIOD`]; after that, the other incarnation is assumed to be the newer one.
+    /// Returns whether the own record changed.
     pub(crate) fn outrank_earlier_incarnation(&self, other: &MemberRecord) -> bool {
         let own = self.own_record.load();
-        let is_earlier_run = other.instance == own.instance && other.incarnation != own.incarnation;
-        // One that has said that it is gone has a later run, which it would outrank.
-        let is_over = own.state == MemberState::Gone;
-        if is_over || !is_earlier_run || !other.supersedes(&own) || self.now() >= YOUNG_TIME {
+        let is_other_incarnation =
+            other.instance == own.instance && other.incarnation != own.incarnation;
+        // After it announced that it is gone, it would outrank its own successor.
+        let is_gone = own.state == MemberState::Gone;
+        if is_gone
+            || !is_other_incarnation
+            || !other.supersedes(&own)
+            || self.now() >= OUTRANK_PERIOD
+        {
             return false;
         }
-        let mut later = (**own).clone();
-        later.started_ms = other.started_ms + 1;
-        self.own_record.store(Arc::new(later));
+        let mut own_record = (**own).clone();
+        own_record.started_ms = other.started_ms + 1;
+        self.own_record.store(Arc::new(own_record));
         self.set_own_state(own.state);
         true
     }
 
-    /// Takes many records with one rebuild of the routes; returns those that were news.
+    /// Merges many records with one rebuild of the routes. Returns those that changed anything.
     pub(crate) fn merge_members(&self, records: Vec<MemberRecord>) -> Vec<MemberRecord> {
         let mut membership = lock(&self.membership);
         let now = self.now();
         let own = &self.settings.instance;
-        let news: Vec<MemberRecord> = records
+        let updates: Vec<MemberRecord> = records
             .into_iter()
             .filter(|record| record.instance != *own)
             .filter(|record| membership.merge(now, record.clone()))
             .collect();
-        if !news.is_empty() {
+        if !updates.is_empty() {
             self.rebuild_routes(&membership);
         }
-        news
+        updates
     }
 
     fn rebuild_routes(&self, membership: &Membership) {
@@ -363,12 +368,12 @@
         self.routes.store(Arc::new(routes));
     }
 
-    /// Changes the own record's state; peers hear of it from the gossip task.
+    /// Changes the state in the own record. The gossip task sends it to peers.
     pub(crate) fn set_own_state(&self, state: MemberState) -> MemberRecord {
         self.change_own_record(|record| record.state = state)
     }
 
-    /// Changes what the own record says of the backend server.
+    /// Changes the announcement of the backend server in the own record.
     pub(crate) fn set_own_backend(&self, backend: Option<Announcement>) -> MemberRecord {
         self.change_own_record(|record| record.backend = backend)
     }
@@ -384,7 +389,7 @@
         record
     }
 
-    /// Starts leaving; returns whether this is news, which [`crate::fleet::gossip::leave`] spreads.
+    /// Starts leaving. Returns whether the state changed; [`crate::fleet::gossip::leave`] sends it to peers.
     pub(crate) fn start_leaving(&self, cause: LeavingCause) -> bool {
         if !lock(&self.leaving).leave(self.now(), cause) {
             return false;
@@ -397,7 +402,7 @@
         true
     }
 
-    /// Takes a reason for leaving back; returns whether this is news.
+    /// Revokes a cause for leaving. Returns whether the daemon no longer leaves.
     pub(crate) fn stop_leaving(&self, cause: LeavingCause) -> bool {
         if !lock(&self.leaving).revoke(cause) {
             return false;
@@ -408,7 +413,7 @@
     }
 }
 
-/// What the bundle says about the own backend server.
+/// Returns the gate's configuration for this daemon's backend server from the bundle.
 fn gate_config(service: &Service) -> GateConfig {
     GateConfig {
         slots: service.slots,
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a daemon: plain HTTP with JSON.
+//! The admin API of a daemon: plain HTTP with JSON.
 
 use crate::{
     config::fetch,
@@ -18,11 +18,10 @@
 use sorrelturn_telemetry::{Field, events};
 use std::sync::{Arc, atomic::Ordering};
 
-/// The largest bundle that an operator can bring, in bytes.
-const BUNDLE_LIMIT_BYTES: usize = 64 << 20;
+/// The maximum size of a bundle that an operator uploads.
+const MAX_BUNDLE_BYTES: usize = 64 << 20;
 
-/// A bundle that an operator brings after it was accepted, for the case that the platform fails
-/// right then.
+/// An accepted bundle that an operator uploads directly, in case the platform fails right after accepting it.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct OperatorBundle {
     manifest: SignedManifest,
@@ -45,7 +44,7 @@
             json(&report(node))
         }
         (&Method::POST, "/keys/reload") => reload_keys(node),
-        (&Method::PUT, "/bundle") => take_bundle(node, req).await,
+        (&Method::PUT, "/bundle") => accept_bundle(node, req).await,
         (&Method::GET, path) => match path.strip_prefix("/explain/").map(str::parse) {
             Some(Ok(request)) => json(&explain::explain(node, request).await),
             Some(Err(_)) => status(StatusCode::BAD_REQUEST),
@@ -86,26 +85,26 @@
     }
 }
 
-async fn take_bundle(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
-    let Ok(body) = Limited::new(req.into_body(), BUNDLE_LIMIT_BYTES)
+async fn accept_bundle(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
+    let Ok(body) = Limited::new(req.into_body(), MAX_BUNDLE_BYTES)
         .collect()
         .await
     else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    let Ok(brought) = serde_json::from_slice::<OperatorBundle>(&body.to_bytes()) else {
+    let Ok(uploaded) = serde_json::from_slice::<OperatorBundle>(&body.to_bytes()) else {
         return status(StatusCode::BAD_REQUEST);
     };
-    let sections = brought
+    let sections = uploaded
         .sections
         .into_iter()
         .map(|section| (ContentHash::of(&section.bytes), section))
         .collect();
-    let taken = brought
+    let accepted = uploaded
         .manifest
         .verify(&node.trusted)
-        .and_then(|manifest| fetch::take(node, brought.manifest, &manifest, &sections));
-    match taken {
+        .and_then(|manifest| fetch::take(node, uploaded.manifest, &manifest, &sections));
+    match accepted {
         Ok(()) => json(&report(node)),
         Err(error) => {
             node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", &error)]);
--- a/crates/sorrelturn-daemon/src/operators/explain.rs
+++ b/crates/sorrelturn-daemon/src/operators/explain.rs
@@ -1,4 +1,4 @@
-//! What happened to a request, gathered over its hops.
+//! Collects the events of a request from the daemons that it passed.
 
 use crate::{
     fleet::control_client as control,
@@ -8,12 +8,12 @@
 use sorrelturn_telemetry::EventRecord;
 use std::sync::Arc;
 
-/// How many hops an explanation follows.
-const EXPLAIN_DEPTH: u8 = 16;
+/// The maximum number of forwarding hops that an explanation follows.
+const MAX_EXPLAIN_HOPS: u8 = 16;
 
-/// What happened to a request, here and at the daemons that it was forwarded to.
+/// Returns the events of a request from this daemon and those that it was forwarded to, sorted by time.
 pub(crate) async fn explain(node: &Arc<Node>, request: RequestId) -> Vec<EventRecord> {
-    explain_from(node, request, EXPLAIN_DEPTH).await
+    explain_from(node, request, MAX_EXPLAIN_HOPS).await
 }
 
 pub(crate) async fn explain_from(
@@ -22,30 +22,30 @@
     hops_left: u8,
 ) -> Vec<EventRecord> {
     let mut records = node.events.request_events(request);
-    let mut next: Vec<String> = records
+    let mut next_instances: Vec<String> = records
         .iter()
         .filter_map(|record| record.field("to"))
         .filter(|instance| *instance != node.settings.instance)
         .map(str::to_owned)
         .collect();
-    next.sort();
-    next.dedup();
+    next_instances.sort();
+    next_instances.dedup();
     if hops_left == 0 {
         return records;
     }
-    for instance in next {
+    for instance in next_instances {
         let Some(record) = lock(&node.membership).get(&instance).cloned() else {
             continue;
         };
-        let further = control::call(node, &record, |client, cx| async move {
+        let remote_records = control::call(node, &record, |client, cx| async move {
             client.explain(cx, request.to_string(), hops_left - 1).await
         });
-        if let Ok(further) = further.await {
-            let unseen = further
+        if let Ok(remote_records) = remote_records.await {
+            let new_records = remote_records
                 .into_iter()
                 .filter(|record| !records.contains(record))
                 .collect::<Vec<_>>();
-            records.extend(unseen);
+            records.extend(new_records);
         }
     }
     records.sort_by_key(|record| record.at_ms);
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -1,4 +1,4 @@
-//! Metrics and spans on their way out.
+//! Exports metrics to StatsD and spans to the trace collector.
 
 use crate::{
     node::{Node, lock},
@@ -25,32 +25,35 @@
 };
 
 /// The prefix of every metric.
-const PREFIX: &str = "sorrelturn";
+const METRIC_PREFIX: &str = "sorrelturn";
 /// How often gauges and spans are sent.
-const SEND_EVERY: Duration = Duration::from_secs(1);
-/// The longest time for sending spans.
-const SEND_TIME: Duration = Duration::from_secs(2);
-/// Metrics that wait to be sent; more are dropped, so that they never hold a request up.
-const METRIC_QUEUE: usize = 4_096;
+const EXPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The timeout for sending spans to the collector.
+const SPAN_EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The number of queued metrics above which new ones are dropped, so that a request never waits for StatsD.
+const METRIC_QUEUE_CAPACITY: usize = 4_096;
 
-/// A client for metrics: they go to the page, and to a receiver of StatsD where there is one.
+/// Creates a client that records metrics on the page and sends them to `statsd` if that is set.
 pub(crate) fn client(
     statsd: Option<SocketAddr>,
     page: &Arc<MetricsPage>,
 ) -> io::Result<StatsdClient> {
-    let statsd = statsd.map(queue).transpose()?;
+    let statsd = statsd.map(statsd_sink).transpose()?;
     let page = Arc::clone(page);
-    Ok(StatsdClient::from_sink(PREFIX, PageSink { page, statsd }))
+    Ok(StatsdClient::from_sink(
+        METRIC_PREFIX,
+        PageSink { page, statsd },
+    ))
 }
 
-fn queue(addr: SocketAddr) -> io::Result<QueuingMetricSink> {
+fn statsd_sink(addr: SocketAddr) -> io::Result<QueuingMetricSink> {
     let socket = UdpSocket::bind("0.0.0.0:0")?;
     socket.set_nonblocking(true)?;
     let udp = UdpMetricSink::from(addr, socket).map_err(io::Error::other)?;
-    Ok(QueuingMetricSink::with_capacity(udp, METRIC_QUEUE))
+    Ok(QueuingMetricSink::with_capacity(udp, METRIC_QUEUE_CAPACITY))
 }
 
-/// Counts one.
+/// Increments a counter by one.
 pub(crate) fn count<'t>(node: &'t Node, metric: &'t Metric, tags: &[(&'t str, &'t str)]) {
     if node.has_metrics() {
         let builder = node.metrics.count_with_tags(metric.name, 1);
@@ -58,7 +61,7 @@
     }
 }
 
-/// Notes a duration.
+/// Records a duration in a histogram.
 pub(crate) fn record_duration<'t>(
     node: &'t Node,
     metric: &'t Metric,
@@ -71,7 +74,7 @@
     }
 }
 
-/// A request that began here has its answer; its importance is `none` where that wasn't found out.
+/// Records the metrics of a request that entered here and was answered. `importance` is `none` if it isn't known.
 pub(crate) fn record_request(node: &Node, importance: &str, verdict: Verdict, took: Duration) {
     let tags = [("importance", importance), ("verdict", verdict.name())];
     count(node, &metrics::REQUESTS, &tags);
@@ -89,19 +92,19 @@
         .send();
 }
 
-/// Sends gauges and spans every second.
+/// Exports gauges and spans, and records events about the limit and the load, every second.
 pub(crate) async fn run(node: Arc<Node>) {
     let mut last_limit = None;
     loop {
-        Timer::after(SEND_EVERY).await;
-        note_limit(&node, &mut last_limit);
-        note_load(&node);
-        gauges(&node);
-        spans(&node).await;
+        Timer::after(EXPORT_INTERVAL).await;
+        record_limit_change(&node, &mut last_limit);
+        record_load(&node);
+        send_gauges(&node);
+        export_spans(&node).await;
     }
 }
 
-fn note_limit(node: &Node, last: &mut Option<u32>) {
+fn record_limit_change(node: &Node, last: &mut Option<u32>) {
     let limit = node.admission.with_gate(|gate, now| gate.steady_limit(now));
     if let Some(before) = last.replace(limit)
         && before != limit
@@ -111,7 +114,7 @@
     }
 }
 
-fn note_load(node: &Node) {
+fn record_load(node: &Node) {
     let (in_flight, waiting, limit, threshold) = node.admission.with_gate(|gate, now| {
         let threshold = gate.threshold(now);
         (
@@ -132,7 +135,7 @@
     }
 }
 
-fn gauges(node: &Node) {
+fn send_gauges(node: &Node) {
     if !node.has_metrics() {
         return;
     }
@@ -163,7 +166,7 @@
     }
 }
 
-async fn spans(node: &Node) {
+async fn export_spans(node: &Node) {
     let Some(trace) = node.settings.trace else {
         return;
     };
@@ -176,6 +179,6 @@
         .header(CONTENT_TYPE, "application/json")
         .body(Bytes::from(body));
     if let Ok(req) = req {
-        let _ = exchange(trace.collector, req, SEND_TIME).await;
+        let _ = exchange(trace.collector, req, SPAN_EXPORT_TIMEOUT).await;
     }
 }
--- a/crates/sorrelturn-daemon/src/operators/log_sink.rs
+++ b/crates/sorrelturn-daemon/src/operators/log_sink.rs
@@ -1,7 +1,7 @@
-//! The log: lines to standard output that never hold a request up.
+//! Writes the log to standard output without blocking requests.
 //!
-//! Lines go into a bounded buffer; a thread of its own writes it out a few times a second. Where the
-//! reader of standard output is slow, lines are dropped and the next flush says how many.
+//! Lines go into a bounded buffer, which a separate thread writes out at an interval. If the reader of standard output
+//! is slow, lines are dropped and the next flush logs their count.
 
 use crate::node::lock;
 use env_logger::{Builder, Env, Target, WriteStyle};
@@ -13,35 +13,35 @@
     time::Duration,
 };
 
-/// The most that waits to be written, in bytes: more than a second of the busiest daemon.
-const BUF_LIMIT_BYTES: usize = 1 << 20;
-/// What a buffer keeps of its memory between two flushes: a flush of a daemon under ordinary load.
-const KEPT_BYTES: usize = 64 << 10;
-/// How often the buffer is written out. Each time costs a wake-up and a system call.
-const FLUSH_EVERY: Duration = Duration::from_millis(250);
+/// The capacity of the buffer; lines beyond it are dropped.
+const BUF_CAPACITY_BYTES: usize = 1 << 20;
+/// The capacity that a buffer retains between two flushes.
+const RETAINED_BUF_BYTES: usize = 64 << 10;
+/// How often the buffer is written out.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Default)]
-struct Waiting {
+struct LogBuffer {
     buf: Vec<u8>,
-    /// The buffer before it, empty, so that it needn't grow anew.
+    /// The empty buffer of the previous flush, reused to save an allocation.
     spare: Vec<u8>,
     dropped: u64,
 }
 
-fn waiting() -> MutexGuard<'static, Waiting> {
-    static WAITING: OnceLock<Mutex<Waiting>> = OnceLock::new();
-    lock(WAITING.get_or_init(Mutex::default))
+fn log_buffer() -> MutexGuard<'static, LogBuffer> {
+    static LOG_BUFFER: OnceLock<Mutex<LogBuffer>> = OnceLock::new();
+    lock(LOG_BUFFER.get_or_init(Mutex::default))
 }
 
 struct Sink;
 
 impl Write for Sink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = waiting();
-        if waiting.buf.len() + line.len() > BUF_LIMIT_BYTES {
-            waiting.dropped += 1;
+        let mut log_buffer = log_buffer();
+        if log_buffer.buf.len() + line.len() > BUF_CAPACITY_BYTES {
+            log_buffer.dropped += 1;
         } else {
-            waiting.buf.extend_from_slice(line);
+            log_buffer.buf.extend_from_slice(line);
         }
         Ok(line.len())
     }
@@ -51,38 +51,38 @@
     }
 }
 
-/// Starts the log of this process.
+/// Initializes the logger and starts the flush thread.
 pub(crate) fn start() {
     Builder::from_env(Env::default().default_filter_or("sorrelturn=info"))
         .target(Target::Pipe(Box::new(Sink)))
-        // Else each line is searched for colours to be taken out.
+        // Any other style scans each line for escape sequences to remove.
         .write_style(WriteStyle::Always)
         .format(|buf, record| writeln!(buf, "{:<5} {}", record.level(), record.args()))
         .init();
     thread::spawn(|| {
         loop {
-            thread::sleep(FLUSH_EVERY);
+            thread::sleep(FLUSH_INTERVAL);
             flush();
         }
     });
 }
 
-/// Writes out what waits.
+/// Writes the buffered lines to standard output.
 pub(crate) fn flush() {
     let (mut buf, dropped) = {
-        let mut waiting = waiting();
-        let spare = mem::take(&mut waiting.spare);
-        let buf = mem::replace(&mut waiting.buf, spare);
-        (buf, mem::take(&mut waiting.dropped))
+        let mut log_buffer = log_buffer();
+        let spare = mem::take(&mut log_buffer.spare);
+        let buf = mem::replace(&mut log_buffer.buf, spare);
+        (buf, mem::take(&mut log_buffer.dropped))
     };
     let mut out = io::stdout().lock();
-    // Nobody is left to tell if standard output is gone.
+    // Errors can't be reported if standard output is closed.
     let _ = out.write_all(&buf);
     if dropped > 0 {
         let _ = writeln!(out, "WARN  log lines dropped={dropped} reason=slow-reader");
     }
     let _ = out.flush();
     buf.clear();
-    buf.shrink_to(KEPT_BYTES);
-    waiting().spare = buf;
+    buf.shrink_to(RETAINED_BUF_BYTES);
+    log_buffer().spare = buf;
 }
--- a/crates/sorrelturn-daemon/src/operators/metrics_page.rs
+++ b/crates/sorrelturn-daemon/src/operators/metrics_page.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms as text, for whoever fetches them from the admin listener.
+//! Metrics as text, for the admin listener.
 
 use crate::node::lock;
 use cadence::{MetricSink, QueuingMetricSink};
@@ -9,9 +9,8 @@
     sync::{Arc, Mutex},
 };
 
-/// The upper bounds of a histogram's buckets, in milliseconds; they cover the targets and deadlines
-/// of requests, 250 ms to 6 s, and a hop's own time.
-const BOUNDS_MS: [u64; 13] = [
+/// The upper bounds of a histogram's buckets; they cover a hop's own time and the deadlines of requests.
+const BUCKET_BOUNDS_MS: [u64; 13] = [
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000,
 ];
 
@@ -22,13 +21,13 @@
     Histogram { counts: [u64; 14], sum_ms: u64 },
 }
 
-/// All metrics by name and tags.
+/// The values of all metrics by name and tags.
 #[derive(Debug, Default)]
 pub(crate) struct MetricsPage {
     values: Mutex<BTreeMap<String, Value>>,
 }
 
-/// Takes metrics for the page, and passes them on to a receiver of StatsD where there is one.
+/// Records metrics for the page and forwards them to a StatsD server if one is configured.
 pub(crate) struct PageSink {
     pub(crate) page: Arc<MetricsPage>,
     pub(crate) statsd: Option<QueuingMetricSink>,
@@ -36,7 +35,7 @@
 
 impl MetricSink for PageSink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        self.page.take(metric);
+        self.page.record(metric);
         match &self.statsd {
             Some(statsd) => statsd.emit(metric),
             None => Ok(metric.len()),
@@ -45,9 +44,8 @@
 }
 
 impl MetricsPage {
-    /// Takes one line of StatsD, as in `name:1|c|#tag:value`; a line of another form is no metric
-    /// of this program and is passed over.
-    fn take(&self, metric: &str) {
+    /// Records a metric in StatsD format, such as `name:1|c|#tag:value`. Ignores lines in another format.
+    fn record(&self, metric: &str) {
         let Some((name, rest)) = metric.split_once(':') else {
             return;
         };
@@ -61,19 +59,19 @@
         let tags = parts.next().unwrap_or_default().trim_start_matches('#');
         let mut values = lock(&self.values);
         let key = format!("{name}{{{tags}}}");
-        let value = values.entry(key).or_insert_with(|| fresh(kind));
+        let value = values.entry(key).or_insert_with(|| empty_value(kind));
         match value {
             Value::Counter(sum) => *sum += number,
             Value::Gauge(last) => *last = number,
             Value::Histogram { counts, sum_ms } => {
-                let bucket = BOUNDS_MS.iter().position(|bound| number <= *bound);
-                counts[bucket.unwrap_or(BOUNDS_MS.len())] += 1;
+                let bucket = BUCKET_BOUNDS_MS.iter().position(|bound| number <= *bound);
+                counts[bucket.unwrap_or(BUCKET_BOUNDS_MS.len())] += 1;
                 *sum_ms += number;
             }
         }
     }
 
-    /// The page's text: a line a counter or gauge, a line a bucket of a histogram.
+    /// Returns the page: one line per counter, gauge and histogram bucket.
     pub(crate) fn text(&self) -> String {
         let values = lock(&self.values).clone();
         let mut text = String::new();
@@ -82,15 +80,17 @@
                 Value::Counter(number) | Value::Gauge(number) => {
                     writeln!(text, "{key} {number}")
                 }
-                Value::Histogram { counts, sum_ms } => histogram(&mut text, key, counts, *sum_ms),
+                Value::Histogram { counts, sum_ms } => {
+                    write_histogram(&mut text, key, counts, *sum_ms)
+                }
             };
-            debug_assert!(written.is_ok(), "a string takes every text");
+            debug_assert!(written.is_ok(), "writing to a string can't fail");
         }
         text
     }
 }
 
-fn fresh(kind: &str) -> Value {
+fn empty_value(kind: &str) -> Value {
     match kind {
         "c" => Value::Counter(0),
         "g" => Value::Gauge(0),
@@ -101,13 +101,18 @@
     }
 }
 
-fn histogram(text: &mut String, key: &str, counts: &[u64; 14], sum_ms: u64) -> std::fmt::Result {
-    let mut upto = 0;
-    for (bound, count) in BOUNDS_MS.iter().zip(counts) {
-        upto += count;
-        writeln!(text, "{key} le_ms={bound} {upto}")?;
+fn write_histogram(
+    text: &mut String,
+    key: &str,
+    counts: &[u64; 14],
+    sum_ms: u64,
+) -> std::fmt::Result {
+    let mut cumulative = 0;
+    for (bound, count) in BUCKET_BOUNDS_MS.iter().zip(counts) {
+        cumulative += count;
+        writeln!(text, "{key} le_ms={bound} {cumulative}")?;
     }
-    let all: u64 = counts.iter().sum();
-    writeln!(text, "{key} count {all}")?;
+    let total: u64 = counts.iter().sum();
+    writeln!(text, "{key} count {total}")?;
     writeln!(text, "{key} sum_ms {sum_ms}")
 }
--- a/crates/sorrelturn-daemon/src/operators/mod.rs
+++ b/crates/sorrelturn-daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: status, events, metrics, the log.
+//! The interfaces for operators: admin API, status, metrics, traces and the log.
 
 pub(crate) mod admin;
 pub(crate) mod explain;
--- a/crates/sorrelturn-daemon/src/operators/status.rs
+++ b/crates/sorrelturn-daemon/src/operators/status.rs
@@ -1,24 +1,24 @@
-//! What a daemon tells operators about itself.
+//! The status report of a daemon.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::MemberRecord;
 
-/// What a daemon says about itself to operators.
+/// The status of a daemon, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// Its own record.
+    /// The daemon's own member record.
     pub record: MemberRecord,
     /// The version of the bundle in force.
     pub bundle_version: u64,
-    /// Calls at the backend server.
+    /// Calls in progress at the backend server.
     pub in_flight: u32,
-    /// Calls that wait for a slot.
+    /// Calls queued for a slot.
     pub waiting: usize,
-    /// The concurrency limit now.
+    /// The current concurrency limit.
     pub limit: u32,
-    /// Members that haven't gone, as known here.
+    /// Known members that aren't gone.
     pub members: usize,
-    /// Bytes of control messages, both ways, since the start.
+    /// Bytes of control messages sent and received since the start.
     pub control_bytes: u64,
     /// Calls to the platform since the start.
     pub platform_calls: u64,
--- a/crates/sorrelturn-daemon/src/operators/workspaces.rs
+++ b/crates/sorrelturn-daemon/src/operators/workspaces.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells operators about workspaces and their quotas.
+//! The report on workspaces and their quotas.
 
 use crate::node::{Node, lock};
 use serde::{Deserialize, Serialize};
@@ -6,50 +6,54 @@
 use sorrelturn_protocol::CallerId;
 use std::{collections::BTreeMap, sync::Mutex};
 
-/// The most workspaces that are counted; of others only their limits are shown.
-const MOST_COUNTED: usize = 20_000;
+/// The maximum number of workspaces with counts; the report shows only the limits of others.
+const MAX_COUNTED_WORKSPACES: usize = 20_000;
 
-/// What one daemon knows of workspaces.
+/// The workspaces and quotas as one daemon sees them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspacesReport {
     /// The daemon's instance.
     pub instance: String,
-    /// How old its knowledge of the route table is, in milliseconds; absent before the first read.
+    /// The staleness of its route table in milliseconds; absent before the first read.
     pub knowledge_age_ms: Option<u32>,
-    /// The part of its shares of all quotas that it lends to accountants now, 0 to 1.
+    /// The fraction of its quota shares that it currently leases to allocators, 0 to 1.
     pub part_lent: f64,
-    /// The workspaces by name.
+    /// The usage of each workspace by name.
     pub workspaces: BTreeMap<String, WorkspaceUsage>,
 }
 
-/// What one daemon saw of one workspace since it started.
+/// The limits of a workspace, and its requests at one daemon since the daemon started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceUsage {
-    /// The limit in requests a second, summed over all daemons; absent where there is none.
+    /// The limit in requests per second over all daemons; absent if there is none.
     pub rate_per_second: Option<f64>,
-    /// What may run on top of that at once.
+    /// The number of requests allowed at once beyond the rate; absent if there is no limit.
     pub burst: Option<f64>,
-    /// Requests that took one of the quota at this entry.
+    /// Requests admitted at this entry, each of which used one unit of the quota.
     pub let_in: u64,
-    /// Requests that were refused at this entry since the quota was used up.
+    /// Requests refused at this entry because the quota was used up.
     pub over_quota: u64,
-    /// Requests that were refused at this entry since nobody could say what is left.
+    /// Requests refused at this entry because the remaining quota was unknown.
     pub undecided: u64,
 }
 
-/// Counts of workspaces at one entry.
+/// The counts of all workspaces at one entry.
 #[derive(Default)]
 pub(crate) struct WorkspaceCounts(Mutex<BTreeMap<CallerId, WorkspaceUsage>>);
 
 impl WorkspaceCounts {
-    pub(crate) fn count(&self, workspace: &WorkspaceEntry, add: impl FnOnce(&mut WorkspaceUsage)) {
+    pub(crate) fn count(
+        &self,
+        workspace: &WorkspaceEntry,
+        update: impl FnOnce(&mut WorkspaceUsage),
+    ) {
         let mut counts = lock(&self.0);
-        if counts.len() < MOST_COUNTED || counts.contains_key(&workspace.id) {
-            add(counts.entry(workspace.id).or_default());
+        if counts.len() < MAX_COUNTED_WORKSPACES || counts.contains_key(&workspace.id) {
+            update(counts.entry(workspace.id).or_default());
         }
     }
 
-    fn of(&self, workspace: &WorkspaceEntry) -> WorkspaceUsage {
+    fn usage(&self, workspace: &WorkspaceEntry) -> WorkspaceUsage {
         let counted = lock(&self.0).get(&workspace.id).copied();
         WorkspaceUsage {
             rate_per_second: workspace.quota.map(|quota| quota.rate),
@@ -64,7 +68,7 @@
     let workspaces = in_force
         .iter()
         .flat_map(|in_force| in_force.bundle.workspaces())
-        .map(|workspace| (workspace.name.clone(), node.quota.counts.of(workspace)))
+        .map(|workspace| (workspace.name.clone(), node.quota.counts.usage(workspace)))
         .collect();
     WorkspacesReport {
         instance: node.settings.instance.clone(),
--- a/crates/sorrelturn-daemon/src/process.rs
+++ b/crates/sorrelturn-daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process: reads its settings, runs, and stops on SIGTERM or SIGINT.
+//! The daemon process: reads its settings, runs, checks them again on SIGHUP and stops on SIGTERM or SIGINT.
 
 use crate::{Daemon, Dialect, Settings, operators::log_sink};
 use async_signal::{Signal, Signals};
@@ -6,32 +6,32 @@
 use smol::{Executor, channel, stream::StreamExt};
 use std::{path::PathBuf, process::ExitCode, sync::Arc, thread};
 
-/// The settings can't be used.
-const EXIT_SETTINGS: u8 = 2;
-/// The daemon could not start.
-const EXIT_START: u8 = 3;
-/// The planned stop had to cut something off.
-const EXIT_CUT: u8 = 4;
-/// Names the settings file where the command line doesn't.
+/// The settings are invalid.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// The daemon failed to start.
+const EXIT_START_FAILED: u8 = 3;
+/// The daemon stopped, but requests were still in progress.
+const EXIT_REQUESTS_CUT_OFF: u8 = 4;
+/// The settings file if the command line names none.
 const SETTINGS_VARIABLE: &str = "SORRELTURN_SETTINGS";
 
 fn signature(name: &'static str) -> Command {
     Command::new(name)
         .version(env!("CARGO_PKG_VERSION"))
-        .about("The overload control daemon beside a backend server.")
+        .about("The overload control daemon for a backend server.")
         .after_help(format!(
             "Examples:\n  {name} --settings /etc/sorrelturn/sorrelturnd.jsonc\n  \
              {name} --settings settings/sorrelturnd.jsonc --check-settings\n\n\
-             Exit codes:\n  0  stopped as planned\n  2  the settings can't be used\n  \
-             3  could not start\n  4  stopped, but requests were cut off\n\n\
-             Log: set RUST_LOG, as in RUST_LOG=sorrelturn=info"
+             Exit codes:\n  0  stopped cleanly\n  2  invalid settings\n  \
+             3  failed to start\n  4  stopped with requests still in progress\n\n\
+             Logging: set RUST_LOG, for example RUST_LOG=sorrelturn=info"
         ))
         .arg(
             Arg::new("settings")
                 .long("settings")
                 .env(SETTINGS_VARIABLE)
                 .value_name("FILE")
-                .help("The settings, in JSON with comments; docs/SETTINGS.md describes them")
+                .help("The settings file, in JSON with comments; see docs/SETTINGS.md")
                 .required(true)
                 .value_parser(value_parser!(PathBuf)),
         )
@@ -43,7 +43,7 @@
         )
 }
 
-/// Runs the program `name`, which speaks `dialect` where its settings name a route table.
+/// Runs the daemon as the program `name`. It uses `dialect` if its settings name a route table.
 pub fn main(name: &'static str, dialect: Dialect) -> ExitCode {
     log_sink::start();
     let code = run(&signature(name).get_matches(), dialect);
@@ -55,11 +55,11 @@
     let file = args
         .get_one::<PathBuf>("settings")
         .expect("clap requires the settings");
-    let settings = match read(file) {
+    let settings = match read_settings(file) {
         Ok(settings) => settings,
-        Err(text) => {
-            eprintln!("{text}");
-            return ExitCode::from(EXIT_SETTINGS);
+        Err(message) => {
+            eprintln!("{message}");
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.get_flag("check-settings") {
@@ -69,10 +69,11 @@
     run_daemon(file, settings, dialect)
 }
 
-fn read(file: &PathBuf) -> Result<Settings, String> {
+fn read_settings(file: &PathBuf) -> Result<Settings, String> {
     let name = file.display().to_string();
-    let text = std::fs::read_to_string(file)
-        .map_err(|error| format!("error: can't read {name}: {error}\n  help: name a file"))?;
+    let text = std::fs::read_to_string(file).map_err(|error| {
+        format!("error: can't read {name}: {error}\n  help: give a readable settings file")
+    })?;
     Settings::parse(&name, &text).map_err(|findings| {
         let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
         findings.join("\n\n")
@@ -82,8 +83,8 @@
 fn run_daemon(file: &PathBuf, settings: Settings, dialect: Dialect) -> ExitCode {
     let ex = Arc::new(Executor::new());
     let (stop_threads, stopped) = channel::bounded::<()>(1);
-    // The main thread is one of them: a thread that only waits would take the reactor and wake
-    // another one for each event.
+    // The main thread runs tasks too: if it only waited, it would drive the reactor and wake another thread for each
+    // event.
     let threads: Vec<_> = (1..settings.threads)
         .map(|_| {
             let (ex, stopped) = (Arc::clone(&ex), stopped.clone());
@@ -92,8 +93,8 @@
             })
         })
         .collect();
-    let running = until_signal(file, settings, dialect, Arc::clone(&ex));
-    let code = smol::block_on(ex.run(running));
+    let daemon_run = run_until_stop_signal(file, settings, dialect, Arc::clone(&ex));
+    let code = smol::block_on(ex.run(daemon_run));
     drop(stop_threads);
     for thread in threads {
         let _ = thread.join();
@@ -101,18 +102,18 @@
     code
 }
 
-async fn until_signal(
+async fn run_until_stop_signal(
     file: &PathBuf,
     settings: Settings,
     dialect: Dialect,
     ex: Arc<Executor<'static>>,
 ) -> ExitCode {
-    let signals = signals(&ex);
+    let signals = spawn_signal_listener(&ex);
     let daemon = match Daemon::start(settings, dialect, ex).await {
         Ok(daemon) => daemon,
         Err(error) => {
-            eprintln!("error: {error}\n  help: correct the settings and start again");
-            return ExitCode::from(EXIT_START);
+            eprintln!("error: {error}\n  help: correct the settings and restart");
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     println!(
@@ -120,22 +121,22 @@
         serde_json::to_string(&daemon.addresses).unwrap_or_default()
     );
     while let Ok(Signal::Hup) = signals.recv().await {
-        daemon.settings_changed(read(file));
+        daemon.settings_changed(read_settings(file));
     }
     if daemon.stop().await {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(EXIT_CUT)
+        ExitCode::from(EXIT_REQUESTS_CUT_OFF)
     }
 }
 
-/// The signals of the process, as they come. The main thread looks for them whenever it wakes, and a look at the
-/// signals themselves would be a system call; a task of their own looks only when there are some.
-fn signals(ex: &Arc<Executor<'static>>) -> channel::Receiver<Signal> {
+/// Spawns a task that forwards the signals of the process to a channel. The main thread polls for signals whenever it
+/// wakes; polling the channel saves a system call.
+fn spawn_signal_listener(ex: &Arc<Executor<'static>>) -> channel::Receiver<Signal> {
     let (tx, rx) = channel::unbounded();
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
-    let pass_on = async move {
-        let failed = match signals {
+    let forward_signals = async move {
+        let listen_error = match signals {
             Ok(mut signals) => loop {
                 match signals.next().await {
                     Some(Ok(signal)) if tx.send(signal).await.is_ok() => {}
@@ -145,8 +146,8 @@
             },
             Err(error) => error,
         };
-        log::error!(target: "sorrelturn", "can't wait for signals: {failed}");
+        log::error!(target: "sorrelturn", "can't receive signals: {listen_error}");
     };
-    ex.spawn(pass_on).detach();
+    ex.spawn(forward_signals).detach();
     rx
 }
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -51,7 +51,7 @@
     time::Duration,
 };
 
-/// What a daemon without a bundle knows about its backend server: it admits nothing then anyway.
+/// The gate's configuration until the first bundle arrives. Without a bundle the daemon admits no requests.
 const GATE_BEFORE_BUNDLE: GateConfig = GateConfig {
     slots: 1,
     queue_len: 1,
@@ -59,47 +59,45 @@
     cold_start: Duration::ZERO,
     call_queue_timeout: None,
 };
-/// So long before it may exit a daemon that stops takes no more calls of others, which hear of it in
-/// a few milliseconds; most calls end within this time.
-const LEAVES_BEFORE: Duration = Duration::from_millis(700);
-/// The only instance of a service leaves this late: others have nobody to turn to, and half of the 1.4 s
-/// for which a rolling restart left a service without any instance was [`LEAVES_BEFORE`]. They
-/// still have to hear of it before connections to it end.
-const ALONE_LEAVES_BEFORE: Duration = Duration::from_millis(100);
-/// How often the planned stop looks whether everything is carried.
-const STOP_STEP: Duration = Duration::from_millis(10);
-/// The last answers are given so long before the exit: they have to leave, and the store has to take
-/// the last record, whose writes take 4 ms as a rule.
-const LAST_ANSWERS_BEFORE: Duration = Duration::from_millis(300);
-/// The longest time for the last answers to leave; a few milliseconds are usual.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(150);
-/// Connections have at least this time to end, however late the process is.
-const LEAST_FLUSH_TIME: Duration = Duration::from_millis(100);
-/// The longest time for connections to end once nothing is carried any more.
-const FLUSH_TIME: Duration = Duration::from_secs(2);
-/// The longest time for the store to take the last record of a run that is over.
-const LAST_WRITE_TIME: Duration = Duration::from_secs(1);
-/// How often the process looks whether it runs late or was paused, and what counts as a pause.
-const LAG_CHECK: Duration = Duration::from_millis(50);
-const PAUSE: Duration = Duration::from_secs(2);
+/// How long a stopping daemon is announced as leaving before it closes the connections of callers.
+const LEAVING_NOTICE_DURATION: Duration = Duration::from_millis(700);
+/// Replaces [`LEAVING_NOTICE_DURATION`] for the only instance of a service, because its callers have no other one.
+const ONLY_INSTANCE_NOTICE_DURATION: Duration = Duration::from_millis(100);
+/// How often a stopping daemon checks whether requests or connections remain.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long before the exit the final answers are due. The rest is for sending them and for writing the last records to
+/// the store.
+const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(300);
+/// The timeout for sending the final answers.
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
+/// The minimum timeout for connections to close, even if the stop takes too long.
+const MIN_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// The maximum timeout for connections to close after the last request ended.
+const MAX_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The timeout for writing the final member record to the store.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often the daemon measures how late its timers fire.
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A lag of at least this is reported as a pause of the process.
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// Why a daemon doesn't start.
+/// Why a daemon can't start.
 #[derive(Debug, Display)]
 pub enum StartError {
     /// can't listen on {addr}: {error}
     Listen {
-        /// The address from the settings.
+        /// The configured address.
         addr: SocketAddr,
-        /// The reason.
+        /// The error of the system.
         error: io::Error,
     },
-    /// an operator's key can't be used: {0}
+    /// an operator's key is invalid: {0}
     OperatorKey(KeyError),
-    /// the fleet's keys can't be used: {0}
+    /// can't load the fleet's keys: {0}
     FleetKeys(KeysError),
-    /// metrics can't be sent: {0}
+    /// can't open the socket for metrics: {0}
     Metrics(io::Error),
-    /// the system gives no random numbers
+    /// the system's random number source failed
     NoRandomness,
 }
 
@@ -107,19 +105,20 @@
 
 /// A running daemon.
 pub struct Daemon {
-    /// Where it listens.
+    /// The addresses that its listeners are bound to.
     pub addresses: ListenSettings,
     node: Arc<Node>,
-    /// Dropped first, when others had the time to notice the stop: connections of callers end.
-    closing_entries: Sender<()>,
-    /// Dropped next: everybody who still waits has a final answer.
-    answering: Sender<()>,
-    /// Dropped last: all connections end.
-    closing: Sender<()>,
+    /// Dropped first, after the notice to peers: closes connections of callers.
+    entry_close_guard: Sender<()>,
+    /// Dropped second: requests that still wait get their final answers.
+    answer_guard: Sender<()>,
+    /// Dropped last: closes all connections.
+    close_guard: Sender<()>,
 }
 
 impl Daemon {
-    /// Starts a daemon on `ex`; `dialect` holds where the settings name a route table; whoever owns `ex` runs its threads.
+    /// Starts a daemon on `ex`, whose threads the caller runs. The daemon uses `dialect` if the settings name a route
+    /// table.
     pub fn start(
         settings: Settings,
         dialect: Dialect,
@@ -128,7 +127,7 @@
         Self::start_with_clock(settings, dialect, ex, Clock::system())
     }
 
-    /// As [`Daemon::start`], by another clock.
+    /// Like [`Daemon::start`], with the given clock.
     pub async fn start_with_clock(
         settings: Settings,
         dialect: Dialect,
@@ -137,21 +136,23 @@
     ) -> Result<Self, StartError> {
         let listeners = Listeners::bind(&settings)?;
         let addresses = listeners.addresses(&settings)?;
-        let (shutdown, answering) = Shutdown::new();
-        let node = Arc::new(node(settings, dialect, ex, clock, &addresses, shutdown)?);
+        let (shutdown, answer_guard) = Shutdown::new();
+        let node = Arc::new(build_node(
+            settings, dialect, ex, clock, &addresses, shutdown,
+        )?);
         if node.routed.is_some() {
-            // Until the backend server was announced or answered, it takes no work.
+            // Not available until the backend server announces itself or answers.
             node.start_leaving(LeavingCause::Backend);
         }
-        let (closing_entries, entries_closed) = channel::bounded(1);
-        let (closing, closed) = channel::bounded(1);
+        let (entry_close_guard, entries_closed) = channel::bounded(1);
+        let (close_guard, closed) = channel::bounded(1);
         listeners.serve(&node, &entries_closed, &closed);
         let daemon = Self {
             addresses,
             node,
-            closing_entries,
-            answering,
-            closing,
+            entry_close_guard,
+            answer_guard,
+            close_guard,
         };
         join::join(&daemon.node).await;
         daemon.spawn_tasks();
@@ -162,7 +163,7 @@
         Ok(daemon)
     }
 
-    /// How many members it knows, itself among them, and whether it has a bundle.
+    /// Returns the number of known members, including this daemon, and whether a bundle is in force.
     pub fn discovery_state(&self) -> (usize, bool) {
         let members = lock(&self.node.membership).present().count();
         (members, self.node.in_force.load().is_some())
@@ -183,12 +184,11 @@
         }
         spawn(Box::pin(watch::run(Arc::clone(node))));
         spawn(Box::pin(export::run(Arc::clone(node))));
-        spawn(Box::pin(notice_lags(Arc::clone(node))));
+        spawn(Box::pin(monitor_lag(Arc::clone(node))));
         gossip::spread_own_record(node);
     }
 
-    /// The settings file may have changed. What the daemon listens on and whom it talks to is taken
-    /// over at the next start; a file that can't be used is reported now.
+    /// Checks settings that were read again and records an event. Changes take effect at the next start.
     pub fn settings_changed(&self, read: Result<Settings, String>) {
         let node = &self.node;
         match read {
@@ -204,75 +204,75 @@
         }
     }
 
-    /// The planned stop: is not ready at once, takes no new requests when others had the time to
-    /// notice, carries what it has or gives it a final answer, closes its record, and returns. Returns
-    /// whether nothing was cut off.
+    /// Stops the daemon. It reports itself as not ready at once, refuses new requests after a notice to peers, finishes or
+    /// finally answers the requests in progress, and writes its last records. Returns whether no request was cut off.
     pub async fn stop(self) -> bool {
         let node = &self.node;
-        let last = node.now() + Duration::from_millis(node.settings.stop.most_ms);
-        let answers_by = last.saturating_sub(LAST_ANSWERS_BEFORE);
-        node.shutdown.set_answer_deadline(answers_by);
+        let stop_deadline = node.now() + Duration::from_millis(node.settings.stop.most_ms);
+        let answer_deadline = stop_deadline.saturating_sub(FINAL_ANSWER_MARGIN);
+        node.shutdown.set_answer_deadline(answer_deadline);
         let linger = Duration::from_millis(node.settings.stop.linger_ms);
         node.record_event(&events::STOPPING, node.counts.as_fields());
-        // Its backend server goes on meanwhile: other daemons use it as long as they can.
-        Timer::after(linger.saturating_sub(LEAVES_BEFORE)).await;
-        let leave = || {
+        // The backend server still works; other daemons use it as long as possible.
+        Timer::after(linger.saturating_sub(LEAVING_NOTICE_DURATION)).await;
+        let announce_leaving = || {
             gossip::leave(node, LeavingCause::Signal);
-            answers_by.saturating_sub(node.now())
+            answer_deadline.saturating_sub(node.now())
         };
-        let rest_of_linger = Timer::after(linger.min(LEAVES_BEFORE));
-        // Whoever goes on over an open connection would be cut at the end.
-        let most = if is_only_instance(node) {
-            rest_of_linger.await;
-            drop(self.closing_entries);
-            let most = leave();
-            Timer::after(ALONE_LEAVES_BEFORE).await;
-            most
+        let leaving_notice = Timer::after(linger.min(LEAVING_NOTICE_DURATION));
+        // Close open connections of callers before the exit, or their next requests would be cut off.
+        let exit_timeout = if is_only_instance(node) {
+            leaving_notice.await;
+            drop(self.entry_close_guard);
+            let exit_timeout = announce_leaving();
+            Timer::after(ONLY_INSTANCE_NOTICE_DURATION).await;
+            exit_timeout
         } else {
-            let most = leave();
-            rest_of_linger.await;
-            drop(self.closing_entries);
-            most
+            let exit_timeout = announce_leaving();
+            leaving_notice.await;
+            drop(self.entry_close_guard);
+            exit_timeout
         };
-        let carried = || node.counts.active_requests.load(Ordering::Relaxed);
-        while !lock(&node.leaving).may_exit(node.now(), carried(), most) {
-            Timer::after(STOP_STEP).await;
+        let active_requests = || node.counts.active_requests.load(Ordering::Relaxed);
+        while !lock(&node.leaving).may_exit(node.now(), active_requests(), exit_timeout) {
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
-        // What is asked for from now on is refused, and whoever still waits has its final answer,
-        // while there is somebody to give them.
+        // Refuse new requests and send final answers to the waiting ones while the process still runs.
         node.shutdown.set_answer_deadline(node.now());
-        drop(self.answering);
-        // A process that is late gives them all the same: whoever kills it waits a little longer.
-        let until = node.now() + LAST_ANSWERS_TIME;
-        while carried() > 0 && node.now() < until {
-            Timer::after(STOP_STEP).await;
+        drop(self.answer_guard);
+        // Send them even after the stop deadline: the kill signal follows a little later.
+        let until = node.now() + FINAL_ANSWER_TIMEOUT;
+        while active_requests() > 0 && node.now() < until {
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
         if node.routed.is_none() {
-            let in_time = node.timers.at(last);
-            outcomes::close(node).or(in_time).await;
+            let timeout = node.timers.at(stop_deadline);
+            outcomes::close(node).or(timeout).await;
         }
-        say_gone(node, last).await;
-        drop(self.closing);
-        // What was carried may still lie in a socket's buffer; each connection ends when it is out.
-        let late = node.now() + LEAST_FLUSH_TIME;
-        let until = last.max(late).min(node.now() + FLUSH_TIME);
+        announce_gone(node, stop_deadline).await;
+        drop(self.close_guard);
+        // Answers may still be in socket buffers; each connection closes once its buffer is sent.
+        let min_flush_deadline = node.now() + MIN_FLUSH_TIMEOUT;
+        let until = stop_deadline
+            .max(min_flush_deadline)
+            .min(node.now() + MAX_FLUSH_TIMEOUT);
         while node.counts.connections.load(Ordering::Relaxed) > 0 && node.now() < until {
-            Timer::after(STOP_STEP).await;
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
-        let whole = carried() == 0;
+        let is_clean = active_requests() == 0;
         node.record_event(
-            if whole {
+            if is_clean {
                 &events::STOPPED
             } else {
                 &events::STOP_CUT
             },
             node.counts.as_fields(),
         );
-        whole
+        is_clean
     }
 }
 
-/// Whether no other instance of the own service is known to take calls.
+/// Whether no other instance of this daemon's service is known to accept calls.
 fn is_only_instance(node: &Node) -> bool {
     let routes = node.routes.load();
     let instances = routes.of_service(&node.settings.service);
@@ -281,15 +281,15 @@
         .all(|route| route.record.incarnation == node.incarnation)
 }
 
-/// Tells peers and the store that this run is over, which ends at `last` in any case.
-async fn say_gone(node: &Arc<Node>, last: Now) {
+/// Announces to peers and the store that this incarnation is gone, at the latest by `stop_deadline`.
+async fn announce_gone(node: &Arc<Node>, stop_deadline: Now) {
     node.set_own_state(MemberState::Gone);
     gossip::spread_own_record(node);
-    let time = LAST_WRITE_TIME.min(last.saturating_sub(node.now()));
-    member_record::within(node, time, member_record::write_own(node)).await;
+    let write_timeout = FINAL_WRITE_TIMEOUT.min(stop_deadline.saturating_sub(node.now()));
+    member_record::within(node, write_timeout, member_record::write_own(node)).await;
 }
 
-fn node(
+fn build_node(
     settings: Settings,
     dialect: Dialect,
     ex: Arc<Executor<'static>>,
@@ -299,11 +299,11 @@
 ) -> Result<Node, StartError> {
     let (timers, woken) = Timers::new(clock);
     ex.spawn(timers.clone().run(woken)).detach();
-    let mut secret = [0; 40];
-    getrandom::fill(&mut secret).map_err(|_| StartError::NoRandomness)?;
-    let (id, seal) = secret.split_at(8);
-    let incarnation = Incarnation(u64::from_be_bytes(id.try_into().unwrap_or_default()));
-    let seal_key = seal.try_into().unwrap_or_default();
+    let mut random_bytes = [0; 40];
+    getrandom::fill(&mut random_bytes).map_err(|_| StartError::NoRandomness)?;
+    let (id_bytes, mac_secret) = random_bytes.split_at(8);
+    let incarnation = Incarnation(u64::from_be_bytes(id_bytes.try_into().unwrap_or_default()));
+    let mac_key = mac_secret.try_into().unwrap_or_default();
     let trusted = TrustedKeys::from_hex(&settings.operators).map_err(StartError::OperatorKey)?;
     let keys = FleetKeys::load(settings.fleet_keys.clone()).map_err(StartError::FleetKeys)?;
     let metrics_page = Arc::new(MetricsPage::default());
@@ -330,12 +330,12 @@
     let timeout = Duration::from_millis(settings.platform.timeout_ms);
     let quota_bound = settings.routes.as_ref().map(RouteSettings::quota_bound);
     let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_terms);
-    let connect_time = Duration::from_millis(settings.backend.connect_ms);
+    let connect_timeout = Duration::from_millis(settings.backend.connect_ms);
     Ok(Node {
         platform: Platform::new(settings.platform.address, timeout)
             .with_objects_path(&settings.platform.objects_path),
         routed: settings.routes.as_ref().map(|_| Routed::new(dialect)),
-        backend: Backend::new(settings.backend.address, connect_time, clock),
+        backend: Backend::new(settings.backend.address, connect_timeout, clock),
         crashes: Crashes::default(),
         suspects: Suspects::default(),
         admission: Arc::new(Admission::new(
@@ -353,7 +353,7 @@
             clock.now(),
         ),
         routes: ArcSwap::from_pointee(Routes::default()),
-        ledger: Mutex::new(Ledger::new(incarnation, ledger, seal_key)),
+        ledger: Mutex::new(Ledger::new(incarnation, ledger, mac_key)),
         attempts: Mutex::default(),
         segment_versions: AsyncMutex::default(),
         membership: Mutex::new(Membership::default()),
@@ -381,21 +381,22 @@
     })
 }
 
-/// A process that runs late is asked for too much; one that was paused has connections and thresholds of another time.
-async fn notice_lags(node: Arc<Node>) {
+/// Reports timer lag to admission, which sheds load if the process is overloaded. After a pause, records an event and
+/// announces this daemon again.
+async fn monitor_lag(node: Arc<Node>) {
     let mut last = node.now();
     loop {
-        Timer::after(LAG_CHECK).await;
+        Timer::after(LAG_CHECK_INTERVAL).await;
         let now = node.now();
-        let paused = now.saturating_sub(last + LAG_CHECK);
+        let lag = now.saturating_sub(last + LAG_CHECK_INTERVAL);
         last = now;
-        if paused >= LAG_CHECK {
-            // The runtime's timers stand still while the VM is suspended; what is due by now isn't due by them.
+        if lag >= LAG_CHECK_INTERVAL {
+            // The runtime's timers stop while the VM is suspended, so they miss what is due by now.
             node.timers.look_now();
         }
-        node.admission.with_gate(|gate, _| gate.report_lag(paused));
-        if paused >= PAUSE {
-            let fields = vec![Field::new("paused_ms", paused.as_millis())];
+        node.admission.with_gate(|gate, _| gate.report_lag(lag));
+        if lag >= PAUSE_THRESHOLD {
+            let fields = vec![Field::new("paused_ms", lag.as_millis())];
             node.record_event(&events::PAUSE_NOTICED, fields);
             gossip::spread_own_record(&node);
         }
