--- a/crates/sorrelturn-command/src/bin/sorrelctl.rs
+++ b/crates/sorrelturn-command/src/bin/sorrelctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The command-line tool for operators.
 
 use clap::ArgMatches;
 use sorrelturn_command::{COMMANDS, CommandEntry, Failure, Output, root};
@@ -9,29 +9,29 @@
     let args = root().get_matches();
     let as_json = args
         .get_one::<String>("output")
-        .is_some_and(|form| form == "json");
-    match find(&args).map(|(entry, args)| (entry.run)(args)) {
-        Some(Ok(output)) => print(&output, as_json),
-        Some(Err(failure)) => fail(&failure),
-        None => unreachable!("every command of the signature is in the list"),
+        .is_some_and(|format| format == "json");
+    match find_command(&args).map(|(entry, args)| (entry.run)(args)) {
+        Some(Ok(output)) => print_output(&output, as_json),
+        Some(Err(failure)) => report_failure(&failure),
+        None => unreachable!("every subcommand is in COMMANDS"),
     }
 }
 
-fn find(args: &ArgMatches) -> Option<(&'static CommandEntry, &ArgMatches)> {
-    let (first, args) = args.subcommand()?;
+fn find_command(args: &ArgMatches) -> Option<(&'static CommandEntry, &ArgMatches)> {
+    let (group_or_name, args) = args.subcommand()?;
     let second = args.subcommand();
     COMMANDS
         .iter()
         .find_map(|entry| match (entry.name, second) {
-            ([name], None) if *name == first => Some((entry, args)),
-            ([group, name], Some((second, args))) if *group == first && *name == second => {
+            ([name], None) if *name == group_or_name => Some((entry, args)),
+            ([group, name], Some((second, args))) if *group == group_or_name && *name == second => {
                 Some((entry, args))
             }
             _ => None,
         })
 }
 
-fn print(output: &Output, as_json: bool) -> ExitCode {
+fn print_output(output: &Output, as_json: bool) -> ExitCode {
     if as_json {
         println!(
             "{}",
@@ -43,7 +43,7 @@
     ExitCode::SUCCESS
 }
 
-fn fail(failure: &Failure) -> ExitCode {
+fn report_failure(failure: &Failure) -> ExitCode {
     eprintln!("{failure}");
     ExitCode::from(failure.exit)
 }
--- a/crates/sorrelturn-command/src/commands/bundle_check.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_check.rs
@@ -12,7 +12,7 @@
 
 fn signature() -> Command {
     Command::new("check")
-        .about("Checks a bundle without sending it anywhere")
+        .about("Checks a bundle locally")
         .after_help("Example:\n  sorrelctl bundle check bundles/protokols-riga.jsonc")
         .arg(file_arg("bundle", "The bundle, in JSON with comments"))
 }
--- a/crates/sorrelturn-command/src/commands/bundle_diff.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_diff.rs
@@ -17,7 +17,7 @@
 
 fn signature() -> Command {
     Command::new("diff")
-        .about("Shows which sections of a bundle differ from the accepted ones")
+        .about("Shows which sections of a bundle differ from the accepted version")
         .after_help(
             "Example:\n  sorrelctl bundle diff bundles/protokols-riga.jsonc --platform \
              127.0.0.1:7400",
@@ -30,15 +30,15 @@
     let source = read_bundle(args)?;
     let head = smol::block_on(read_head(&platform(args)))?;
     let accepted = head.map(|head| head.manifest.sections).unwrap_or_default();
-    let wanted: BTreeMap<String, ContentHash> = split(&source)
+    let local: BTreeMap<String, ContentHash> = split(&source)
         .into_iter()
         .map(|section| (section.name, ContentHash::of(&section.bytes)))
         .collect();
-    let names: BTreeSet<&String> = accepted.keys().chain(wanted.keys()).collect();
+    let names: BTreeSet<&String> = accepted.keys().chain(local.keys()).collect();
     let rows: Vec<Vec<String>> = names
         .into_iter()
         .filter_map(|name| {
-            let change = match (accepted.get(name), wanted.get(name)) {
+            let change = match (accepted.get(name), local.get(name)) {
                 (None, Some(_)) => "added",
                 (Some(_), None) => "removed",
                 (old, new) if old != new => "changed",
@@ -48,7 +48,7 @@
         })
         .collect();
     if rows.is_empty() {
-        return Ok(Output::new("no difference", &rows));
+        return Ok(Output::new("no differences", &rows));
     }
     Ok(Output::table(&["SECTION", "CHANGE"], &rows, &rows))
 }
--- a/crates/sorrelturn-command/src/commands/bundle_publish.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_publish.rs
@@ -18,7 +18,7 @@
 
 fn signature() -> Command {
     let command = Command::new("publish")
-        .about("Checks, signs and publishes a bundle; from its acceptance on it only moves forward")
+        .about("Checks, signs and publishes a bundle; an accepted version can only be replaced by a higher one")
         .after_help(
             "Examples:\n  sorrelctl bundle publish bundles/protokols-riga.jsonc --operator anna \
              --key anna.key --platform 127.0.0.1:7400\n  sorrelctl bundle publish --signed \
@@ -35,7 +35,7 @@
             Arg::new("signed")
                 .long("signed")
                 .value_name("FILE")
-                .help("What `bundle sign` wrote, in the place of a bundle and a key")
+                .help("A file from `bundle sign`, instead of a bundle and a key")
                 .conflicts_with_all(["bundle", "key", "operator"])
                 .value_parser(value_parser!(PathBuf)),
         )
@@ -43,7 +43,7 @@
             Arg::new("tell")
                 .long("tell")
                 .value_name("ADDRESS")
-                .help("A daemon's admin address to hand the accepted bundle to; may be repeated")
+                .help("The admin address of a daemon to send the accepted bundle to directly; may be repeated")
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr)),
         )
@@ -61,15 +61,15 @@
 async fn run_async(args: &ArgMatches) -> Result<Output, Failure> {
     let platform = platform(args);
     let head = read_head(&platform).await?;
-    let next = head.as_ref().map_or(1, |head| head.manifest.version + 1);
-    let publication = publication(args, next)?;
+    let next_version = head.as_ref().map_or(1, |head| head.manifest.version + 1);
+    let publication = publication(args, next_version)?;
     let accepted = publish(&platform, head.as_ref(), &publication).await?;
     let body = serde_json::to_vec(&publication).unwrap_or_default();
     for addr in args.get_many::<SocketAddr>("tell").into_iter().flatten() {
-        let told = call_daemon::<StatusReport>(*addr, Method::PUT, "/bundle", body.clone());
-        if let Err(failure) = told.await {
+        let upload = call_daemon::<StatusReport>(*addr, Method::PUT, "/bundle", body.clone());
+        if let Err(failure) = upload.await {
             eprintln!(
-                "warning: version {} is accepted, but {failure}",
+                "warning: version {} was accepted, but {failure}",
                 accepted.version
             );
         }
@@ -81,21 +81,21 @@
     Ok(Output::new(text, &accepted))
 }
 
-fn publication(args: &ArgMatches, next: u64) -> Result<Publication, Failure> {
+fn publication(args: &ArgMatches, next_version: u64) -> Result<Publication, Failure> {
     if args.contains_id("signed") {
         let (file, text) = read_file(args, "signed")?;
         return serde_json::from_str(&text).map_err(|error| {
-            let help = "give the file that `bundle sign --output json` wrote";
+            let help = "use a file that `bundle sign --output json` wrote";
             Failure::new(exit::FINDINGS, format!("{file}: {error}"), help)
         });
     }
     if !args.contains_id("key") || !args.contains_id("operator") {
         return Err(Failure::new(
             exit::USAGE,
-            "a bundle needs a signature",
+            "the bundle must be signed",
             "give --operator and --key, or a signed file with --signed",
         ));
     }
     let source = read_bundle(args)?;
-    Publication::sign(&source, next, note(args), &read_key(args)?)
+    Publication::sign(&source, next_version, note(args), &read_key(args)?)
 }
--- a/crates/sorrelturn-command/src/commands/bundle_rollback.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_rollback.rs
@@ -23,7 +23,7 @@
         .arg(
             Arg::new("version")
                 .value_name("VERSION")
-                .help("The earlier version")
+                .help("The version to restore")
                 .required(true)
                 .value_parser(value_parser!(u64).range(1..)),
         )
@@ -36,7 +36,7 @@
 }
 
 async fn run_async(args: &ArgMatches) -> Result<Output, Failure> {
-    let wanted = *args
+    let target_version = *args
         .get_one::<u64>("version")
         .expect("clap requires the version");
     let key = read_key(args)?;
@@ -45,20 +45,20 @@
     let manifests = history(&platform).await?;
     let earlier = manifests
         .iter()
-        .find(|manifest| manifest.version == wanted)
+        .find(|manifest| manifest.version == target_version)
         .ok_or_else(|| {
             Failure::new(
                 exit::FINDINGS,
-                format!("there is no version {wanted}"),
+                format!("there is no version {target_version}"),
                 "`sorrelctl bundle history` lists the versions",
             )
         })?;
-    let next = head.as_ref().map_or(1, |head| head.manifest.version + 1);
-    let note = format!("rollback to version {wanted}");
-    let publication = Publication::sign_rollback(earlier, next, &note, &key)?;
+    let next_version = head.as_ref().map_or(1, |head| head.manifest.version + 1);
+    let note = format!("rollback to version {target_version}");
+    let publication = Publication::sign_rollback(earlier, next_version, &note, &key)?;
     let accepted = publish(&platform, head.as_ref(), &publication).await?;
     let text = format!(
-        "the content of version {wanted} is accepted as version {}",
+        "the content of version {target_version} was accepted as version {}",
         accepted.version
     );
     Ok(Output::new(text, &accepted))
--- a/crates/sorrelturn-command/src/commands/bundle_sign.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_sign.rs
@@ -12,7 +12,7 @@
 
 fn signature() -> Command {
     let command = Command::new("sign")
-        .about("Signs a bundle on a desk without the platform; publish it with --signed")
+        .about("Signs a bundle offline; publish it with `bundle publish --signed`")
         .after_help(
             "Example:\n  sorrelctl bundle sign bundles/protokols-riga.jsonc --next-version 1 \
              --operator anna --key anna.key --output json > signed.json",
@@ -22,7 +22,7 @@
             Arg::new("next-version")
                 .long("next-version")
                 .value_name("NUMBER")
-                .help("The version that it is to have: one above the head's")
+                .help("The version of the bundle: one above the accepted version")
                 .required(true)
                 .value_parser(value_parser!(u64).range(1..)),
         )
@@ -38,7 +38,7 @@
         .expect("clap requires the version");
     let publication = Publication::sign(&source, version, note(args), &key)?;
     let text = format!(
-        "signed as version {version} by {}; use --output json to get the file",
+        "signed as version {version} by {}; use --output json to get the signed bundle",
         key.operator()
     );
     Ok(Output::new(text, &publication))
--- a/crates/sorrelturn-command/src/commands/bundle_status.rs
+++ b/crates/sorrelturn-command/src/commands/bundle_status.rs
@@ -17,12 +17,12 @@
 
 fn signature() -> Command {
     Command::new("status")
-        .about("Shows for each failure domain how many daemons have which version in force")
+        .about("Shows how many daemons of each failure domain have the accepted version in force")
         .after_help("Example:\n  sorrelctl bundle status --platform 127.0.0.1:7400")
         .arg(platform_arg())
 }
 
-/// Reads what the watchers wrote, one object for each failure domain.
+/// Reads the status objects that the watchers write, one for each failure domain.
 pub(super) async fn domains(platform: &Platform) -> Result<Vec<DomainStatus>, Failure> {
     let changes = platform.list(keys::STATUS).await?;
     Ok(changes
@@ -38,7 +38,10 @@
         let head = read_head(&platform).await?;
         let version = head.map_or(0, |head| head.manifest.version);
         let domains = domains(&platform).await?;
-        let rows: Vec<Vec<String>> = domains.iter().map(|domain| row(domain, version)).collect();
+        let rows: Vec<Vec<String>> = domains
+            .iter()
+            .map(|domain| status_row(domain, version))
+            .collect();
         let heads = [
             "FAILURE DOMAIN",
             "IN FORCE",
@@ -52,15 +55,15 @@
     })
 }
 
-fn row(domain: &DomainStatus, version: u64) -> Vec<String> {
+fn status_row(domain: &DomainStatus, version: u64) -> Vec<String> {
     let up_to_date = domain.in_force.get(&version).copied().unwrap_or(0);
     let reporting: usize = domain.in_force.values().sum();
     let names: Vec<String> = domain
         .behind
         .iter()
         .map(|member| {
-            let why = member.trouble.as_deref().unwrap_or("");
-            format!("{} at {} {why}", member.instance, member.version)
+            let reason = member.trouble.as_deref().unwrap_or("");
+            format!("{} at {} {reason}", member.instance, member.version)
         })
         .collect();
     vec![
--- a/crates/sorrelturn-command/src/commands/completions.rs
+++ b/crates/sorrelturn-command/src/commands/completions.rs
@@ -13,12 +13,12 @@
 
 fn signature() -> Command {
     Command::new("completions")
-        .about("Prints the completions for a shell")
+        .about("Prints a completion script for a shell")
         .after_help("Example:\n  sorrelctl completions bash > sorrelctl.bash")
         .arg(
             Arg::new("shell")
                 .value_name("SHELL")
-                .help("The shell")
+                .help("The shell to generate completions for")
                 .required(true)
                 .value_parser(value_parser!(Shell)),
         )
--- a/crates/sorrelturn-command/src/commands/drain.rs
+++ b/crates/sorrelturn-command/src/commands/drain.rs
@@ -17,17 +17,17 @@
 
 fn signature() -> Command {
     Command::new("drain")
-        .about("Makes a daemon take no new calls; what it carries goes on")
+        .about("Makes a daemon refuse new calls; calls in progress continue")
         .after_help("Example:\n  sorrelctl drain --daemon 127.0.0.1:7005")
         .arg(daemon_arg())
 }
 
 fn run(args: &ArgMatches) -> Result<Output, Failure> {
     let addr = address(args, "daemon");
-    let asked = call_daemon::<StatusReport>(addr, Method::POST, "/drain", Vec::new());
-    let report = smol::block_on(asked)?;
+    let drain = call_daemon::<StatusReport>(addr, Method::POST, "/drain", Vec::new());
+    let report = smol::block_on(drain)?;
     let text = format!(
-        "{} takes no new calls; {} are in flight",
+        "{} refuses new calls; {} calls are in flight",
         report.record.instance, report.in_flight
     );
     Ok(Output::new(text, &report))
--- a/crates/sorrelturn-command/src/commands/explain.rs
+++ b/crates/sorrelturn-command/src/commands/explain.rs
@@ -18,17 +18,17 @@
 
 fn signature() -> Command {
     Command::new("explain")
-        .about("Tells in words what happened to a request over all its hops")
+        .about("Shows what happened to a request at every daemon that it passed")
         .after_help(
             "Example:\n  sorrelctl explain 00000000000000000000000000000abc --daemon \
              127.0.0.1:7005\n  sorrelctl explain 9c41d07be2a35f68 --logs a.log b.log\n\n\
-             Ask the daemon that took the request; it asks the others. Or name the logs that were \
-             collected from the daemons.",
+             Name the daemon that received the request; it queries the others. Or give the log files of the \
+             daemons.",
         )
         .arg(
             Arg::new("request")
                 .value_name("REQUEST-ID")
-                .help("The id that the answer or the caller names")
+                .help("The request ID, from the response or the caller")
                 .required(true),
         )
         .arg(daemon_arg().required(false).required_unless_present("logs"))
@@ -36,7 +36,7 @@
             Arg::new("logs")
                 .long("logs")
                 .value_name("FILE")
-                .help("Logs of daemons, which are read in the place of asking one")
+                .help("Log files of daemons to read instead of querying a daemon")
                 .num_args(1..)
                 .conflicts_with("daemon")
                 .value_parser(value_parser!(PathBuf)),
@@ -48,7 +48,7 @@
         .get_one::<String>("request")
         .expect("clap requires the request");
     if let Some(files) = args.get_many::<PathBuf>("logs") {
-        return from_logs(request, files);
+        return explain_from_logs(request, files);
     }
     let path = format!("/explain/{request}");
     let addr = address(args, "daemon");
@@ -61,16 +61,15 @@
     if records.is_empty() {
         return Err(Failure::new(
             exit::FINDINGS,
-            format!("daemon {addr} knows nothing of request {request}"),
-            "ask the daemon that took the request, within some minutes",
+            format!("daemon {addr} has no events of request {request}"),
+            "query the daemon that received the request, within a few minutes of it",
         ));
     }
-    Ok(told(&records))
+    Ok(format_records(&records))
 }
 
-/// What the logs of daemons say of a request. An id is found by its end, since logs write it with
-/// leading zeros.
-fn from_logs<'a>(
+/// Explains a request from logs of daemons. Matches the end of the ID, since logs pad it with zeros.
+fn explain_from_logs<'a>(
     request: &str,
     files: impl Iterator<Item = &'a PathBuf>,
 ) -> Result<Output, Failure> {
@@ -78,33 +77,33 @@
     for file in files {
         let text = std::fs::read_to_string(file).map_err(|error| {
             let message = format!("can't read {}: {error}", file.display());
-            Failure::new(exit::USAGE, message, "name a log of a daemon")
+            Failure::new(exit::USAGE, message, "name a log file of a daemon")
         })?;
-        let of_request = |record: &EventRecord| {
+        let is_of_request = |record: &EventRecord| {
             let id = record.request.as_deref();
             id.is_some_and(|id| id.ends_with(request))
         };
-        let found = text.lines().filter_map(EventRecord::from_log_line);
-        records.extend(found.filter(of_request));
+        let log_records = text.lines().filter_map(EventRecord::from_log_line);
+        records.extend(log_records.filter(is_of_request));
     }
     if records.is_empty() {
         return Err(Failure::new(
             exit::FINDINGS,
-            format!("the logs know nothing of request {request}"),
-            "log with RUST_LOG=sorrelturn=debug, and name the log of the daemon that took it",
+            format!("the logs have no events of request {request}"),
+            "log with RUST_LOG=sorrelturn=debug, and include the log of the daemon that received the request",
         ));
     }
     records.sort_by_key(|record| record.at_ms);
-    Ok(told(&records))
+    Ok(format_records(&records))
 }
 
-fn told(records: &[EventRecord]) -> Output {
-    let lines: Vec<String> = records.iter().map(in_words).collect();
+fn format_records(records: &[EventRecord]) -> Output {
+    let lines: Vec<String> = records.iter().map(format_record).collect();
     Output::new(lines.join("\n"), &records)
 }
 
-fn in_words(record: &EventRecord) -> String {
-    let inputs: Vec<String> = record
+fn format_record(record: &EventRecord) -> String {
+    let fields: Vec<String> = record
         .fields
         .iter()
         .map(|field| format!("{} {}", field.name.replace('_', " "), field.value))
@@ -115,6 +114,6 @@
         record.number,
         record.instance,
         record.text,
-        inputs.join(", ")
+        fields.join(", ")
     )
 }
--- a/crates/sorrelturn-command/src/commands/fleet_status.rs
+++ b/crates/sorrelturn-command/src/commands/fleet_status.rs
@@ -15,7 +15,9 @@
 
 fn signature() -> Command {
     Command::new("status")
-        .about("Shows the daemons of each failure domain, without asking each of them")
+        .about(
+            "Shows the number of daemons in each failure domain, from the reports of the watchers",
+        )
         .after_help("Example:\n  sorrelctl fleet status --platform 127.0.0.1:7400")
         .arg(platform_arg())
 }
--- a/crates/sorrelturn-command/src/commands/key_fleet.rs
+++ b/crates/sorrelturn-command/src/commands/key_fleet.rs
@@ -7,7 +7,7 @@
 use std::{fs, path::PathBuf};
 
 /// The name in every daemon's certificate.
-const FLEET_NAME: &str = "sorrelturn";
+const CERTIFICATE_NAME: &str = "sorrelturn";
 
 pub(super) const ENTRY: CommandEntry = CommandEntry {
     name: &["key", "fleet"],
@@ -17,18 +17,18 @@
 
 fn signature() -> Command {
     Command::new("fleet")
-        .about("Makes the keys by which daemons recognise one another")
+        .about("Generates the keys and certificates that daemons authenticate each other with")
         .after_help(
-            "Example:\n  sorrelctl key fleet --folder keys\n\nThe folder gets authority.pem and \
-             authority.key if they are not there, and a fresh daemon.pem and daemon.key signed by \
-             them.\nTo rotate: put the new authority.pem behind the old one in every daemon's \
-             file, reload, then hand out the new daemon.pem, reload, then drop the old authority.",
+            "Example:\n  sorrelctl key fleet --folder keys\n\nCreates authority.pem and \
+             authority.key in the folder if they don't exist, and a new daemon.pem and daemon.key signed by \
+             them.\nTo rotate: append the new authority.pem to the old one in every daemon's \
+             file, reload, deploy the new daemon.pem, reload, then remove the old authority.",
         )
         .arg(
             Arg::new("folder")
                 .long("folder")
                 .value_name("FOLDER")
-                .help("Where the keys go; made if it is not there")
+                .help("The folder for the keys; created if it doesn't exist")
                 .required(true)
                 .value_parser(value_parser!(PathBuf)),
         )
@@ -38,21 +38,24 @@
     let folder = args
         .get_one::<PathBuf>("folder")
         .expect("clap requires the folder");
-    let shown = folder.display().to_string();
-    fs::create_dir_all(folder).map_err(|error| Failure::file(&shown, &error))?;
+    let folder_name = folder.display().to_string();
+    fs::create_dir_all(folder).map_err(|error| Failure::file(&folder_name, &error))?;
     let authority_key = authority_key(folder)?;
     let issuer = Issuer::new(authority_params(), authority_key);
-    let daemon_key = KeyPair::generate().map_err(failed)?;
-    let mut params = CertificateParams::new(vec![FLEET_NAME.to_owned()]).map_err(failed)?;
+    let daemon_key = KeyPair::generate().map_err(certificate_failure)?;
+    let mut params =
+        CertificateParams::new(vec![CERTIFICATE_NAME.to_owned()]).map_err(certificate_failure)?;
     params
         .distinguished_name
         .push(DnType::CommonName, "sorrelturn daemon");
-    let certificate = params.signed_by(&daemon_key, &issuer).map_err(failed)?;
+    let certificate = params
+        .signed_by(&daemon_key, &issuer)
+        .map_err(certificate_failure)?;
     replace(&folder.join("daemon.pem"), &certificate.pem())?;
     replace_secret(&folder.join("daemon.key"), &daemon_key.serialize_pem())?;
-    let json = serde_json::json!({ "folder": shown });
+    let json = serde_json::json!({ "folder": folder_name });
     Ok(Output::new(
-        format!("{shown} holds authority.pem, daemon.pem and daemon.key"),
+        format!("{folder_name} contains authority.pem, daemon.pem and daemon.key"),
         &json,
     ))
 }
@@ -60,10 +63,12 @@
 fn authority_key(folder: &std::path::Path) -> Result<KeyPair, Failure> {
     let file = folder.join("authority.key");
     if let Ok(text) = fs::read_to_string(&file) {
-        return KeyPair::from_pem(&text).map_err(failed);
+        return KeyPair::from_pem(&text).map_err(certificate_failure);
     }
-    let key = KeyPair::generate().map_err(failed)?;
-    let certificate = authority_params().self_signed(&key).map_err(failed)?;
+    let key = KeyPair::generate().map_err(certificate_failure)?;
+    let certificate = authority_params()
+        .self_signed(&key)
+        .map_err(certificate_failure)?;
     write_secret(&file, &key.serialize_pem())?;
     replace(&folder.join("authority.pem"), &certificate.pem())?;
     Ok(key)
@@ -88,7 +93,7 @@
     write_secret(file, text)
 }
 
-fn failed(error: rcgen::Error) -> Failure {
+fn certificate_failure(error: rcgen::Error) -> Failure {
     let help = "remove broken files from the folder and try again";
     Failure::new(exit::FINDINGS, error.to_string(), help)
 }
--- a/crates/sorrelturn-command/src/commands/key_new.rs
+++ b/crates/sorrelturn-command/src/commands/key_new.rs
@@ -14,19 +14,19 @@
 
 fn signature() -> Command {
     Command::new("new")
-        .about("Makes an operator's key for signing bundles")
+        .about("Generates an operator's key for signing bundles")
         .after_help("Example:\n  sorrelctl key new anna --file anna.key")
         .arg(
             Arg::new("operator")
                 .value_name("NAME")
-                .help("The name under which daemons will know the key")
+                .help("The operator's name in the daemons' settings")
                 .required(true),
         )
         .arg(
             Arg::new("file")
                 .long("file")
                 .value_name("FILE")
-                .help("Where the secret key goes; an existing file is not overwritten")
+                .help("The file for the secret key; an existing file is not overwritten")
                 .required(true)
                 .value_parser(value_parser!(PathBuf)),
         )
@@ -46,7 +46,7 @@
     write_secret(file, &key.secret_hex())?;
     let json = serde_json::json!({ "operator": operator, "public_key": key.public_hex() });
     let text = format!(
-        "the secret key is in {}; put this into the daemons' settings:\n\n  \"operators\": {{ \
+        "the secret key is in {}; add this to the daemons' settings:\n\n  \"operators\": {{ \
          \"{operator}\": \"{}\" }}",
         file.display(),
         key.public_hex()
@@ -54,17 +54,17 @@
     Ok(Output::new(text, &json))
 }
 
-/// Writes a secret that only its owner can read.
+/// Writes a secret to a new file that only its owner can read. Fails if the file exists.
 pub(super) fn write_secret(file: &PathBuf, text: &str) -> Result<(), Failure> {
     use std::{io::Write, os::unix::fs::OpenOptionsExt};
-    let shown = file.display().to_string();
-    let mut opened = fs::OpenOptions::new()
+    let file_name = file.display().to_string();
+    let mut output_file = fs::OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(0o600)
         .open(file)
-        .map_err(|error| Failure::file(&shown, &error))?;
-    opened
+        .map_err(|error| Failure::file(&file_name, &error))?;
+    output_file
         .write_all(text.as_bytes())
-        .map_err(|error| Failure::file(&shown, &error))
+        .map_err(|error| Failure::file(&file_name, &error))
 }
--- a/crates/sorrelturn-command/src/commands/mod.rs
+++ b/crates/sorrelturn-command/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! All commands, one file each.
+//! The commands, one file each.
 
 mod bundle_check;
 mod bundle_diff;
@@ -19,17 +19,17 @@
 use clap::{Arg, ArgMatches, Command, builder::PossibleValuesParser};
 use std::{fs, path::PathBuf};
 
-/// One command.
+/// A command of `sorrelctl`.
 pub struct CommandEntry {
-    /// Its words, as they are typed.
+    /// The group, if any, and the name, as typed on the command line.
     pub name: &'static [&'static str],
-    /// Its arguments and help.
+    /// Builds its arguments and help.
     pub signature: fn() -> Command,
     /// Runs it.
     pub run: fn(&ArgMatches) -> Result<Output, Failure>,
 }
 
-/// All commands, in the order of the help.
+/// All commands, in the order in which the help lists them.
 pub static COMMANDS: &[CommandEntry] = &[
     bundle_check::ENTRY,
     bundle_sign::ENTRY,
@@ -48,19 +48,22 @@
 ];
 
 const GROUPS: &[(&str, &str)] = &[
-    ("bundle", "Check, publish and follow bundles"),
-    ("key", "Make keys"),
-    ("fleet", "Look at the whole fleet"),
+    (
+        "bundle",
+        "Check, sign and publish bundles, and show their status",
+    ),
+    ("key", "Generate keys"),
+    ("fleet", "Inspect the whole fleet"),
 ];
 
-/// The whole command line.
+/// Builds the command line with all commands.
 pub fn root() -> Command {
     let mut root = Command::new("sorrelctl")
         .version(env!("CARGO_PKG_VERSION"))
         .about("Operates a sorrelturn fleet.")
         .after_help(
-            "Exit codes:\n  0  done\n  1  findings in a file or an answer\n  2  wrong usage\n  \
-             3  the platform or a daemon doesn't answer\n  4  somebody else was first",
+            "Exit codes:\n  0  success\n  1  a file or a response is invalid\n  2  invalid usage\n  \
+             3  the platform or a daemon is unreachable\n  4  a concurrent publication was accepted first",
         )
         .subcommand_required(true)
         .arg_required_else_help(true)
@@ -68,7 +71,7 @@
             Arg::new("output")
                 .long("output")
                 .value_name("FORM")
-                .help("How to print the result")
+                .help("The output format")
                 .global(true)
                 .default_value("table")
                 .value_parser(PossibleValuesParser::new(["table", "json"])),
@@ -103,9 +106,9 @@
     let path = args
         .get_one::<PathBuf>(name)
         .expect("clap requires the file");
-    let shown = path.display().to_string();
-    let text = fs::read_to_string(path).map_err(|error| Failure::file(&shown, &error))?;
-    Ok((shown, text))
+    let file_name = path.display().to_string();
+    let text = fs::read_to_string(path).map_err(|error| Failure::file(&file_name, &error))?;
+    Ok((file_name, text))
 }
 
 fn read_bundle(args: &ArgMatches) -> Result<sorrelturn_bundle::BundleSource, Failure> {
@@ -127,7 +130,7 @@
             Arg::new("operator")
                 .long("operator")
                 .value_name("NAME")
-                .help("The name under which daemons know the key")
+                .help("The operator's name in the daemons' settings")
                 .env("SORRELTURN_OPERATOR")
                 .required(true),
         )
@@ -140,7 +143,7 @@
         .expect("clap requires the operator");
     let (_, text) = read_file(args, "key")?;
     sorrelturn_bundle::OperatorKey::from_hex(operator, &text).map_err(|error| {
-        let help = "give the file that `sorrelctl key new` wrote";
+        let help = "use a file that `sorrelctl key new` wrote";
         Failure::new(crate::exit::FINDINGS, error.to_string(), help)
     })
 }
@@ -149,7 +152,7 @@
     Arg::new("note")
         .long("note")
         .value_name("TEXT")
-        .help("What the history says about it")
+        .help("A note for the version history")
         .default_value("")
 }
 
--- a/crates/sorrelturn-command/src/commands/workspaces.rs
+++ b/crates/sorrelturn-command/src/commands/workspaces.rs
@@ -15,7 +15,7 @@
 
 fn signature() -> Command {
     Command::new("workspaces")
-        .about("Shows the quotas of workspaces, and what was let in and refused at the entries that are asked")
+        .about("Shows the quotas of workspaces, and how many requests the given daemons admitted and refused")
         .after_help(
             "Examples:\n  sorrelctl workspaces --daemon 127.0.0.1:7005\n  \
              sorrelctl workspaces --daemon 127.0.0.1:7005 --daemon 127.0.0.1:7015 --output json",
@@ -24,7 +24,7 @@
             Arg::new("daemon")
                 .long("daemon")
                 .value_name("ADDRESS")
-                .help("The admin address of a daemon; may be given several times")
+                .help("The admin address of a daemon; may be repeated")
                 .required(true)
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr)),
@@ -34,12 +34,13 @@
 fn run(args: &ArgMatches) -> Result<Output, Failure> {
     let mut reports = Vec::new();
     for addr in args.get_many::<SocketAddr>("daemon").into_iter().flatten() {
-        let asked = call_daemon::<WorkspacesReport>(*addr, Method::GET, "/workspaces", Vec::new());
-        reports.push(smol::block_on(asked)?);
+        let report_request =
+            call_daemon::<WorkspacesReport>(*addr, Method::GET, "/workspaces", Vec::new());
+        reports.push(smol::block_on(report_request)?);
     }
     let mut rows: Vec<Vec<String>> = reports.iter().map(daemon_row).collect();
     rows.extend(
-        summed(&reports)
+        sum_by_workspace(&reports)
             .iter()
             .map(|(name, usage)| workspace_row(name, usage)),
     );
@@ -55,19 +56,19 @@
     Ok(Output::table(&heads, &rows, &reports))
 }
 
-/// A daemon has no limit, but an age of what it knows.
+/// Formats a daemon: the fraction of its quota shares that it leases, and the staleness of its route table.
 fn daemon_row(report: &WorkspacesReport) -> Vec<String> {
     let age = report.knowledge_age_ms;
     let age = age.map_or_else(|| "never read".to_owned(), |ms| format!("{ms} ms old"));
-    let lent = format!("lends {:.0} %", report.part_lent * 100.0);
-    let none = String::new;
+    let leased = format!("leases {:.0} %", report.part_lent * 100.0);
+    let empty_cell = String::new;
     vec![
         report.instance.clone(),
-        none(),
-        none(),
-        lent,
-        none(),
-        none(),
+        empty_cell(),
+        empty_cell(),
+        leased,
+        empty_cell(),
+        empty_cell(),
         age,
     ]
 }
@@ -86,8 +87,8 @@
     ]
 }
 
-/// What all entries that were asked saw together.
-fn summed(reports: &[WorkspacesReport]) -> BTreeMap<&str, WorkspaceUsage> {
+/// Sums the usage of each workspace over all reports.
+fn sum_by_workspace(reports: &[WorkspacesReport]) -> BTreeMap<&str, WorkspaceUsage> {
     let mut sums: BTreeMap<&str, WorkspaceUsage> = BTreeMap::new();
     for (name, usage) in reports.iter().flat_map(|report| &report.workspaces) {
         let sum = sums.entry(name).or_default();
--- a/crates/sorrelturn-command/src/failure.rs
+++ b/crates/sorrelturn-command/src/failure.rs
@@ -1,4 +1,4 @@
-//! Errors as operators see them: what happened, and what to do.
+//! Errors for operators, with a help text and an exit code.
 
 use sorrelturn_bundle::Diagnostic;
 use sorrelturn_platform::PlatformError;
@@ -6,29 +6,29 @@
 
 /// Exit codes, as `sorrelctl --help` lists them.
 pub mod exit {
-    /// A file or an answer is not as it should be.
+    /// A file or a response is invalid.
     pub const FINDINGS: u8 = 1;
-    /// The words of the call are off; `clap` uses the same code.
+    /// The command line is invalid; `clap` uses the same code.
     pub const USAGE: u8 = 2;
-    /// The platform or a daemon doesn't answer.
+    /// The platform or a daemon is unreachable.
     pub const UNAVAILABLE: u8 = 3;
-    /// Somebody else was first.
+    /// A concurrent publication was accepted first.
     pub const CONFLICT: u8 = 4;
 }
 
 /// Why a command failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// What happened.
+    /// The error message.
     pub message: String,
-    /// What to do about it.
+    /// A hint on how to fix the error; empty if the message contains it.
     pub help: String,
-    /// The exit code.
+    /// The exit code, one of [`exit`].
     pub exit: u8,
 }
 
 impl Failure {
-    /// A failure with its exit code.
+    /// Creates a failure.
     pub fn new(exit: u8, message: impl Into<String>, help: impl Into<String>) -> Self {
         Self {
             message: message.into(),
@@ -37,25 +37,25 @@
         }
     }
 
-    /// Findings in a file, which bring their own help.
+    /// Creates a failure from findings in a file, which contain their own help.
     pub fn findings(findings: &[Diagnostic]) -> Self {
         let text: Vec<String> = findings.iter().map(ToString::to_string).collect();
         Self::new(exit::FINDINGS, text.join("\n\n"), "")
     }
 
-    /// A file that can't be read or written.
+    /// Creates a failure for a file that can't be read or written.
     pub fn file(name: &str, error: &std::io::Error) -> Self {
         Self::new(
             exit::FINDINGS,
             format!("{name}: {error}"),
-            "name a file that is there and may be used",
+            "name a file that exists and is accessible",
         )
     }
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Findings are printed as they are; they start with their own "error:".
+        // Findings start with their own "error:".
         if self.help.is_empty() {
             return f.write_str(&self.message);
         }
@@ -70,18 +70,20 @@
         match error {
             PlatformError::Conflict(version) => Self::new(
                 exit::CONFLICT,
-                format!("somebody else published first; the head is at object version {version}"),
-                "look at `sorrelctl bundle diff`, then publish again",
+                format!(
+                    "another publication was accepted first; the head is at object version {version}"
+                ),
+                "check `sorrelctl bundle diff`, then publish again",
             ),
             PlatformError::AnswerLost(_) => Self::new(
                 exit::UNAVAILABLE,
                 format!("{error}"),
-                "run `sorrelctl bundle status` before you publish again",
+                "run `sorrelctl bundle status` before publishing again",
             ),
             other => Self::new(
                 exit::UNAVAILABLE,
                 format!("{other}"),
-                "check the address given with --platform, or wait for the end of the outage",
+                "check the address given with --platform, or wait until the outage is over",
             ),
         }
     }
--- a/crates/sorrelturn-command/src/output.rs
+++ b/crates/sorrelturn-command/src/output.rs
@@ -1,19 +1,19 @@
-//! Results for people and for programs.
+//! The output of a command, as text and as JSON.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// What a command prints.
+/// The result of a command in both output formats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Output {
-    /// For people.
+    /// The text for `--output table`.
     pub text: String,
-    /// For programs.
+    /// The value for `--output json`.
     pub json: Value,
 }
 
 impl Output {
-    /// A result with its text.
+    /// Creates an output from a text and a serializable value.
     pub fn new(text: impl Into<String>, json: &impl Serialize) -> Self {
         Self {
             text: text.into(),
@@ -21,20 +21,20 @@
         }
     }
 
-    /// A result as a table.
-    pub fn table(heads: &[&str], rows: &[Vec<String>], json: &impl Serialize) -> Self {
-        Self::new(table(heads, rows), json)
+    /// Creates an output whose text is a table with the column titles `titles`.
+    pub fn table(titles: &[&str], rows: &[Vec<String>], json: &impl Serialize) -> Self {
+        Self::new(table(titles, rows), json)
     }
 }
 
-fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
+fn table(titles: &[&str], rows: &[Vec<String>]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
         let widest = cells.map(|cell| cell.chars().count()).max().unwrap_or(0);
-        widest.max(heads[column].chars().count())
+        widest.max(titles[column].chars().count())
     };
-    let widths: Vec<usize> = (0..heads.len()).map(width).collect();
-    let line = |cells: Vec<&str>| {
+    let widths: Vec<usize> = (0..titles.len()).map(width).collect();
+    let format_row = |cells: Vec<&str>| {
         let padded: Vec<String> = cells
             .iter()
             .zip(&widths)
@@ -42,10 +42,10 @@
             .collect();
         padded.join("  ").trim_end().to_owned()
     };
-    let mut lines = vec![line(heads.to_vec())];
+    let mut lines = vec![format_row(titles.to_vec())];
     lines.extend(
         rows.iter()
-            .map(|row| line(row.iter().map(String::as_str).collect())),
+            .map(|row| format_row(row.iter().map(String::as_str).collect())),
     );
     lines.join("\n")
 }
--- a/crates/sorrelturn-command/src/publication.rs
+++ b/crates/sorrelturn-command/src/publication.rs
@@ -1,4 +1,4 @@
-//! Publishing: sections first, then one conditional update of the head, which is the acceptance.
+//! Publishes bundles: uploads the sections, then accepts the bundle by one conditional update of the head.
 //! See `docs/design/spread.md`.
 
 use crate::{Failure, exit};
@@ -9,37 +9,36 @@
 use sorrelturn_platform::{Expected, Object, Platform, PlatformError, keys};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A signed bundle with its sections, as `bundle sign` writes it and daemons take it.
+/// A signed bundle with its sections, in the format that `bundle sign` writes and daemons accept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publication {
     /// The signed manifest.
     pub manifest: SignedManifest,
-    /// The sections that it names.
+    /// The sections that the manifest lists, or none if the store already has them.
     pub sections: Vec<SectionBytes>,
 }
 
-/// The head as it lies in the store.
+/// The head object of the store: the currently accepted manifest.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The object's version, for the conditional update.
+    /// The version of the object, for the conditional update.
     pub object_version: u64,
-    /// The manifest as it lies there. Daemons check its signature; this command doesn't trust it
-    /// with anything.
+    /// The manifest, with its signature unverified. Daemons verify it.
     pub manifest: Manifest,
     signed: SignedManifest,
 }
 
-/// A publication that was accepted.
+/// An accepted publication.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Accepted {
-    /// Its version.
+    /// The version of the bundle.
     pub version: u64,
-    /// Its sections that were not in the store before.
+    /// The number of sections that were not yet in the store.
     pub new_sections: usize,
 }
 
 impl Publication {
-    /// Signs a bundle as the given version.
+    /// Signs a bundle as `version`. Fails if the system's random number source does.
     pub fn sign(
         source: &BundleSource,
         version: u64,
@@ -63,7 +62,7 @@
         })
     }
 
-    /// Signs the sections of an earlier manifest as a new version.
+    /// Signs the sections of an earlier manifest as a new version. Fails if the system's random number source does.
     pub fn sign_rollback(
         earlier: &Manifest,
         version: u64,
@@ -84,7 +83,7 @@
     }
 }
 
-/// Reads the head; `None` before the first publication.
+/// Reads the head. Returns `None` before the first publication.
 pub async fn read_head(platform: &Platform) -> Result<Option<Head>, Failure> {
     let Some(object) = platform.get(keys::BUNDLE_HEAD).await? else {
         return Ok(None);
@@ -97,7 +96,7 @@
     }))
 }
 
-/// All manifests, the newest first.
+/// Returns all accepted manifests, the newest first.
 pub async fn history(platform: &Platform) -> Result<Vec<Manifest>, Failure> {
     let earlier = platform.list(&keys::history_prefix()).await?;
     let mut manifests = Vec::new();
@@ -110,41 +109,43 @@
     Ok(manifests)
 }
 
-/// Brings a publication into the store on top of `head`, the head that it was made for.
+/// Publishes on top of `head`. Fails with [`exit::CONFLICT`] if the publication isn't the next version or the head has
+/// changed.
 pub async fn publish(
     platform: &Platform,
     head: Option<&Head>,
     publication: &Publication,
 ) -> Result<Accepted, Failure> {
     let signed = &publication.manifest;
-    let manifest: Manifest = serde_json::from_str(&signed.manifest).map_err(|_| unreadable())?;
+    let manifest: Manifest =
+        serde_json::from_str(&signed.manifest).map_err(|_| invalid_manifest())?;
     let expected_version = head.map_or(1, |head| head.manifest.version + 1);
     if manifest.version != expected_version {
         return Err(Failure::new(
             exit::CONFLICT,
             format!(
-                "the publication is signed as version {}, but {expected_version} is next",
+                "the publication is signed as version {}, but the next version is {expected_version}",
                 manifest.version
             ),
             "sign it again on top of the head; `sorrelctl bundle diff` shows what changed",
         ));
     }
     if let Some(head) = head {
-        keep_history(platform, head).await?;
+        add_to_history(platform, head).await?;
     }
     let mut new_sections = 0;
     for section in &publication.sections {
-        new_sections += usize::from(upload(platform, section).await?);
+        new_sections += usize::from(upload_section(platform, section).await?);
     }
     let value = serde_json::to_string(signed).unwrap_or_default();
     let expected = head.map_or(Expected::Absent, |head| {
         Expected::Version(head.object_version)
     });
-    let is_mine = |value: &str| {
-        serde_json::from_str::<SignedManifest>(value).is_ok_and(|found| found == *signed)
+    let is_this_publication = |value: &str| {
+        serde_json::from_str::<SignedManifest>(value).is_ok_and(|stored| stored == *signed)
     };
     platform
-        .put_resolved(keys::BUNDLE_HEAD, &value, expected, is_mine)
+        .put_resolved(keys::BUNDLE_HEAD, &value, expected, is_this_publication)
         .await?;
     Ok(Accepted {
         version: manifest.version,
@@ -152,22 +153,22 @@
     })
 }
 
-/// The head goes into the history before it is replaced, so that the history has no gaps.
-async fn keep_history(platform: &Platform, head: &Head) -> Result<(), Failure> {
+/// Copies the head into the history before it is replaced, so that the history has no gaps.
+async fn add_to_history(platform: &Platform, head: &Head) -> Result<(), Failure> {
     let value = serde_json::to_string(&head.signed).unwrap_or_default();
     let key = keys::history(head.manifest.version);
-    put_once(platform, &key, &value).await.map(|_| ())
+    create_immutable(platform, &key, &value).await.map(|_| ())
 }
 
-async fn upload(platform: &Platform, section: &SectionBytes) -> Result<bool, Failure> {
+async fn upload_section(platform: &Platform, section: &SectionBytes) -> Result<bool, Failure> {
     let key = keys::section(&ContentHash::of(&section.bytes).0);
     let value = String::from_utf8_lossy(&section.bytes);
-    put_once(platform, &key, &value).await
+    create_immutable(platform, &key, &value).await
 }
 
-/// Creates an object whose content never changes; returns whether it is new.
-async fn put_once(platform: &Platform, key: &str, value: &str) -> Result<bool, Failure> {
-    let created = platform.put_resolved(key, value, Expected::Absent, |found| found == value);
+/// Creates an immutable object. Returns whether it is new.
+async fn create_immutable(platform: &Platform, key: &str, value: &str) -> Result<bool, Failure> {
+    let created = platform.put_resolved(key, value, Expected::Absent, |stored| stored == value);
     match created.await {
         Ok(_) => Ok(true),
         Err(PlatformError::Conflict(_)) => Ok(false),
@@ -176,16 +177,17 @@
 }
 
 fn read_manifest(object: &Object) -> Result<(SignedManifest, Manifest), Failure> {
-    let signed: SignedManifest = serde_json::from_str(&object.value).map_err(|_| unreadable())?;
-    let manifest = serde_json::from_str(&signed.manifest).map_err(|_| unreadable())?;
+    let signed: SignedManifest =
+        serde_json::from_str(&object.value).map_err(|_| invalid_manifest())?;
+    let manifest = serde_json::from_str(&signed.manifest).map_err(|_| invalid_manifest())?;
     Ok((signed, manifest))
 }
 
-fn unreadable() -> Failure {
+fn invalid_manifest() -> Failure {
     Failure::new(
         exit::FINDINGS,
-        "a manifest can't be read",
-        "use the sorrelctl that wrote it, or a later one",
+        "can't parse a manifest",
+        "use the version of sorrelctl that wrote it, or a later one",
     )
 }
 
@@ -193,7 +195,11 @@
     let mut id = [0; 16];
     getrandom::fill(&mut id).map_err(|_| {
         let help = "check the system's random number source";
-        Failure::new(exit::FINDINGS, "the system gives no random numbers", help)
+        Failure::new(
+            exit::FINDINGS,
+            "the system's random number source failed",
+            help,
+        )
     })?;
     Ok(id.iter().map(|byte| format!("{byte:02x}")).collect())
 }
--- a/crates/sorrelturn-command/src/remote.rs
+++ b/crates/sorrelturn-command/src/remote.rs
@@ -1,4 +1,4 @@
-//! Talking to the platform and to a daemon's admin port.
+//! Requests to the platform and to the admin API of a daemon.
 
 use crate::{Failure, exit};
 use bytes::Bytes;
@@ -8,13 +8,13 @@
 use sorrelturn_platform::{Platform, http::exchange};
 use std::{net::SocketAddr, time::Duration};
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(crate) fn platform_arg() -> Arg {
     Arg::new("platform")
         .long("platform")
         .value_name("ADDRESS")
-        .help("The platform's object API")
+        .help("The address of the platform's object API")
         .env("SORRELTURN_PLATFORM")
         .required(true)
         .value_parser(value_parser!(SocketAddr))
@@ -31,7 +31,7 @@
 }
 
 pub(crate) fn platform(args: &ArgMatches) -> Platform {
-    Platform::new(address(args, "platform"), TIMEOUT)
+    Platform::new(address(args, "platform"), REQUEST_TIMEOUT)
 }
 
 pub(crate) fn address(args: &ArgMatches, name: &str) -> SocketAddr {
@@ -49,24 +49,26 @@
     let mut req = Request::new(Bytes::from(body));
     *req.method_mut() = method;
     *req.uri_mut() = path.parse().map_err(|_| {
-        let help = "write a request id as the header sorrelturn-request-id gives it";
-        Failure::new(exit::USAGE, format!("{path} is no path"), help)
-    })?;
-    let res = exchange(addr, req, TIMEOUT).await.map_err(|error| {
-        let help = "check the address given with --daemon";
-        Failure::new(exit::UNAVAILABLE, format!("daemon {addr}: {error}"), help)
+        let help = "use a request ID from the header sorrelturn-request-id";
+        Failure::new(exit::USAGE, format!("{path} is not a valid path"), help)
     })?;
+    let res = exchange(addr, req, REQUEST_TIMEOUT)
+        .await
+        .map_err(|error| {
+            let help = "check the address given with --daemon";
+            Failure::new(exit::UNAVAILABLE, format!("daemon {addr}: {error}"), help)
+        })?;
     if !res.status().is_success() {
         let text = String::from_utf8_lossy(res.body()).trim().to_owned();
-        let help = "see the daemon's log for the event";
-        let message = format!("daemon {addr} answers {}: {text}", res.status());
+        let help = "see the daemon's log";
+        let message = format!("daemon {addr} responded with {}: {text}", res.status());
         return Err(Failure::new(exit::FINDINGS, message, help));
     }
     serde_json::from_slice(res.body()).map_err(|error| {
         let help = "use sorrelctl and sorrelturnd of the same version";
         Failure::new(
             exit::FINDINGS,
-            format!("daemon {addr} sends what can't be read: {error}"),
+            format!("can't parse the response of daemon {addr}: {error}"),
             help,
         )
     })
--- a/crates/sorrelturn-command/tests/commands.rs
+++ b/crates/sorrelturn-command/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line: examples that parse, exit codes, both forms of output.
+//! Guards against help examples that don't parse, and wrong exit codes or output formats.
 
 use sorrelturn_command::{COMMANDS, root};
 use std::{
@@ -12,7 +12,7 @@
         .current_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("../.."))
         .env_remove("SORRELTURN_PLATFORM")
         .output()
-        .expect("it runs")
+        .expect("sorrelctl should start")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -24,7 +24,7 @@
     for entry in COMMANDS {
         let help = (entry.signature)()
             .get_after_help()
-            .expect("each has an example")
+            .expect("every command should have examples")
             .to_string();
         let examples: Vec<&str> = help
             .lines()
@@ -54,7 +54,8 @@
         "--output",
         "json",
     ]);
-    let value: serde_json::Value = serde_json::from_slice(&json.stdout).expect("json");
+    let value: serde_json::Value =
+        serde_json::from_slice(&json.stdout).expect("stdout should be JSON");
     assert_eq!(value["services"], 4);
 }
 
@@ -64,7 +65,7 @@
         (
             &["bundle", "check", "nowhere.jsonc"],
             1,
-            "help: name a file",
+            "help: name a file that exists",
         ),
         (
             &["bundle", "check", "settings/sorrelturnd.jsonc"],
@@ -105,15 +106,15 @@
     use std::os::unix::fs::PermissionsExt;
     let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join("anna.key");
     let _ = std::fs::remove_file(&file);
-    let shown = file.display().to_string();
-    let made = sorrelctl(&["key", "new", "anna", "--file", &shown]);
-    assert!(made.status.success(), "{made:?}");
+    let file_name = file.display().to_string();
+    let created = sorrelctl(&["key", "new", "anna", "--file", &file_name]);
+    assert!(created.status.success(), "{created:?}");
     let mode = std::fs::metadata(&file)
-        .expect("the file")
+        .expect("the key file should exist")
         .permissions()
         .mode();
     assert_eq!(mode & 0o777, 0o600);
-    let again = sorrelctl(&["key", "new", "anna", "--file", &shown]);
+    let again = sorrelctl(&["key", "new", "anna", "--file", &file_name]);
     assert_eq!(again.status.code(), Some(1));
 }
 
@@ -142,11 +143,15 @@
     std::fs::write(&entry, first).expect("the folder can be written");
     std::fs::write(&owner, second).expect("the folder can be written");
     let (entry, owner) = (entry.display().to_string(), owner.display().to_string());
-    let told = sorrelctl(&["explain", "9c41d07be2a35f68", "--logs", &entry, &owner]);
-    let words = text(&told.stdout);
-    assert!(told.status.success(), "{told:?}");
-    let refused = words.find("(S110) at i-2").expect("the owner's line");
-    let forwarded = words.find("(S101) at i-1").expect("the entry's line");
+    let explained = sorrelctl(&["explain", "9c41d07be2a35f68", "--logs", &entry, &owner]);
+    let words = text(&explained.stdout);
+    assert!(explained.status.success(), "{explained:?}");
+    let refused = words
+        .find("(S110) at i-2")
+        .expect("the owner's event should be shown");
+    let forwarded = words
+        .find("(S101) at i-1")
+        .expect("the entry's event should be shown");
     assert!(refused < forwarded, "{words}");
     assert!(words.contains("reason overload"), "{words}");
     assert!(!words.contains("S102"), "{words}");
