--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -204,8 +204,9 @@
         }
     }
 
-    /// Stops the daemon. It reports itself as not ready at once, refuses new requests after a notice to peers, finishes or
-    /// finally answers the requests in progress, and writes its last records. Returns whether no request was cut off.
+    /// Stops the daemon. It reports itself as not ready at once, refuses new requests after a notice to peers, finishes
+    /// the requests in progress or refuses them by the deadline, and writes its last records. Returns whether no request
+    /// was cut off.
     pub async fn stop(self) -> bool {
         let node = &self.node;
         let stop_deadline = node.now() + Duration::from_millis(node.settings.stop.most_ms);
