--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -133,7 +133,7 @@
 
 /// Responds whether this daemon is ready for requests of callers.
 pub(crate) async fn ready(node: &Arc<Node>, _: Request<Incoming>) -> Response<Body> {
-    let is_stopping = node.ending.has_begun();
+    let is_stopping = node.shutdown.has_begun();
     let has_bundle = node.in_force.load().is_some();
     status(if has_bundle && !is_stopping {
         StatusCode::OK
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -150,7 +150,7 @@
         return;
     }
     routed.foreign_logged_at.set(now);
-    node.note(
+    node.record_event(
         &events::BACKEND_REPORT_REFUSED,
         vec![Field::new("reason", reason)],
     );
@@ -172,12 +172,12 @@
     let change = lock(&routed.presence).receive(node.now(), announcement);
     match change {
         PresenceChange::NowReady => {
-            node.note(&events::BACKEND_READY, fields);
+            node.record_event(&events::BACKEND_READY, fields);
             report_if_replaced(node, routed, before.as_ref());
             on_backend_ready(node, routed);
         }
         PresenceChange::NowLeaving => {
-            node.note(&events::BACKEND_LEAVING, fields);
+            node.record_event(&events::BACKEND_LEAVING, fields);
             on_backend_leaving(node, routed);
         }
         PresenceChange::NoChange | PresenceChange::Outdated | PresenceChange::Unconfirmed => {}
@@ -198,7 +198,7 @@
     if lock(&routed.presence).record_answer_from(node.now(), id) {
         report_if_replaced(node, routed, before.as_ref());
         let fields = vec![Field::new("backend", id), Field::new("state", "answered")];
-        node.note(&events::BACKEND_READY, fields);
+        node.record_event(&events::BACKEND_READY, fields);
         on_backend_ready(node, routed);
     }
 }
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -50,7 +50,7 @@
 
 /// Records that another daemon chose this one as a neighbour, so that updates are also pushed to it.
 pub(crate) fn record_visitor(node: &Node, instance: &str) {
-    let mut visitors = lock(&node.visitors);
+    let mut visitors = lock(&node.inbound_neighbours);
     if visitors.len() < MAX_VISITORS || visitors.contains_key(instance) {
         visitors.insert(instance.to_owned(), node.now());
     }
@@ -89,7 +89,7 @@
 fn push_recipients(node: &Node) -> Vec<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
     refill_neighbours(node, &mut neighbours);
-    let mut visitors = lock(&node.visitors);
+    let mut visitors = lock(&node.inbound_neighbours);
     visitors.retain(|_, last_seen| node.now().saturating_sub(*last_seen) < VISITOR_TIMEOUT);
     let membership = lock(&node.membership);
     neighbours
@@ -195,7 +195,7 @@
     let own = lock(&node.membership).digest();
     let digest = Digest {
         from: (**node.own_record.load()).clone(),
-        version: lock(&node.spread).in_force(),
+        version: lock(&node.bundle_tracker).in_force(),
         members: own.total(),
         crashes: node.suspected_requests.checksum(node.now()),
     };
@@ -234,7 +234,7 @@
         })
         .collect();
     for record in &records {
-        if node.outrank_earlier_run(record) {
+        if node.outrank_earlier_incarnation(record) {
             push_own_record(node);
         }
     }
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -181,5 +181,5 @@
         Field::new("requests", requests.len()),
         Field::new("fingerprints", fingerprints.join(",")),
     ];
-    node.note(kind, fields);
+    node.record_event(kind, fields);
 }
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -58,7 +58,7 @@
             Timer::after(RANK_CHECK_INTERVAL).await;
         }
         node.counts.watching.store(true, Ordering::Relaxed);
-        node.note(&events::WATCHER_STARTED, Vec::new());
+        node.record_event(&events::WATCHER_STARTED, Vec::new());
         let until_replaced = async {
             while should_watch(&node).await {
                 Timer::after(RANK_CHECK_INTERVAL).await;
@@ -66,7 +66,7 @@
         };
         watch_all(&node).or(until_replaced).await;
         node.counts.watching.store(false, Ordering::Relaxed);
-        node.note(&events::WATCHER_ENDED, Vec::new());
+        node.record_event(&events::WATCHER_ENDED, Vec::new());
     }
 }
 
@@ -179,9 +179,9 @@
 fn log_platform_state(node: &Node, is_lost: &mut bool, error: Option<&PlatformError>) {
     match (error, *is_lost) {
         (Some(error), false) => {
-            node.note(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
+            node.record_event(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
         }
-        (None, true) => node.note(&events::PLATFORM_BACK, Vec::new()),
+        (None, true) => node.record_event(&events::PLATFORM_BACK, Vec::new()),
         _ => {}
     }
     *is_lost = error.is_some();
@@ -214,7 +214,7 @@
                 restart_watches();
             }
             if let Err(FetchError::RoutesRefused(error)) = read {
-                node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
+                node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
             }
         } else if let Ok(Some(object)) = node.platform.get(head_key(node)).await {
             if object.version > watched.0.load(Ordering::Relaxed) {
@@ -236,7 +236,9 @@
     if node.settings.routes.is_some() {
         match fetch::accept_routes(node, value) {
             Ok(()) => node.route_staleness.record_accepted(object.version),
-            Err(error) => node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]),
+            Err(error) => {
+                node.record_event(&events::BUNDLE_REFUSED, vec![Field::new("error", error)])
+            }
         }
         return;
     }
@@ -245,7 +247,7 @@
         .and_then(|signed| signed.verify(&node.trusted).ok());
     match manifest {
         Some(manifest) => fetch::fetch_if_newer(node, manifest.version, Source::Store),
-        None => node.note(
+        None => node.record_event(
             &events::BUNDLE_REFUSED,
             vec![Field::new(
                 "error",
@@ -289,7 +291,7 @@
         if diff.rejected_services != rejected_services && !listed.is_empty() {
             for service in &diff.rejected_services {
                 let fields = vec![Field::new("service", service)];
-                node.note(&events::VM_LIST_NOT_BELIEVED, fields);
+                node.record_event(&events::VM_LIST_NOT_BELIEVED, fields);
             }
         }
         apply_vm_list(node, &diff).await;
@@ -319,7 +321,7 @@
         if node.now() >= since + GONE_TIMEOUT {
             unresponsive_since.remove(&record.instance);
             let fields = vec![Field::new("member", &record.instance)];
-            node.note(&events::MEMBER_SWEPT, fields);
+            node.record_event(&events::MEMBER_SWEPT, fields);
             declare_gone(node, record).await;
         }
     }
@@ -379,7 +381,7 @@
         let timeout = silence_timeout(node.domain_members());
         let status = {
             let membership = lock(&node.membership);
-            let mut view = lock(&node.view);
+            let mut view = lock(&node.domain_view);
             view.retain_members(|instance| {
                 membership
                     .get(instance)
--- a/crates/sorrelturn-daemon/src/net/pool.rs
+++ b/crates/sorrelturn-daemon/src/net/pool.rs
@@ -249,7 +249,7 @@
             let left = self
                 .response_times
                 .overdue_timeout()
-                .saturating_sub(self.clock.since(since));
+                .saturating_sub(self.clock.elapsed_since(since));
             if !left.is_zero() {
                 timers.after(left).await;
                 continue;
@@ -327,7 +327,7 @@
     fn take_idle(&self) -> Option<Conn> {
         let mut idle = lock(&self.idle);
         while let Some(last) = idle.pop_back() {
-            if self.clock.since(last.since) >= self.idle_timeout() {
+            if self.clock.elapsed_since(last.since) >= self.idle_timeout() {
                 idle.clear();
             } else if !last.conn.sender.is_closed() {
                 return Some(last.conn);
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -4,7 +4,7 @@
     backend::announce,
     net::connections::Connection,
     net::timers::Timers,
-    node::{Carried, Node, lock},
+    node::{ActiveRequest, Node, lock},
     request::answer::Reply,
     request::body::{self, Body},
     request::entry,
@@ -94,7 +94,7 @@
                 if lacks_descriptors(&error) {
                     node.connections.close_idle(IDLE_CLOSED_ON_SHORTAGE);
                 }
-                node.note(&events::ACCEPT_FAILED, vec![Field::new("error", error)]);
+                node.record_event(&events::ACCEPT_FAILED, vec![Field::new("error", error)]);
                 Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -270,7 +270,7 @@
     let stream = match node.keys.accept(tcp).or(timed_out).await {
         Ok(stream) => stream,
         Err(error) => {
-            node.note(&events::BAD_PEER, vec![Field::new("error", error)]);
+            node.record_event(&events::BAD_PEER, vec![Field::new("error", error)]);
             return;
         }
     };
@@ -284,7 +284,7 @@
     if let Err(error) = result
         && error.is_parse()
     {
-        node.note(&events::BAD_PEER, vec![Field::new("error", error)]);
+        node.record_event(&events::BAD_PEER, vec![Field::new("error", error)]);
     }
 }
 
@@ -297,7 +297,7 @@
         if let Some(res) = status_query_response(node, req.headers()) {
             return res;
         }
-        node.note(&events::BAD_PEER, vec![Field::new("error", "no context")]);
+        node.record_event(&events::BAD_PEER, vec![Field::new("error", "no context")]);
         return status(StatusCode::BAD_REQUEST);
     };
     headers::strip_internal(req.headers_mut());
@@ -373,9 +373,9 @@
 }
 
 fn bad_request(node: &Arc<Node>) -> Response<Body> {
-    node.note(&events::BAD_REQUEST, Vec::new());
+    node.record_event(&events::BAD_REQUEST, Vec::new());
     let request = sorrelturn_protocol::RequestId::random(&mut fastrand::Rng::new());
-    Reply::not_run(Refusal::Malformed).into_response(request, Carried::new(node))
+    Reply::not_run(Refusal::Malformed).into_response(request, ActiveRequest::new(node))
 }
 
 pub(crate) fn status(code: StatusCode) -> Response<Body> {
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -69,7 +69,7 @@
 ) -> Result<Reply, Failure> {
     let deadline_exceeded = async {
         let deadline = node.timers.at(call.deadline);
-        deadline.or(node.ending.over()).await;
+        deadline.or(node.shutdown.answers_due()).await;
         Err(Failure::DeadlineExceeded)
     };
     if route.record.incarnation == node.incarnation {
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -124,7 +124,7 @@
 fn stops_before_answer(node: &Node, call: &Call) -> bool {
     let expected_duration = call.kind.target.unwrap_or(DEFAULT_EXPECTED_DURATION);
     let expected_end = call.deadline.min(node.now() + expected_duration);
-    call.context.token.is_none() && node.ending.bound(expected_end) < expected_end
+    call.context.token.is_none() && node.shutdown.cap_deadline(expected_end) < expected_end
 }
 
 /// Returns how long a request that crashes backend servers stays quarantined, or `None` if it isn't.
@@ -169,7 +169,7 @@
     let was_unresponsive = matches!(result, Err(Failure::NeverArrived | Failure::AnswerLost));
     if in_flight.finish(instance_report(&result)) {
         route.link.drop_idle();
-        node.note(
+        node.record_event(
             &events::EJECTED,
             vec![Field::new("member", &route.record.instance)],
         );
@@ -300,7 +300,7 @@
     progress: &mut CallProgress,
 ) -> Option<Request<Body>> {
     let body = call.payload.take()?;
-    let deadline = node.ending.bound(call.deadline);
+    let deadline = node.shutdown.cap_deadline(call.deadline);
     let remaining = deadline.saturating_sub(node.now());
     call.context.deadline_ms = remaining.as_millis().min(u128::from(u32::MAX)) as u32;
     call.context.attempts = attempts_for_try(call, progress);
@@ -361,7 +361,7 @@
     kind_state: &KindState,
     reply: &Reply,
 ) -> bool {
-    let deadline = node.ending.bound(call.deadline);
+    let deadline = node.shutdown.cap_deadline(call.deadline);
     let remaining = deadline.saturating_sub(node.now());
     let has_time_left = remaining >= MIN_TIME_FOR_RETRY;
     if call.context.token.is_some() {
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -35,7 +35,7 @@
     let mut delay = INITIAL_RETRY_DELAY;
     while let Err(error) = node.platform.put(&key, &value, Expected::Anything).await {
         let fields = vec![Field::new("key", &key), Field::new("error", error)];
-        node.note(&events::QUARANTINE_UNSAVED, fields);
+        node.record_event(&events::QUARANTINE_UNSAVED, fields);
         Timer::after(delay).await;
         delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
@@ -80,7 +80,7 @@
     record
         .map_err(|error| {
             let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
-            node.note(&events::RECORD_UNREADABLE, fields);
+            node.record_event(&events::RECORD_UNREADABLE, fields);
         })
         .ok()
 }
@@ -89,6 +89,6 @@
     if let Err(error) = node.platform.delete(&object.key).await {
         // The next reader tries again.
         let fields = vec![Field::new("key", &object.key), Field::new("error", error)];
-        node.note(&events::QUARANTINE_UNSAVED, fields);
+        node.record_event(&events::QUARANTINE_UNSAVED, fields);
     }
 }
