--- a/crates/sorrelturn-bench/src/baseline.rs
+++ b/crates/sorrelturn-bench/src/baseline.rs
@@ -23,9 +23,9 @@
 use crate::client::Client;
 
 /// How often a hop tries a call.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// The longest time for one try.
-const TRY_TIME: Duration = Duration::from_secs(2);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Which baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 struct Target {
     client: Client,
     in_flight: AtomicUsize,
-    most: usize,
+    max_in_flight: usize,
 }
 
 /// One proxy that stands for all: it knows every backend server.
@@ -62,12 +62,12 @@
     }
 
     /// Adds a backend server.
-    pub fn add(&self, ex: &Arc<Executor<'static>>, service: &str, addr: SocketAddr) {
+    pub fn add_backend(&self, ex: &Arc<Executor<'static>>, service: &str, addr: SocketAddr) {
         let slots = self.bundle.service(service).map_or(1, |s| s.slots as usize);
         let target = Target {
             client: Client::new(Arc::clone(ex), addr),
             in_flight: AtomicUsize::new(0),
-            most: match self.kind {
+            max_in_flight: match self.kind {
                 BaselineKind::PassThrough => usize::MAX,
                 BaselineKind::FixedLimits => slots + slots / 2,
             },
@@ -109,11 +109,11 @@
             .bundle
             .match_kind(parts.method.as_str(), parts.uri.path());
         let Some(kind) = kind else {
-            return Ok(status(StatusCode::NOT_FOUND));
+            return Ok(empty_response(StatusCode::NOT_FOUND));
         };
-        let mut answer = status(StatusCode::BAD_GATEWAY);
-        for _ in 0..TRIES {
-            let Some(target) = self.pick(&kind.service) else {
+        let mut answer = empty_response(StatusCode::BAD_GATEWAY);
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(target) = self.random_target(&kind.service) else {
                 break;
             };
             let mut req = Request::new(body.clone());
@@ -128,7 +128,7 @@
         Ok(answer)
     }
 
-    fn pick(&self, service: &str) -> Option<Arc<Target>> {
+    fn random_target(&self, service: &str) -> Option<Arc<Target>> {
         let targets = self.targets.lock().unwrap_or_else(PoisonError::into_inner);
         let targets = targets.get(service)?;
         targets.get(fastrand::usize(..targets.len())).cloned()
@@ -137,38 +137,38 @@
 
 impl Target {
     async fn call(&self, req: Request<Bytes>) -> Response<Full<Bytes>> {
-        let _counted = Counted::new(&self.in_flight);
-        if self.in_flight.load(Ordering::Relaxed) > self.most {
-            return status(StatusCode::SERVICE_UNAVAILABLE);
+        let _guard = InFlightGuard::new(&self.in_flight);
+        if self.in_flight.load(Ordering::Relaxed) > self.max_in_flight {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        match self.client.send_within(req, None, TRY_TIME).await {
+        match self.client.send_within(req, None, ATTEMPT_TIMEOUT).await {
             Ok(answer) => {
                 let mut res = Response::new(Full::new(answer.body));
                 *res.status_mut() = answer.status.try_into().unwrap_or_default();
                 res
             }
-            Err(_) => status(StatusCode::BAD_GATEWAY),
+            Err(_) => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 }
 
 /// Counts a call while it lives; calls are dropped when their caller goes away.
-struct Counted<'a>(&'a AtomicUsize);
+struct InFlightGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Counted<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn status(code: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(code: StatusCode) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = code;
     res
--- a/crates/sorrelturn-bench/src/capacity.rs
+++ b/crates/sorrelturn-bench/src/capacity.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// The share of a kind that is added in one step of [`Capacity::best`].
-const STEP: f64 = 0.01;
+const STEP_FRACTION: f64 = 0.01;
 
 /// The slots of a fleet and the work that its backend servers do.
 pub struct Capacity<'a> {
@@ -24,16 +24,17 @@
 }
 
 /// Slots in use by service.
-type Busy = BTreeMap<String, f64>;
+type SlotUsage = BTreeMap<String, f64>;
 
 impl Capacity<'_> {
     /// Root requests a second of a mix that the slots can carry.
-    pub fn of_mix(&self, mix: &[MixPart]) -> f64 {
-        let mut busy = Busy::new();
+    pub fn max_rate(&self, mix: &[MixPart]) -> f64 {
+        let mut usage = SlotUsage::new();
         for part in mix {
-            self.hold(&part.kind, part.share, &mut busy);
+            self.add_slot_usage(&part.kind, part.share, &mut usage);
         }
-        busy.iter()
+        usage
+            .iter()
             .map(|(service, slots)| self.slots(service) / slots)
             .fold(f64::INFINITY, f64::min)
     }
@@ -41,8 +42,8 @@
     /// The most good answers a second by importance when `rate` root requests a second are asked for
     /// and importance goes first. Kinds of one importance get the same share until one of their
     /// services is full.
-    pub fn best(&self, mix: &[MixPart], rate: f64) -> BTreeMap<Importance, f64> {
-        let mut busy = Busy::new();
+    pub fn max_goodput(&self, mix: &[MixPart], rate: f64) -> BTreeMap<Importance, f64> {
+        let mut usage = SlotUsage::new();
         let mut good = BTreeMap::new();
         let mut importances: Vec<Importance> = mix.iter().map(|part| part.importance).collect();
         importances.sort_unstable();
@@ -50,25 +51,25 @@
         for importance in importances.into_iter().rev() {
             let parts = mix.iter().filter(|part| part.importance == importance);
             let parts: Vec<&MixPart> = parts.collect();
-            good.insert(importance, self.fill(&parts, rate, &mut busy));
+            good.insert(importance, self.fill(&parts, rate, &mut usage));
         }
         good
     }
 
-    fn fill(&self, parts: &[&MixPart], rate: f64, busy: &mut Busy) -> f64 {
-        let mut open: Vec<&MixPart> = parts.to_vec();
+    fn fill(&self, parts: &[&MixPart], rate: f64, usage: &mut SlotUsage) -> f64 {
+        let mut unfilled: Vec<&MixPart> = parts.to_vec();
         let mut good = 0.0;
-        for _ in 0..(1.0 / STEP).round() as u32 {
-            open.retain(|part| {
-                let more = part.share * rate * STEP;
-                let mut with = busy.clone();
-                self.hold(&part.kind, more, &mut with);
-                let fits = with
+        for _ in 0..(1.0 / STEP_FRACTION).round() as u32 {
+            unfilled.retain(|part| {
+                let step_rate = part.share * rate * STEP_FRACTION;
+                let mut with_step = usage.clone();
+                self.add_slot_usage(&part.kind, step_rate, &mut with_step);
+                let fits = with_step
                     .iter()
                     .all(|(service, slots)| *slots <= self.slots(service));
                 if fits {
-                    *busy = with;
-                    good += more;
+                    *usage = with_step;
+                    good += step_rate;
                 }
                 fits
             });
@@ -86,7 +87,7 @@
     }
 
     /// Adds the slots that a kind keeps busy at `rate`; returns the seconds that one request holds.
-    fn hold(&self, kind: &str, rate: f64, busy: &mut Busy) -> f64 {
+    fn add_slot_usage(&self, kind: &str, rate: f64, usage: &mut SlotUsage) -> f64 {
         let Some(entry) = self.bundle.kind(kind) else {
             return 0.0;
         };
@@ -100,9 +101,9 @@
         let mut seconds = work_ms * slow / 1000.0;
         for (child, count) in &entry.kind.calls {
             let count = f64::from(*count);
-            seconds += count * self.hold(child, rate * count, busy);
+            seconds += count * self.add_slot_usage(child, rate * count, usage);
         }
-        *busy.entry(entry.service.clone()).or_default() += rate * seconds;
+        *usage.entry(entry.service.clone()).or_default() += rate * seconds;
         seconds
     }
 }
--- a/crates/sorrelturn-bench/src/commands/demo.rs
+++ b/crates/sorrelturn-bench/src/commands/demo.rs
@@ -2,7 +2,7 @@
 
 use super::{
     CommandEntry,
-    overload::{SYSTEMS, heads, measure, row},
+    overload::{SYSTEMS, measure, table_head, table_row},
 };
 use crate::{scenario::Scenario, workload::Workload};
 use clap::{ArgMatches, Command};
@@ -23,7 +23,7 @@
     surge: 2.0,
     slow: 3.0,
     tries: 3,
-    pressures: 1,
+    overloads: 1,
 };
 
 fn signature() -> Command {
@@ -33,7 +33,7 @@
 }
 
 fn run(_: &ArgMatches) -> ExitCode {
-    let workload = Arc::new(Workload::of("protokols-riga"));
+    let workload = Arc::new(Workload::for_deployment("protokols-riga"));
     println!(
         "Four services in 15 instances carry {:.0} requests/s at most. Then comes {}.\n",
         workload.capacity, SCENARIO.name
@@ -54,9 +54,9 @@
     println!(
         "\nGood answers under pressure by importance, goodput, recovery, and what must be 0:\n"
     );
-    println!("{}", heads());
+    println!("{}", table_head());
     for summary in &summaries {
-        println!("{}", row(summary));
+        println!("{}", table_row(summary));
     }
     ExitCode::SUCCESS
 }
--- a/crates/sorrelturn-bench/src/commands/experiment.rs
+++ b/crates/sorrelturn-bench/src/commands/experiment.rs
@@ -1,7 +1,7 @@
 //! `sorrelturn-bench experiment`
 
 use super::CommandEntry;
-use crate::experiment::{Experiment, Mechanism, Outcome, play_experiment, plot, table};
+use crate::experiment::{Experiment, Mechanism, Outcome, plot, simulate_experiment, table};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::{
     path::{Path, PathBuf},
@@ -13,7 +13,7 @@
 };
 
 /// What is switched off where nothing is: everything is played as the product does it.
-const AS_IT_IS: &str = "as it is";
+const UNCHANGED: &str = "as it is";
 
 pub(super) const ENTRY: CommandEntry = CommandEntry {
     name: "experiment",
@@ -67,7 +67,7 @@
                 .value_name("SECONDS")
                 .help("Shows a stretch besides the whole, as 13-21")
                 .action(ArgAction::Append)
-                .value_parser(stretch),
+                .value_parser(parse_interval),
         )
         .arg(
             Arg::new("plot")
@@ -78,7 +78,7 @@
         )
 }
 
-fn stretch(text: &str) -> Result<(usize, usize), String> {
+fn parse_interval(text: &str) -> Result<(usize, usize), String> {
     let parts = text.split_once('-');
     let seconds = parts.and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
     match seconds {
@@ -88,7 +88,7 @@
 }
 
 fn run(args: &ArgMatches) -> ExitCode {
-    match played(args) {
+    match simulate(args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
@@ -97,14 +97,14 @@
     }
 }
 
-fn played(args: &ArgMatches) -> Result<(), String> {
+fn simulate(args: &ArgMatches) -> Result<(), String> {
     let seeds = *args.get_one::<u64>("seeds").expect("clap fills it in");
     let variants = variants(args)?;
     let outcomes: Vec<(String, Outcome)> = variants
         .into_iter()
         .map(|(name, experiment)| {
             eprintln!("playing: {name}");
-            let outcome = play_seeds(&experiment, seeds);
+            let outcome = simulate_seeds(&experiment, seeds);
             (name, outcome)
         })
         .collect();
@@ -112,11 +112,11 @@
         .iter()
         .map(|(name, outcome)| (name.as_str(), outcome))
         .collect();
-    let stretches: Vec<(usize, usize)> = args
+    let intervals: Vec<(usize, usize)> = args
         .get_many("between")
-        .map(|stretches| stretches.copied().collect())
+        .map(|intervals| intervals.copied().collect())
         .unwrap_or_default();
-    print!("{}", table(&shown, &stretches));
+    print!("{}", table(&shown, &intervals));
     if let Some(path) = args.get_one::<PathBuf>("plot") {
         std::fs::write(path, plot(&shown))
             .map_err(|error| format!("{} can't be written: {error}", path.display()))?;
@@ -130,28 +130,31 @@
     let path = args.get_one::<PathBuf>("file").expect("clap requires it");
     let experiment = read(path)?;
     println!("{}\n", experiment.about);
-    let mut variants = vec![(AS_IT_IS.to_owned(), experiment.clone())];
+    let mut variants = vec![(UNCHANGED.to_owned(), experiment.clone())];
     if let Some(against) = args.get_one::<PathBuf>("against") {
         variants.push((against.display().to_string(), read(against)?));
     }
-    let named: Vec<&String> = args
+    let mechanism_names: Vec<&String> = args
         .get_many("without")
         .map(Iterator::collect)
         .unwrap_or_default();
     for (word, mechanism) in Mechanism::ALL {
-        if named.iter().any(|name| *name == word || *name == "all") {
-            let mut without = experiment.clone();
-            without.without.push(mechanism);
-            variants.push((format!("without {word}"), without));
+        if mechanism_names
+            .iter()
+            .any(|name| *name == word || *name == "all")
+        {
+            let mut variant = experiment.clone();
+            variant.without.push(mechanism);
+            variants.push((format!("without {word}"), variant));
         }
     }
     Ok(variants)
 }
 
 /// Plays many seeds on all cores; the sum doesn't depend on which is done first.
-fn play_seeds(experiment: &Experiment, seeds: u64) -> Outcome {
+fn simulate_seeds(experiment: &Experiment, seeds: u64) -> Outcome {
     let next = AtomicU64::new(0);
-    let played = Mutex::new(Vec::new());
+    let outcomes = Mutex::new(Vec::new());
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..cores {
@@ -161,18 +164,20 @@
                     if seed >= seeds {
                         return;
                     }
-                    let outcome = play_experiment(experiment, seed);
+                    let outcome = simulate_experiment(experiment, seed);
                     eprintln!("  seed {seed} of {seeds}: worth {:.3}", outcome.worth());
-                    let mut played = played.lock().unwrap_or_else(PoisonError::into_inner);
-                    played.push((seed, outcome));
+                    let mut outcomes = outcomes.lock().unwrap_or_else(PoisonError::into_inner);
+                    outcomes.push((seed, outcome));
                 }
             });
         }
     });
-    let mut played = played.into_inner().unwrap_or_else(PoisonError::into_inner);
-    played.sort_unstable_by_key(|(seed, _)| *seed);
+    let mut outcomes = outcomes
+        .into_inner()
+        .unwrap_or_else(PoisonError::into_inner);
+    outcomes.sort_unstable_by_key(|(seed, _)| *seed);
     let mut sum = Outcome::default();
-    for (_, outcome) in &played {
+    for (_, outcome) in &outcomes {
         sum.add(outcome);
     }
     sum
--- a/crates/sorrelturn-bench/src/commands/instructions.rs
+++ b/crates/sorrelturn-bench/src/commands/instructions.rs
@@ -15,7 +15,7 @@
 const FEW_ROUNDS: u64 = 1_000;
 const MANY_ROUNDS: u64 = 3_000;
 /// What callgrind writes before the count.
-const COUNT_LABEL: &str = "Collected : ";
+const CALLGRIND_COUNT_LABEL: &str = "Collected : ";
 
 fn signature() -> Command {
     Command::new("instructions")
@@ -56,8 +56,8 @@
     println!("{:<18} {:>12} {:>8}", "decision", "instructions", "most");
     let mut code = ExitCode::SUCCESS;
     for decision in DECISIONS {
-        let counted = match count(decision) {
-            Ok(counted) => counted,
+        let instructions = match instructions_per_round(decision) {
+            Ok(instructions) => instructions,
             Err(error) => {
                 eprintln!(
                     "error: {error}\n  help: install valgrind, as in apt-get install valgrind"
@@ -65,8 +65,11 @@
                 return ExitCode::FAILURE;
             }
         };
-        println!("{:<18} {counted:>12} {:>8}", decision.name, decision.most);
-        if counted > decision.most {
+        println!(
+            "{:<18} {instructions:>12} {:>8}",
+            decision.name, decision.max_instructions
+        );
+        if instructions > decision.max_instructions {
             eprintln!("error: {} takes more than its bound", decision.name);
             code = ExitCode::FAILURE;
         }
@@ -75,13 +78,13 @@
 }
 
 /// The instructions of one round.
-fn count(decision: &Decision) -> Result<u64, String> {
-    let few = collected(decision.name, FEW_ROUNDS)?;
-    let many = collected(decision.name, MANY_ROUNDS)?;
+fn instructions_per_round(decision: &Decision) -> Result<u64, String> {
+    let few = collected_instructions(decision.name, FEW_ROUNDS)?;
+    let many = collected_instructions(decision.name, MANY_ROUNDS)?;
     Ok((many - few) / (MANY_ROUNDS - FEW_ROUNDS))
 }
 
-fn collected(name: &str, rounds: u64) -> Result<u64, String> {
+fn collected_instructions(name: &str, rounds: u64) -> Result<u64, String> {
     let own = std::env::current_exe().map_err(|error| error.to_string())?;
     let output = std::process::Command::new("valgrind")
         .args(["--tool=callgrind", "--callgrind-out-file=/dev/null"])
@@ -92,7 +95,7 @@
         .map_err(|error| format!("valgrind doesn't start: {error}"))?;
     let text = String::from_utf8_lossy(&output.stderr);
     text.lines()
-        .find_map(|line| line.split(COUNT_LABEL).nth(1))
+        .find_map(|line| line.split(CALLGRIND_COUNT_LABEL).nth(1))
         .and_then(|count| count.trim().parse().ok())
         .ok_or_else(|| format!("valgrind gave no count: {text}"))
 }
--- a/crates/sorrelturn-bench/src/commands/overload.rs
+++ b/crates/sorrelturn-bench/src/commands/overload.rs
@@ -4,7 +4,7 @@
 use crate::{
     baseline::BaselineKind,
     run_on,
-    scenario::{Lengths, SCENARIOS, Scenario, System, run_scenario},
+    scenario::{PhaseDurations, SCENARIOS, Scenario, System, run_scenario},
     summary::Summary,
     workload::Workload,
 };
@@ -76,28 +76,28 @@
     let name = args
         .get_one::<String>("deployment")
         .expect("clap fills it in");
-    let workload = Arc::new(Workload::of(name));
+    let workload = Arc::new(Workload::for_deployment(name));
     println!("{name}: capacity {:.0} root requests/s", workload.capacity);
-    let wanted = args.get_one::<u64>("scenario");
+    let scenario_number = args.get_one::<u64>("scenario");
     let only = args.get_one::<String>("only");
     let mut results = Vec::new();
     for (at, scenario) in SCENARIOS.iter().enumerate() {
-        if wanted.is_some_and(|wanted| *wanted != at as u64 + 1) {
+        if scenario_number.is_some_and(|scenario_number| *scenario_number != at as u64 + 1) {
             continue;
         }
         println!("\n{}", scenario.name);
-        println!("{}", heads());
+        println!("{}", table_head());
         for system in SYSTEMS {
             if only.is_some_and(|only| only != system.name()) {
                 continue;
             }
-            let alone = wanted.is_some() && only.is_some();
-            let summary = if alone {
+            let is_single_measurement = scenario_number.is_some() && only.is_some();
+            let summary = if is_single_measurement {
                 measure(&workload, scenario, system, |_| {})
             } else {
-                measure_apart(name, at + 1, system)
+                measure_in_subprocess(name, at + 1, system)
             };
-            println!("{}", row(&summary));
+            println!("{}", table_row(&summary));
             if args.get_flag("failures") {
                 println!("    failures: {:?}", summary.failures);
             }
@@ -119,10 +119,10 @@
 
 /// Measures one system under one scenario in a process of its own, so that nothing of the one
 /// before it is left: its connections are many.
-fn measure_apart(deployment: &str, scenario: usize, system: System) -> Summary {
+fn measure_in_subprocess(deployment: &str, scenario: usize, system: System) -> Summary {
     let file = std::env::temp_dir().join(format!("sorrelturn-overload-{}", std::process::id()));
-    let own = std::env::current_exe().expect("the running program has a path");
-    let status = std::process::Command::new(own)
+    let executable = std::env::current_exe().expect("the running program has a path");
+    let status = std::process::Command::new(executable)
         .args(["overload", "--deployment", deployment])
         .args(["--scenario", &scenario.to_string()])
         .args(["--only", system.name()])
@@ -141,7 +141,7 @@
 }
 
 /// Threads for the daemons, the backend servers and the callers together.
-const THREADS: usize = 5;
+const THREAD_COUNT: usize = 5;
 
 pub(super) fn measure(
     workload: &Arc<Workload>,
@@ -149,18 +149,18 @@
     system: System,
     progress: impl Fn(&str),
 ) -> Summary {
-    let lengths = Lengths {
+    let durations = PhaseDurations {
         before: Duration::from_secs(3),
-        pressure: Duration::from_secs(5),
+        overload: Duration::from_secs(5),
         between: Duration::from_secs(3),
         after: Duration::from_secs(6),
     };
-    run_on(THREADS, async |ex| {
-        run_scenario(ex, workload, scenario, system, lengths, progress).await
+    run_on(THREAD_COUNT, async |ex| {
+        run_scenario(ex, workload, scenario, system, durations, progress).await
     })
 }
 
-pub(super) fn heads() -> String {
+pub(super) fn table_head() -> String {
     format!(
         "{:<13} {:>8} {:>8} {:>8} {:>8} | {:>7} {:>6} {:>7} {:>9} {:>7} {:>6} {:>6} {:>6} {:>6}",
         "system",
@@ -180,7 +180,7 @@
     )
 }
 
-pub(super) fn row(summary: &Summary) -> String {
+pub(super) fn table_row(summary: &Summary) -> String {
     let percent = |importance: &str| {
         summary
             .under
--- a/crates/sorrelturn-bench/src/commands/returns.rs
+++ b/crates/sorrelturn-bench/src/commands/returns.rs
@@ -1,7 +1,9 @@
 //! `sorrelturn-bench returns`
 
 use super::CommandEntry;
-use crate::returns::{PRESSINGS, PRODUCT, RETURNING_KINDS, ReturnWay, Returned, play_returns};
+use crate::retry_simulation::{
+    OVERLOAD_CASES, PRODUCT_POLICY, RETRYING_KINDS, RetryPolicy, RetryStats, simulate_retries,
+};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use sorrelturn_policy::RetryAfter;
 use std::{process::ExitCode, time::Duration};
@@ -30,97 +32,101 @@
 }
 
 /// The ways that are compared.
-const WAYS: &[ReturnWay] = &[
-    ReturnWay {
+const RETRY_POLICIES: &[RetryPolicy] = &[
+    RetryPolicy {
         name: "about a second, whatever presses",
-        rule: || Box::new(|_, rng| RetryAfter::compute(None, rng)),
-        ..PRODUCT
+        retry_after_rule: || Box::new(|_, rng| RetryAfter::compute(None, rng)),
+        ..PRODUCT_POLICY
     },
-    PRODUCT,
-    ReturnWay {
+    PRODUCT_POLICY,
+    RetryPolicy {
         name: "at once",
-        rule: || Box::new(|_, _| Duration::from_millis(100)),
-        ..PRODUCT
+        retry_after_rule: || Box::new(|_, _| Duration::from_millis(100)),
+        ..PRODUCT_POLICY
     },
-    ReturnWay {
+    RetryPolicy {
         name: "after a third of the time left",
-        rule: || Box::new(|refused, _| refused.left / 3),
-        ..PRODUCT
+        retry_after_rule: || Box::new(|refused, _| refused.time_left / 3),
+        ..PRODUCT_POLICY
     },
-    ReturnWay {
+    RetryPolicy {
         name: "as the product, half as far up in the rank",
-        order: |bucket, _| bucket / 2,
-        ..PRODUCT
+        retry_bucket: |bucket, _| bucket / 2,
+        ..PRODUCT_POLICY
     },
-    ReturnWay {
+    RetryPolicy {
         name: "as the product, like first tries",
-        order: |bucket, _| bucket,
-        ..PRODUCT
+        retry_bucket: |bucket, _| bucket,
+        ..PRODUCT_POLICY
     },
-    ReturnWay {
+    RetryPolicy {
         name: "as the product, before first tries",
-        order: |bucket, _| 255 - bucket / 2,
-        ..PRODUCT
+        retry_bucket: |bucket, _| 255 - bucket / 2,
+        ..PRODUCT_POLICY
     },
 ];
 
 fn run(args: &ArgMatches) -> ExitCode {
     let seeds = *args.get_one::<u64>("seeds").expect("clap fills it in");
-    for pressing in &PRESSINGS {
-        println!("\n{}\n", pressing.name);
+    for case in &OVERLOAD_CASES {
+        println!("\n{}\n", case.name);
         println!(
             "| way | kind | asked | good at first | good later | late | not served | came back | \
              as told | as told, served | came back, served | taken, unserved | refused after \
              p50, p99 ms | clients p10, p90 |"
         );
         println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
-        for way in WAYS {
-            let mut sums = vec![Returned::default(); RETURNING_KINDS.len()];
+        for policy in RETRY_POLICIES {
+            let mut sums = vec![RetryStats::default(); RETRYING_KINDS.len()];
             for seed in 0..seeds {
-                let played = play_returns(pressing, seed, way);
-                for (sum, returned) in sums.iter_mut().zip(&played) {
-                    sum.add(returned);
+                let stats_by_kind = simulate_retries(case, seed, policy);
+                for (sum, stats) in sums.iter_mut().zip(&stats_by_kind) {
+                    sum.add(stats);
                 }
             }
-            for (sum, kind) in sums.iter().zip(&RETURNING_KINDS) {
-                println!("| {} | {} | {} |", way.name, kind.name, row(sum));
+            for (sum, kind) in sums.iter().zip(&RETRYING_KINDS) {
+                println!("| {} | {} | {} |", policy.name, kind.name, row(sum));
             }
         }
     }
     ExitCode::SUCCESS
 }
 
-fn row(sum: &Returned) -> String {
-    let of_asked = |count: u32| percent(count, sum.asked);
+fn row(sum: &RetryStats) -> String {
+    let percent_of_requested = |count: u32| percent(count, sum.requested);
     let served = sum.good_first + sum.good_later + sum.late;
-    let (p10, p90) = sum.clients();
+    let (p10, p90) = sum.client_share_percentiles();
     [
-        sum.asked.to_string(),
-        of_asked(sum.good_first),
-        of_asked(sum.good_later),
-        of_asked(sum.late),
-        of_asked(sum.asked.saturating_sub(served)),
-        of_asked(sum.came_back),
-        percent(sum.as_told, sum.came_back),
-        percent(sum.as_told_served, sum.as_told),
-        percent(sum.came_back_served, sum.came_back),
-        percent(sum.taken_unserved, sum.taken),
-        format!("{}, {}", ms(sum, 0.5), ms(sum, 0.99)),
+        sum.requested.to_string(),
+        percent_of_requested(sum.good_first),
+        percent_of_requested(sum.good_later),
+        percent_of_requested(sum.late),
+        percent_of_requested(sum.requested.saturating_sub(served)),
+        percent_of_requested(sum.retried),
+        percent(sum.retried_after_wait, sum.retried),
+        percent(sum.retried_after_wait_served, sum.retried_after_wait),
+        percent(sum.retried_served, sum.retried),
+        percent(sum.accepted_unserved, sum.accepted),
+        format!(
+            "{}, {}",
+            refusal_delay_ms(sum, 0.5),
+            refusal_delay_ms(sum, 0.99)
+        ),
         format!("{:.2}, {:.2}", p10, p90),
     ]
     .join(" | ")
 }
 
-fn ms(sum: &Returned, quantile: f64) -> u128 {
-    let mut after = sum.refused_after.clone();
-    after.sort_unstable();
-    let at = (after.len() as f64 * quantile) as usize;
-    after.get(at).map_or(0, Duration::as_millis)
+fn refusal_delay_ms(sum: &RetryStats, quantile: f64) -> u128 {
+    let mut delays = sum.refusal_delays.clone();
+    delays.sort_unstable();
+    let at = (delays.len() as f64 * quantile) as usize;
+    delays.get(at).map_or(0, Duration::as_millis)
 }
 
-fn percent(part: u32, whole: u32) -> String {
+fn percent(count: u32, whole: u32) -> String {
     if whole == 0 {
         return "-".to_owned();
     }
-    format!("{:.1}%", f64::from(part) * 100.0 / f64::from(whole))
+    format!("{:.1}%", f64::from(count) * 100.0 / f64::from(whole))
 }
--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -10,14 +10,14 @@
 use std::{hint::black_box, time::Duration};
 
 /// The instances of a service at the size that is aimed at.
-const INSTANCES: u64 = 36;
+const INSTANCE_COUNT: u64 = 36;
 
 /// One decision, and the most instructions that it may take.
 pub struct Decision {
     /// Its name in the table.
     pub name: &'static str,
     /// The bound, a tenth above what was counted when it was set, unless it says otherwise.
-    pub most: u64,
+    pub max_instructions: u64,
     /// Makes it so many times.
     pub run: fn(rounds: u64),
 }
@@ -26,33 +26,33 @@
 pub const DECISIONS: &[Decision] = &[
     Decision {
         name: "admit-with-room",
-        most: 605,
+        max_instructions: 605,
         run: admit_with_room,
     },
     Decision {
         name: "admit-overloaded",
-        most: 1714,
+        max_instructions: 1714,
         run: admit_overloaded,
     },
     Decision {
         name: "choose-instance",
-        most: 1671,
+        max_instructions: 1671,
         run: choose_instance,
     },
     Decision {
         name: "learn-threshold",
-        most: 90,
+        max_instructions: 90,
         run: learn_threshold,
     },
     Decision {
         name: "next-step",
-        most: 51,
+        max_instructions: 51,
         run: decide_next_step,
     },
     Decision {
         name: "token-once",
         // Half above what was counted: the hash takes whatever vector unit it finds.
-        most: 12_300,
+        max_instructions: 12_300,
         run: token_once,
     },
 ];
@@ -115,7 +115,7 @@
 fn choose_instance(rounds: u64) {
     let start = Duration::ZERO;
     let instance = |id| Instance::new(Incarnation(id), id % 3 == 0, Duration::ZERO, start);
-    let instances: Vec<Instance> = (0..INSTANCES).map(instance).collect();
+    let instances: Vec<Instance> = (0..INSTANCE_COUNT).map(instance).collect();
     let mut rng = fastrand::Rng::with_seed(1);
     for round in 0..rounds {
         let now = Duration::from_millis(round);
@@ -168,13 +168,13 @@
     };
     let mut ledger = Ledger::new(Incarnation(1), cfg, [7; 32]);
     let mut rng = fastrand::Rng::with_seed(1);
-    let print = Fingerprint(1);
+    let fingerprint = Fingerprint(1);
     for round in 0..rounds {
         let now = Duration::from_millis(round);
         let Some(token) = ledger.issue(now, &mut rng) else {
             return;
         };
-        if ledger.begin(now, &token, print) == BeginResult::MayRun {
+        if ledger.begin(now, &token, fingerprint) == BeginResult::MayRun {
             ledger.end(
                 &token,
                 Recorded {
@@ -185,7 +185,7 @@
                 },
             );
         }
-        black_box(ledger.begin(now, &token, print));
+        black_box(ledger.begin(now, &token, fingerprint));
         ledger.evict_expired(now);
     }
 }
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -14,35 +14,35 @@
 };
 
 /// The waits of the product's gates, where calls have a wait of their own.
-const QUEUE_WAIT: Duration = Duration::from_millis(100);
-const CALL_WAIT: Duration = Duration::from_millis(250);
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
+const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 /// The window of the bound on retries, the part of its slack that the product uses, and the least number of
 /// daemons that share it.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-const SLACK_USED: f64 = 0.5;
-const LEAST_SHARERS: usize = 12;
+const SLACK_FRACTION: f64 = 0.5;
+const MIN_SHARING_DAEMONS: usize = 12;
 
 /// What a daemon has learnt about one kind.
 struct KindState {
     threshold: LearnedThreshold,
-    first_tries: RetryDetector,
-    refusing: RefusalStreak,
+    retry_detector: RetryDetector,
+    refusal_streak: RefusalStreak,
     /// What answers told of it: whether its requests are calls.
     is_call: bool,
     was_answered: bool,
 }
 
 /// How far apart the same end may seem: it travels in whole milliseconds.
-const SAME_END: Duration = Duration::from_millis(4);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
 /// A request that the backend server works on.
-struct AtWork {
+struct RunningRequest {
     kind: usize,
     deadline: Now,
 }
 
 /// What a daemon knows of one instance.
-struct Route {
+struct InstanceState {
     stats: Instance,
 }
 
@@ -50,31 +50,31 @@
 pub(super) struct Daemon {
     kinds: Vec<KindState>,
     /// For each service, its instances.
-    routes: Vec<Vec<Route>>,
+    instances_by_service: Vec<Vec<InstanceState>>,
     /// For each service.
     retries: Vec<RetryWindow>,
     pub(super) gate: Gate,
     /// When its processor is free.
-    free_at: Now,
+    processor_free_at: Now,
     /// What the backend server works on.
-    pub(super) worked_on: InProgressRequests,
+    pub(super) in_progress: InProgressRequests,
     /// The same one by one, by the ids of the runs.
-    at_work: BTreeMap<u64, AtWork>,
+    running_requests: BTreeMap<u64, RunningRequest>,
     graph: CallGraph,
     origins: RequestOrigins,
 }
 
 /// Where the instances of the services stand.
-pub(super) struct Site {
+pub(super) struct Topology {
     /// For each service, the failure domain of each instance.
     pub(super) domains: Vec<Vec<usize>>,
     pub(super) slots: Vec<u32>,
-    pub(super) daemons: usize,
+    pub(super) daemon_count: usize,
 }
 
 /// What an answer tells besides the answer.
 #[derive(Clone, Copy)]
-pub(super) struct Told {
+pub(super) struct AnswerContext {
     pub(super) threshold: Priority,
     pub(super) load: u16,
     pub(super) is_call: bool,
@@ -83,50 +83,59 @@
 impl Daemon {
     pub(super) fn new(
         experiment: &Experiment,
-        site: &Site,
+        topology: &Topology,
         service: usize,
         domain: usize,
         now: Now,
     ) -> Self {
-        let near_first = experiment.is_on(Mechanism::NearFirst);
-        let routes = site.domains.iter().enumerate().map(|(service, domains)| {
-            let instances = domains.iter().enumerate().map(|(at, its)| {
-                let near = !near_first || *its == domain;
-                Route {
-                    stats: Instance::new(incarnation(service, at), near, Duration::ZERO, now),
-                }
+        let near_first = experiment.is_enabled(Mechanism::NearFirst);
+        let instances_by_service = topology
+            .domains
+            .iter()
+            .enumerate()
+            .map(|(service, domains)| {
+                let instances = domains.iter().enumerate().map(|(index, instance_domain)| {
+                    let in_same_domain = !near_first || *instance_domain == domain;
+                    InstanceState {
+                        stats: Instance::new(
+                            incarnation(service, index),
+                            in_same_domain,
+                            Duration::ZERO,
+                            now,
+                        ),
+                    }
+                });
+                instances.collect()
             });
-            instances.collect()
-        });
-        let sharers = site.daemons.max(LEAST_SHARERS) as f64;
+        let sharing_daemons = topology.daemon_count.max(MIN_SHARING_DAEMONS) as f64;
         let ratio = experiment.retries.ratio;
-        let slack = experiment.retries.slack * SLACK_USED / sharers;
+        let slack = experiment.retries.slack * SLACK_FRACTION / sharing_daemons;
         let cfg = GateConfig {
-            slots: site.slots[service],
-            queue_len: site.slots[service],
-            queue_timeout: QUEUE_WAIT,
+            slots: topology.slots[service],
+            queue_len: topology.slots[service],
+            queue_timeout: QUEUE_TIMEOUT,
             cold_start: Duration::ZERO,
-            call_queue_timeout: Some(CALL_WAIT),
+            call_queue_timeout: Some(CALL_QUEUE_TIMEOUT),
         };
         Self {
             kinds: experiment.kinds.iter().map(|_| KindState::new()).collect(),
-            routes: routes.collect(),
-            retries: site
+            instances_by_service: instances_by_service.collect(),
+            retries: topology
                 .domains
                 .iter()
                 .map(|_| RetryWindow::new(RETRY_WINDOW, ratio, slack))
                 .collect(),
             gate: Gate::new(cfg, now),
-            free_at: now,
-            worked_on: InProgressRequests::default(),
-            at_work: BTreeMap::new(),
+            processor_free_at: now,
+            in_progress: InProgressRequests::default(),
+            running_requests: BTreeMap::new(),
             graph: CallGraph::default(),
             origins: RequestOrigins::default(),
         }
     }
 
     /// The backend server is handed a request.
-    pub(super) fn begins(
+    pub(super) fn begin_execution(
         &mut self,
         run: u64,
         kind: usize,
@@ -134,45 +143,46 @@
         level: u16,
         repeated: bool,
     ) {
-        self.worked_on.begin(level, repeated);
-        self.at_work.insert(run, AtWork { kind, deadline });
+        self.in_progress.begin(level, repeated);
+        self.running_requests
+            .insert(run, RunningRequest { kind, deadline });
     }
 
     /// It is done with one.
-    pub(super) fn is_done(&mut self, run: u64, level: u16, repeated: bool) {
-        self.worked_on.end(level, repeated);
-        self.at_work.remove(&run);
+    pub(super) fn end_execution(&mut self, run: u64, level: u16, repeated: bool) {
+        self.in_progress.end(level, repeated);
+        self.running_requests.remove(&run);
     }
 
     /// Learns from a finished request what its kind calls.
-    pub(super) fn learns_calls_of(&mut self, name: &str, took: Duration) {
+    pub(super) fn learn_calls(&mut self, name: &str, took: Duration) {
         self.graph.record_end(name, took);
     }
 
     /// What a kind is known to call.
-    pub(super) fn calls_of(&self, name: &str) -> &[String] {
+    pub(super) fn known_calls(&self, name: &str) -> &[String] {
         self.graph.calls(name)
     }
 
     /// Whether a kind is known to call nothing.
-    pub(super) fn calls_nothing(&self, name: &str) -> bool {
+    pub(super) fn is_leaf(&self, name: &str) -> bool {
         self.graph.is_leaf(name)
     }
 
     /// The backend server makes a call that is known as one.
-    pub(super) fn called(&mut self, names: &[String], child: usize, end: Now) {
+    pub(super) fn record_call(&mut self, names: &[String], child: usize, deadline: Now) {
         let mut groups: BTreeMap<(usize, bool), u32> = BTreeMap::new();
-        for at_work in self.at_work.values() {
-            let same_end = at_work.deadline.abs_diff(end) <= SAME_END;
-            if same_end || at_work.deadline > end {
-                *groups.entry((at_work.kind, same_end)).or_default() += 1;
+        for running in self.running_requests.values() {
+            let same_deadline = running.deadline.abs_diff(deadline) <= DEADLINE_TOLERANCE;
+            if same_deadline || running.deadline > deadline {
+                *groups.entry((running.kind, same_deadline)).or_default() += 1;
             }
         }
         let candidates = groups
             .into_iter()
-            .map(|((kind, same_end), count)| Candidate {
+            .map(|((kind, same_deadline), count)| Candidate {
                 kind: names[kind].clone(),
-                has_same_deadline: same_end,
+                has_same_deadline: same_deadline,
                 count,
             });
         let candidates: Vec<Candidate> = candidates.collect();
@@ -180,48 +190,48 @@
     }
 
     /// A request of a kind came from the VM of a service.
-    pub(super) fn comes_from(&mut self, name: &str, service: &str) {
+    pub(super) fn record_origin(&mut self, name: &str, service: &str) {
         self.origins.record(name, service);
     }
 
     /// Whether requests of a kind are calls, as seen where they are answered.
-    pub(super) fn are_calls(&self, name: &str, shares: &BTreeMap<String, f64>) -> bool {
+    pub(super) fn is_called_kind(&self, name: &str, shares: &BTreeMap<String, f64>) -> bool {
         let share_of = |service: &str| shares.get(service).copied().unwrap_or(1.0);
         self.origins.are_calls(name, shares.len(), share_of)
     }
 
     /// Whether requests of a kind are calls, as answers told.
-    pub(super) fn is_call(&self, kind: usize) -> bool {
+    pub(super) fn is_reported_as_call(&self, kind: usize) -> bool {
         self.kinds[kind].is_call
     }
 
     /// How many lower importances the root requests have that were answered, and how many they have in all.
     pub(super) fn known_rank(&self, importances: &[Importance], kind: usize) -> (usize, usize) {
         let known = self.kinds.iter().zip(importances);
-        let of_roots: Vec<Importance> = known
+        let root_importances: Vec<Importance> = known
             .filter(|(state, _)| state.was_answered && !state.is_call)
             .map(|(_, importance)| *importance)
             .collect();
-        rank_of(importances[kind], &of_roots)
+        rank_of(importances[kind], &root_importances)
     }
 
     /// The processor takes so long for a side of a hop; returns when it is done.
-    pub(super) fn works(&mut self, now: Now, takes: Duration) -> Now {
-        let lag = self.free_at.saturating_sub(now);
-        if !takes.is_zero() {
+    pub(super) fn occupy_processor(&mut self, now: Now, duration: Duration) -> Now {
+        let lag = self.processor_free_at.saturating_sub(now);
+        if !duration.is_zero() {
             self.gate.report_lag(lag);
         }
-        self.free_at = now.max(self.free_at) + takes;
-        self.free_at
+        self.processor_free_at = now.max(self.processor_free_at) + duration;
+        self.processor_free_at
     }
 
     /// The level that was learnt for a kind with all that it calls.
-    pub(super) fn level(&self, now: Now, kind: usize) -> u16 {
+    pub(super) fn shedding_level(&self, now: Now, kind: usize) -> u16 {
         self.kinds[kind].threshold.current(now).0
     }
 
     /// The highest level of some kinds.
-    pub(super) fn level_of(&self, now: Now, kinds: &[usize]) -> Priority {
+    pub(super) fn max_shedding_level(&self, now: Now, kinds: &[usize]) -> Priority {
         let levels = kinds
             .iter()
             .map(|kind| self.kinds[*kind].threshold.current(now));
@@ -229,7 +239,7 @@
     }
 
     /// Whether a root request is refused; `left` is what its caller says that it will still wait.
-    pub(super) fn refuses(
+    pub(super) fn refuses_request(
         &mut self,
         experiment: &Experiment,
         now: Now,
@@ -238,14 +248,14 @@
         bucket: u8,
         left: Duration,
     ) -> bool {
-        if !experiment.is_on(Mechanism::EntryAdmission) {
+        if !experiment.is_enabled(Mechanism::EntryAdmission) {
             return false;
         }
-        let level = self.level(now, kind);
+        let level = self.shedding_level(now, kind);
         let was_tried = self.kinds[kind]
-            .first_tries
+            .retry_detector
             .observe(left.as_millis() as u32);
-        let bucket = if was_tried && experiment.is_on(Mechanism::ReturnOrder) {
+        let bucket = if was_tried && experiment.is_enabled(Mechanism::ReturnOrder) {
             bucket_for_retry(bucket, rank.0)
         } else {
             bucket
@@ -254,21 +264,21 @@
     }
 
     /// When a refused caller is told to come back.
-    pub(super) fn come_back(
+    pub(super) fn retry_after(
         &mut self,
         experiment: &Experiment,
         now: Now,
         kind: usize,
         rng: &mut Rng,
     ) -> Duration {
-        if experiment.is_on(Mechanism::ReturnTime) {
-            return self.kinds[kind].refusing.record_refusal(now, rng);
+        if experiment.is_enabled(Mechanism::ReturnTime) {
+            return self.kinds[kind].refusal_streak.record_refusal(now, rng);
         }
         RetryAfter::compute(None, rng)
     }
 
     /// Picks an instance of a service.
-    pub(super) fn pick(
+    pub(super) fn choose_instance(
         &self,
         experiment: &Experiment,
         now: Now,
@@ -276,42 +286,44 @@
         tried: &[Incarnation],
         rng: &mut Rng,
     ) -> Option<usize> {
-        let instances = &self.routes[service];
-        if experiment.is_on(Mechanism::ChoiceByLoad) {
+        let instances = &self.instances_by_service[service];
+        if experiment.is_enabled(Mechanism::ChoiceByLoad) {
             let stats = instances.iter().map(|route| &route.stats);
             return choose(stats, now, tried, rng);
         }
-        let open: Vec<usize> = (0..instances.len())
-            .filter(|at| !tried.contains(&instances[*at].stats.incarnation))
+        let untried: Vec<usize> = (0..instances.len())
+            .filter(|index| !tried.contains(&instances[*index].stats.incarnation))
             .collect();
-        rng.choice(open)
+        rng.choice(untried)
     }
 
     /// A call goes out to an instance.
-    pub(super) fn starts(&self, service: usize, at: usize) {
-        self.routes[service][at].stats.started();
+    pub(super) fn begin_call(&self, service: usize, index: usize) {
+        self.instances_by_service[service][index].stats.started();
     }
 
     /// A call is over.
-    pub(super) fn ends(&self, now: Now, service: usize, at: usize, report: InstanceReport) {
-        self.routes[service][at].stats.finished(now, report);
+    pub(super) fn end_call(&self, now: Now, service: usize, index: usize, report: InstanceReport) {
+        self.instances_by_service[service][index]
+            .stats
+            .finished(now, report);
     }
 
     /// Learns what an answer tells.
-    pub(super) fn learns(&mut self, now: Now, kind: usize, told: &Told) {
+    pub(super) fn record_answer(&mut self, now: Now, kind: usize, context: &AnswerContext) {
         let state = &mut self.kinds[kind];
-        state.threshold.observe(now, told.threshold);
-        state.is_call = told.is_call;
+        state.threshold.observe(now, context.threshold);
+        state.is_call = context.is_call;
         state.was_answered = true;
     }
 
     /// A call is sent to a service for the first time; the part of those that may make it is run once more.
-    pub(super) fn sends(&mut self, now: Now, service: usize, repeated: f64) {
+    pub(super) fn record_first_attempt(&mut self, now: Now, service: usize, repeated: f64) {
         self.retries[service].record_call_of_repeat(now, repeated);
     }
 
     /// Takes the price of another sending to a service, if it is there.
-    pub(super) fn pays_retry(&mut self, now: Now, service: usize) -> bool {
+    pub(super) fn try_retry(&mut self, now: Now, service: usize) -> bool {
         self.retries[service].try_retry(now)
     }
 }
@@ -320,8 +332,8 @@
     fn new() -> Self {
         Self {
             threshold: LearnedThreshold::for_shedding_level(),
-            first_tries: RetryDetector::default(),
-            refusing: RefusalStreak::default(),
+            retry_detector: RetryDetector::default(),
+            refusal_streak: RefusalStreak::default(),
             is_call: false,
             was_answered: false,
         }
@@ -329,14 +341,14 @@
 }
 
 /// An instance's name for the choice.
-pub(super) fn incarnation(service: usize, at: usize) -> Incarnation {
-    Incarnation((service as u64) << 32 | (at as u64 + 1))
+pub(super) fn incarnation(service: usize, index: usize) -> Incarnation {
+    Incarnation((service as u64) << 32 | (index as u64 + 1))
 }
 
 /// How many lower importances root requests have, and how many in all.
-pub(super) fn rank_of(importance: Importance, of_roots: &[Importance]) -> (usize, usize) {
+pub(super) fn rank_of(importance: Importance, root_importances: &[Importance]) -> (usize, usize) {
     let mut known: HashMap<Importance, ()> = HashMap::new();
-    for root in of_roots {
+    for root in root_importances {
         known.insert(*root, ());
     }
     let lower = known.keys().filter(|other| **other < importance).count();
--- a/crates/sorrelturn-bench/src/experiment/file.rs
+++ b/crates/sorrelturn-bench/src/experiment/file.rs
@@ -274,7 +274,7 @@
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum ExperimentError {
     /// {path} can't be read: {error}
-    Unread {
+    Unreadable {
         /// The file.
         path: String,
         /// Why.
@@ -290,7 +290,7 @@
         error: String,
     },
     /// {path}: {error}
-    Wrong {
+    Invalid {
         /// The file.
         path: String,
         /// What, and what to write instead.
@@ -304,7 +304,7 @@
     /// Reads a file and checks it.
     pub fn read(path: &Path) -> Result<Self, ExperimentError> {
         let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ExperimentError::Unread {
+        let text = std::fs::read_to_string(path).map_err(|error| ExperimentError::Unreadable {
             path: shown.clone(),
             error: error.to_string(),
         })?;
@@ -324,16 +324,18 @@
             .map_err(|error| malformed(1, error.to_string()))?;
         let experiment: Self = serde_json::from_str(&plain)
             .map_err(|error| malformed(error.line(), error.to_string()))?;
-        experiment.check().map_err(|error| ExperimentError::Wrong {
-            path: path.to_owned(),
-            error,
-        })?;
+        experiment
+            .check()
+            .map_err(|error| ExperimentError::Invalid {
+                path: path.to_owned(),
+                error,
+            })?;
         Ok(experiment)
     }
 
     fn check(&self) -> Result<(), String> {
-        positive("seconds", self.seconds)?;
-        positive("cores", self.cores)?;
+        check_positive("seconds", self.seconds)?;
+        check_positive("cores", self.cores)?;
         if self.domains == 0 {
             return Err("domains is 0; write how many failure domains there are".to_owned());
         }
@@ -344,15 +346,15 @@
                 ));
             }
             for speed in &service.speeds {
-                positive(&format!("a speed of service {name}"), *speed)?;
+                check_positive(&format!("a speed of service {name}"), *speed)?;
             }
         }
         for (name, kind) in &self.kinds {
-            self.service(&kind.service, &format!("kind {name}"))?;
-            positive(&format!("work_ms of kind {name}"), kind.work_ms)?;
-            positive(&format!("deadline_ms of kind {name}"), kind.deadline_ms)?;
+            self.check_service(&kind.service, &format!("kind {name}"))?;
+            check_positive(&format!("work_ms of kind {name}"), kind.work_ms)?;
+            check_positive(&format!("deadline_ms of kind {name}"), kind.deadline_ms)?;
             if let Some(timeout_ms) = kind.timeout_ms {
-                positive(&format!("timeout_ms of kind {name}"), timeout_ms)?;
+                check_positive(&format!("timeout_ms of kind {name}"), timeout_ms)?;
             }
             for call in &kind.calls {
                 if !self.kinds.contains_key(&call.kind) {
@@ -365,10 +367,10 @@
                 }
             }
         }
-        self.check_that_calls_end()?;
+        self.check_calls_are_acyclic()?;
         for fault in &self.faults {
             if let FaultSpec::Crashes { kind, .. } = fault {
-                self.kind(kind)?;
+                self.check_root_kind(kind)?;
             }
             let (FaultSpec::TurnsAway { service, .. }
             | FaultSpec::Slow { service, .. }
@@ -376,12 +378,12 @@
             else {
                 continue;
             };
-            self.service(service, "a fault")?;
+            self.check_service(service, "a fault")?;
         }
         Ok(())
     }
 
-    fn service(&self, name: &str, of: &str) -> Result<(), String> {
+    fn check_service(&self, name: &str, of: &str) -> Result<(), String> {
         if self.services.contains_key(name) {
             return Ok(());
         }
@@ -392,13 +394,13 @@
         ))
     }
 
-    fn kind(&self, name: &str) -> Result<(), String> {
+    fn check_root_kind(&self, name: &str) -> Result<(), String> {
         let found = self.kinds.get(name);
         if found.is_some_and(|kind| kind.per_second > 0.0) {
             return Ok(());
         }
-        let sent = self.kinds.iter().filter(|(_, kind)| kind.per_second > 0.0);
-        let known: Vec<&str> = sent.map(|(name, _)| name.as_str()).collect();
+        let root_kinds = self.kinds.iter().filter(|(_, kind)| kind.per_second > 0.0);
+        let known: Vec<&str> = root_kinds.map(|(name, _)| name.as_str()).collect();
         Err(format!(
             "a fault names kind {name}, which no caller sends; write one of: {}",
             known.join(", ")
@@ -406,19 +408,19 @@
     }
 
     /// A kind that calls itself, by whatever way, would never end.
-    fn check_that_calls_end(&self) -> Result<(), String> {
+    fn check_calls_are_acyclic(&self) -> Result<(), String> {
         for name in self.kinds.keys() {
-            let mut below: Vec<&str> = vec![name];
+            let mut descendants: Vec<&str> = vec![name];
             for _ in 0..=self.kinds.len() {
-                below = below
+                descendants = descendants
                     .iter()
                     .flat_map(|kind| &self.kinds[*kind].calls)
                     .map(|call| call.kind.as_str())
                     .collect();
-                below.sort_unstable();
-                below.dedup();
+                descendants.sort_unstable();
+                descendants.dedup();
             }
-            if !below.is_empty() {
+            if !descendants.is_empty() {
                 return Err(format!(
                     "the calls of kind {name} lead in a circle; take one of them out"
                 ));
@@ -427,12 +429,12 @@
         Ok(())
     }
 
-    pub(super) fn is_on(&self, mechanism: Mechanism) -> bool {
+    pub(super) fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.without.contains(&mechanism)
     }
 }
 
-fn positive(what: &str, value: f64) -> Result<(), String> {
+fn check_positive(what: &str, value: f64) -> Result<(), String> {
     if value > 0.0 {
         return Ok(());
     }
--- a/crates/sorrelturn-bench/src/experiment/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/mod.rs
@@ -4,12 +4,12 @@
 mod daemon;
 mod file;
 mod outcome;
-mod play;
 mod plot;
+mod simulation;
 mod table;
 
 pub use file::{Experiment, ExperimentError, Mechanism};
 pub use outcome::{KindOutcome, Outcome};
-pub use play::play_experiment;
 pub use plot::plot;
+pub use simulation::simulate_experiment;
 pub use table::table;
--- a/crates/sorrelturn-bench/src/experiment/outcome.rs
+++ b/crates/sorrelturn-bench/src/experiment/outcome.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// First tries.
-    pub asked: u32,
+    pub requested: u32,
     /// Answered in time, counted from the first try.
     pub good: u32,
     /// Answered later.
@@ -19,7 +19,7 @@
 
 impl Counts {
     fn add(&mut self, other: &Self) {
-        self.asked += other.asked;
+        self.requested += other.requested;
         self.good += other.good;
         self.late += other.late;
         self.refused += other.refused;
@@ -54,7 +54,7 @@
         sum
     }
 
-    fn earned(&self, counts: &Counts) -> f64 {
+    fn earned_worth(&self, counts: &Counts) -> f64 {
         f64::from(counts.good) * self.worth.0 + f64::from(counts.late) * self.worth.1
     }
 }
@@ -65,13 +65,13 @@
     /// Its name.
     pub service: String,
     /// The part of its slots at work, sampled.
-    pub at_work: Vec<f64>,
+    pub slot_usage: Vec<f64>,
     /// Requests that arrived.
     pub arrived: u64,
     /// Arrivals beyond the first of a request.
     pub repeated: u64,
     /// Arrivals from another failure domain.
-    pub crossed: u64,
+    pub cross_domain: u64,
     /// Crashes of its backend servers.
     pub crashes: u64,
 }
@@ -86,7 +86,7 @@
 }
 
 /// How often the slots at work are sampled.
-pub(super) const SAMPLES_A_SECOND: usize = 10;
+pub(super) const SAMPLES_PER_SECOND: usize = 10;
 
 impl Outcome {
     /// The worth that was earned, as a part of what was owed, in some seconds.
@@ -94,8 +94,8 @@
         let (mut earned, mut owed) = (0.0, 0.0);
         for kind in &self.kinds {
             let counts = kind.between(from, to);
-            earned += kind.earned(&counts);
-            owed += f64::from(counts.asked) * kind.worth.0;
+            earned += kind.earned_worth(&counts);
+            owed += f64::from(counts.requested) * kind.worth.0;
         }
         if owed > 0.0 { earned / owed } else { 0.0 }
     }
@@ -108,22 +108,22 @@
 
     /// The mean part of a service's slots at work in some seconds, and how far its means over half a second lie
     /// apart, from the tenth to the ninetieth of a hundred.
-    pub fn slots_between(&self, service: &str, from: usize, to: usize) -> (f64, f64) {
+    pub fn slot_usage_between(&self, service: &str, from: usize, to: usize) -> (f64, f64) {
         let found = self.services.iter().find(|found| found.service == service);
-        let samples = found.map_or(&[][..], |found| &found.at_work);
-        let from = (from * SAMPLES_A_SECOND).min(samples.len());
-        let to = (to * SAMPLES_A_SECOND).min(samples.len());
-        let halves = samples[from..to].chunks(SAMPLES_A_SECOND / 2);
-        let mut means: Vec<f64> = halves
-            .map(|half| half.iter().sum::<f64>() / half.len() as f64)
+        let samples = found.map_or(&[][..], |found| &found.slot_usage);
+        let from = (from * SAMPLES_PER_SECOND).min(samples.len());
+        let to = (to * SAMPLES_PER_SECOND).min(samples.len());
+        let half_seconds = samples[from..to].chunks(SAMPLES_PER_SECOND / 2);
+        let mut means: Vec<f64> = half_seconds
+            .map(|half_second| half_second.iter().sum::<f64>() / half_second.len() as f64)
             .collect();
         if means.is_empty() {
             return (0.0, 0.0);
         }
         let mean = means.iter().sum::<f64>() / means.len() as f64;
         means.sort_unstable_by(f64::total_cmp);
-        let at = |part: usize| means[(means.len() * part / 10).min(means.len() - 1)];
-        (mean, at(9) - at(1))
+        let decile = |tenths: usize| means[(means.len() * tenths / 10).min(means.len() - 1)];
+        (mean, decile(9) - decile(1))
     }
 
     /// Adds the play of another seed.
@@ -138,10 +138,10 @@
             }
         }
         for (service, more) in self.services.iter_mut().zip(&other.services) {
-            service.at_work.extend(&more.at_work);
+            service.slot_usage.extend(&more.slot_usage);
             service.arrived += more.arrived;
             service.repeated += more.repeated;
-            service.crossed += more.crossed;
+            service.cross_domain += more.cross_domain;
             service.crashes += more.crashes;
         }
     }
--- a/crates/sorrelturn-bench/src/experiment/plot.rs
+++ b/crates/sorrelturn-bench/src/experiment/plot.rs
@@ -6,7 +6,7 @@
 const HEIGHT: usize = 120;
 const MARGIN: usize = 30;
 /// What is stacked, from below, with its colour.
-const PARTS: [(&str, &str, Part); 4] = [
+const SERIES: [(&str, &str, CountSelector); 4] = [
     ("in time", "#2a7", |counts| counts.good),
     ("late", "#fb3", |counts| counts.late),
     ("refused", "#99b", |counts| counts.refused),
@@ -14,7 +14,7 @@
 ];
 
 /// The count that one part of a column shows.
-type Part = fn(&Counts) -> u32;
+type CountSelector = fn(&Counts) -> u32;
 
 /// An SVG with one row for each kind of each outcome.
 pub fn plot(outcomes: &[(&str, &Outcome)]) -> String {
@@ -29,7 +29,7 @@
          font-family=\"sans-serif\" font-size=\"11\">\n"
     );
     let mut x = MARGIN;
-    for (name, colour, _) in PARTS {
+    for (name, colour, _) in SERIES {
         svg += &format!(
             "<rect x=\"{x}\" y=\"6\" width=\"10\" height=\"10\" fill=\"{colour}\"/>\
              <text x=\"{}\" y=\"15\">{name}</text>\n",
@@ -50,19 +50,19 @@
 }
 
 fn columns(by_second: &[Counts], top: usize) -> String {
-    let most = by_second.iter().map(|counts| counts.asked).max();
-    let most = f64::from(most.unwrap_or(0).max(1));
-    let wide = WIDTH as f64 / by_second.len().max(1) as f64;
+    let max_requested = by_second.iter().map(|counts| counts.requested).max();
+    let max_requested = f64::from(max_requested.unwrap_or(0).max(1));
+    let column_width = WIDTH as f64 / by_second.len().max(1) as f64;
     let mut svg = String::new();
     for (second, counts) in by_second.iter().enumerate() {
-        let mut foot = (top + HEIGHT) as f64;
-        for (_, colour, part) in PARTS {
-            let high = f64::from(part(counts)) * HEIGHT as f64 / most;
-            foot -= high;
-            if high > 0.0 {
-                let x = MARGIN as f64 + second as f64 * wide;
+        let mut bar_y = (top + HEIGHT) as f64;
+        for (_, colour, selector) in SERIES {
+            let bar_height = f64::from(selector(counts)) * HEIGHT as f64 / max_requested;
+            bar_y -= bar_height;
+            if bar_height > 0.0 {
+                let x = MARGIN as f64 + second as f64 * column_width;
                 svg += &format!(
-                    "<rect x=\"{x:.1}\" y=\"{foot:.1}\" width=\"{wide:.1}\" height=\"{high:.1}\" \
+                    "<rect x=\"{x:.1}\" y=\"{bar_y:.1}\" width=\"{column_width:.1}\" height=\"{bar_height:.1}\" \
                      fill=\"{colour}\"/>\n"
                 );
             }
--- a/crates/sorrelturn-bench/src/experiment/play/faults.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
@@ -1,11 +1,11 @@
 //! What goes wrong, as the file says, and how much arrives.
 
-use super::{Call, Play, seconds};
+use super::{Call, Simulation, seconds};
 use crate::experiment::file::FaultSpec;
 
-impl Play<'_> {
+impl Simulation<'_> {
     /// How much arrives now, as a multiple of the usual, and in clumps of how many.
-    pub(super) fn load(&self) -> (f64, u32) {
+    pub(super) fn current_load(&self) -> (f64, u32) {
         let now = self.now.as_secs_f64();
         let mut load = (1.0, 1);
         for stretch in &self.experiment.load {
@@ -17,7 +17,7 @@
         load
     }
 
-    pub(super) fn repeats(&self) -> Option<(f64, u32)> {
+    pub(super) fn impatience(&self) -> Option<(f64, u32)> {
         let now = self.now.as_secs_f64();
         self.experiment.faults.iter().find_map(|fault| match fault {
             FaultSpec::Repeats {
@@ -31,23 +31,23 @@
     }
 
     pub(super) fn is_lost(&self, daemon: usize) -> bool {
-        let service = self.service_of[daemon];
-        let at = daemon - self.first[service];
+        let service = self.service_by_daemon[daemon];
+        let index = daemon - self.first_daemons[service];
         let name = &self.outcome.services[service].service;
         let now = self.now.as_secs_f64();
         self.experiment.faults.iter().any(|fault| {
             matches!(fault, FaultSpec::Lost { service, instances, from_s, to_s }
-                if service == name && at < *instances && (*from_s..*to_s).contains(&now))
+                if service == name && index < *instances && (*from_s..*to_s).contains(&now))
         })
     }
 
     /// How much slower an instance works, and which share it turns away.
-    pub(super) fn faults_of(&self, daemon: usize) -> (f64, f64) {
-        let service = self.service_of[daemon];
-        let at = daemon - self.first[service];
+    pub(super) fn backend_faults(&self, daemon: usize) -> (f64, f64) {
+        let service = self.service_by_daemon[daemon];
+        let index = daemon - self.first_daemons[service];
         let name = &self.outcome.services[service].service;
         let now = self.now.as_secs_f64();
-        let (mut slower, mut turned_away) = (1.0, 0.0);
+        let (mut slowdown, mut refused_share) = (1.0, 0.0);
         for fault in &self.experiment.faults {
             match fault {
                 FaultSpec::Slow {
@@ -56,25 +56,25 @@
                     times,
                     from_s,
                     to_s,
-                } if service == name && at < *instances && (*from_s..*to_s).contains(&now) => {
-                    slower *= times;
+                } if service == name && index < *instances && (*from_s..*to_s).contains(&now) => {
+                    slowdown *= times;
                 }
                 FaultSpec::TurnsAway {
                     service,
                     share,
                     from_s,
                     to_s,
-                } if service == name && (*from_s..*to_s).contains(&now) => turned_away = *share,
+                } if service == name && (*from_s..*to_s).contains(&now) => refused_share = *share,
                 FaultSpec::RestartAll {
                     at_s,
                     for_s,
                     cold_s,
                     cold_times,
-                } if (*at_s..at_s + for_s + cold_s).contains(&now) => slower *= cold_times,
+                } if (*at_s..at_s + for_s + cold_s).contains(&now) => slowdown *= cold_times,
                 _ => {}
             }
         }
-        (slower, turned_away)
+        (slowdown, refused_share)
     }
 
     /// All daemons end, with whatever they carry, and know nothing when they are back.
@@ -84,7 +84,7 @@
             if let FaultSpec::RestartAll { at_s, for_s, .. } = fault
                 && *at_s <= now
             {
-                self.taken_from = self.taken_from.max(seconds(at_s + for_s));
+                self.accepts_from = self.accepts_from.max(seconds(at_s + for_s));
             }
         }
         self.runs.clear();
@@ -96,7 +96,7 @@
         // A map's order isn't the same in every run.
         roots.sort_unstable_by_key(|(id, _)| *id);
         for (_, call) in roots {
-            self.failed(call.kind, call.caller);
+            self.retry_failed(call.kind, call.caller);
         }
         self.start_daemons();
     }
--- /dev/null
+++ b/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
@@ -0,0 +1,180 @@
+//! The daemon that forwards a call: which instance, and what follows from its answer.
+
+use super::{CONNECT_FAILURE_DURATION, Call, CallResult, Event, Simulation, ms};
+use crate::experiment::daemon::{AnswerContext, incarnation};
+use crate::experiment::file::Mechanism;
+use sorrelturn_policy::{Attempt, InstanceReport, Step, next_step, step_after_backend_refusal};
+use sorrelturn_protocol::{Refusal, Verdict};
+
+impl Simulation<'_> {
+    /// A rank among those of root requests, as a daemon knows them.
+    pub(super) fn rank(&self, daemon: usize, kind: usize) -> (usize, usize) {
+        if self.experiment.learns_calls {
+            self.daemons[daemon].known_rank(&self.importances, kind)
+        } else {
+            self.kinds[kind].rank
+        }
+    }
+
+    /// A call of the backend server beside a daemon. Until its kind is known to be one, it is taken for a root
+    /// request: it may be refused there, and tells nothing of who calls whom.
+    pub(super) fn forward_nested(&mut self, mut call: Call) {
+        let (forwarder, kind, now) = (call.forwarder, call.kind, self.now);
+        if self.experiment.learns_calls {
+            if self.daemons[forwarder].is_reported_as_call(kind) {
+                self.daemons[forwarder].record_call(&self.kind_names, kind, call.deadline);
+            } else {
+                let rank = self.rank(forwarder, kind);
+                let left = call.deadline.saturating_sub(now);
+                let (experiment, bucket) = (self.experiment, call.bucket);
+                if self.daemons[forwarder]
+                    .refuses_request(experiment, now, kind, rank, bucket, left)
+                {
+                    return self.finish_call(call, CallResult::NotRun(Refusal::Overload));
+                }
+                call.level = self.daemons[forwarder].shedding_level(now, kind);
+            }
+        }
+        self.forward(call);
+    }
+
+    /// Sends a call to the better of two instances.
+    pub(super) fn forward(&mut self, mut call: Call) {
+        let service = self.kinds[call.kind].service;
+        let daemon = &mut self.daemons[call.forwarder];
+        if call.attempts.sends == 0 {
+            daemon.record_first_attempt(self.now, service, call.repeated_fraction);
+        }
+        let (experiment, now) = (self.experiment, self.now);
+        let mut tried = call.attempts.tried.clone();
+        tried.extend(call.attempts.refused_by);
+        let chosen = daemon.choose_instance(experiment, now, service, &tried, &mut self.rng);
+        let Some(index) = chosen else {
+            return self.finish_call(call, CallResult::NotRun(Refusal::NoInstance));
+        };
+        daemon.begin_call(service, index);
+        call.attempts.instance = index;
+        call.attempts.sends += 1;
+        let id = self.new_id();
+        let hop = ms(self.experiment.hop_ms);
+        let sent = self.occupy_processor(call.forwarder);
+        let owner = self.first_daemons[service] + index;
+        let lost = self.is_lost(owner);
+        self.calls.insert(id, call);
+        if lost {
+            let refusal = CallResult::NotRun(Refusal::BackendUnreachable);
+            return self.schedule_at(
+                sent + CONNECT_FAILURE_DURATION,
+                Event::Answer(id, refusal, None),
+            );
+        }
+        self.schedule_at(sent + hop, Event::CallArrival(id));
+    }
+
+    /// An answer is back at the daemon that forwarded the call.
+    pub(super) fn handle_answer(
+        &mut self,
+        id: u64,
+        result: CallResult,
+        context: Option<AnswerContext>,
+    ) {
+        let Some(mut call) = self.calls.remove(&id) else {
+            return;
+        };
+        self.occupy_processor(call.forwarder);
+        let service = self.kinds[call.kind].service;
+        let daemon = &mut self.daemons[call.forwarder];
+        let load = context.map_or(0, |context| context.load);
+        let report = match result {
+            CallResult::NotRun(Refusal::BackendRefused) => InstanceReport::BackendError,
+            CallResult::NotRun(Refusal::BackendUnreachable) => InstanceReport::Unreachable,
+            CallResult::DeadlineExceeded | CallResult::Crashed => InstanceReport::Failed,
+            _ => InstanceReport::Answered { load },
+        };
+        daemon.end_call(self.now, service, call.attempts.instance, report);
+        if let Some(context) = context {
+            daemon.record_answer(self.now, call.kind, &context);
+        }
+        let incarnation_used = incarnation(service, call.attempts.instance);
+        if matches!(result, CallResult::NotRun(Refusal::BackendRefused)) {
+            call.attempts.backend_refusals += 1;
+            call.attempts.refused_by = Some(incarnation_used);
+        } else {
+            call.attempts.tried.push(incarnation_used);
+        }
+        if self.should_retry(&mut call, result) {
+            return self.forward(call);
+        }
+        self.finish_call(call, result);
+    }
+
+    /// Whether another instance is asked, as the product decides it.
+    pub(super) fn should_retry(&mut self, call: &mut Call, result: CallResult) -> bool {
+        let refusal = match result {
+            CallResult::Answered => return false,
+            CallResult::NotRun(refusal) => Some(refusal),
+            CallResult::NestedCallFailed | CallResult::DeadlineExceeded | CallResult::Crashed => {
+                None
+            }
+        };
+        call.attempts.crashes += usize::from(matches!(result, CallResult::Crashed));
+        let quarantine_enabled = self.experiment.is_enabled(Mechanism::Quarantine);
+        let crashed_too_often =
+            quarantine_enabled && call.attempts.crashes >= self.experiment.crashes_to_hold;
+        if crashed_too_often || self.is_quarantined(call.caller.request) {
+            return false;
+        }
+        let backend_refused = refusal == Some(Refusal::BackendRefused);
+        let time_left = self.now < call.deadline;
+        let decided = next_step(&Attempt {
+            verdict: match refusal {
+                Some(_) => Verdict::NotRun,
+                None => Verdict::Ran,
+            },
+            refusal,
+            already_retried: matches!(result, CallResult::NestedCallFailed),
+            repeatable: self.kinds[call.kind].repeatable,
+            reroutes: call.attempts.reroutes,
+            attempts_left: call.attempts.attempts_left,
+            attempts_needed: 1,
+            has_time_left: time_left,
+        });
+        let step = if backend_refused {
+            step_after_backend_refusal(call.attempts.backend_refusals, time_left)
+        } else {
+            decided
+        };
+        if backend_refused && !self.experiment.is_enabled(Mechanism::SendingAgain) {
+            return false;
+        }
+        let service = self.kinds[call.kind].service;
+        let mut retry_allowed = || self.daemons[call.forwarder].try_retry(self.now, service);
+        match step {
+            Step::Reroute if !backend_refused => call.attempts.reroutes += 1,
+            Step::Reroute if retry_allowed() => {}
+            Step::Retry if retry_allowed() => {
+                call.attempts.attempts_left = call.attempts.attempts_left.saturating_sub(1);
+                call.repeated = true;
+            }
+            _ => return false,
+        }
+        true
+    }
+
+    /// A call has its final answer.
+    pub(super) fn finish_call(&mut self, call: Call, result: CallResult) {
+        let Some(run) = call.parent else {
+            return self.finish_root(&call, result);
+        };
+        let Some(parent) = self.runs.get(&run) else {
+            return;
+        };
+        match result {
+            CallResult::Answered => {
+                let work_step = parent.work_step;
+                self.schedule_after(work_step, Event::WorkStepDone(run));
+            }
+            _ => self.finish_run(run, CallResult::NestedCallFailed),
+        }
+    }
+}
--- a/crates/sorrelturn-bench/src/experiment/play/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
@@ -7,9 +7,9 @@
 mod owner;
 
 use super::{
-    daemon::{Daemon, Site, Told, rank_of},
+    daemon::{AnswerContext, Daemon, Topology, rank_of},
     file::{Experiment, FaultSpec},
-    outcome::{Counts, KindOutcome, Outcome, SAMPLES_A_SECOND, ServiceOutcome},
+    outcome::{Counts, KindOutcome, Outcome, SAMPLES_PER_SECOND, ServiceOutcome},
 };
 use fastrand::Rng;
 use sorrelturn_policy::{Arrival, Now, Quarantine, TuningSample};
@@ -21,21 +21,21 @@
 };
 
 /// Callers wait as they are told for up to this part of the time that they have left.
-const PATIENCE: u32 = 3;
+const MAX_WAIT_DIVISOR: u32 = 3;
 /// A backend server that turns a request away takes so long for it.
-const TURNS_AWAY_IN: Duration = Duration::from_micros(500);
+const BACKEND_REFUSAL_DURATION: Duration = Duration::from_micros(500);
 /// A connection to a VM that is gone takes so long to fail.
-const FAILS_IN: Duration = Duration::from_millis(1);
+const CONNECT_FAILURE_DURATION: Duration = Duration::from_millis(1);
 /// The executions that a call may cost.
-const ATTEMPTS: u32 = 3;
+const MAX_EXECUTIONS: u32 = 3;
 /// After the last arrival, so long is played on.
-const PLAYED_ON: Duration = Duration::from_secs(10);
+const DRAIN_DURATION: Duration = Duration::from_secs(10);
 
 /// Plays an experiment with one seed. The same seed gives the same outcome.
-pub fn play_experiment(experiment: &Experiment, seed: u64) -> Outcome {
-    let mut play = Play::new(experiment, seed);
-    play.run();
-    play.outcome
+pub fn simulate_experiment(experiment: &Experiment, seed: u64) -> Outcome {
+    let mut simulation = Simulation::new(experiment, seed);
+    simulation.run();
+    simulation.outcome
 }
 
 /// A kind, with its parts found.
@@ -50,14 +50,14 @@
     timeout: Duration,
     repeatable: bool,
     /// It must not run twice while other root requests of its importance may.
-    once_among_repeatable: bool,
-    returns: u32,
+    at_most_once_among_repeatable: bool,
+    max_retries: u32,
     /// What it calls, in order, each as often as it is called.
     calls: Vec<usize>,
     /// The same, each once.
-    called: Vec<usize>,
+    distinct_calls: Vec<usize>,
     /// The place among the outcomes, if callers send it.
-    outcome: Option<usize>,
+    outcome_index: Option<usize>,
 }
 
 /// One call on its way: a root request or a nested one.
@@ -65,7 +65,7 @@
 struct Call {
     kind: usize,
     /// The daemon that forwards it.
-    from: usize,
+    forwarder: usize,
     /// The run that makes it; `None` for a root request.
     parent: Option<u64>,
     /// The root request's caller.
@@ -76,37 +76,37 @@
     /// It runs once more.
     repeated: bool,
     /// The part of those that may make it that runs once more.
-    for_repeat: f64,
+    repeated_fraction: f64,
     deadline: Now,
-    tries: Tries,
+    attempts: AttemptState,
 }
 
 /// What the tries of a call have come to so far.
 #[derive(Clone)]
-struct Tries {
+struct AttemptState {
     tried: Vec<Incarnation>,
     reroutes: u32,
-    turned_away: u32,
-    turned_away_by: Option<Incarnation>,
+    backend_refusals: u32,
+    refused_by: Option<Incarnation>,
     crashes: usize,
     attempts_left: u32,
     sends: u32,
     /// Where it is now: the service's instance.
-    at: usize,
+    instance: usize,
     arrival: Option<Arrival>,
 }
 
-impl Default for Tries {
+impl Default for AttemptState {
     fn default() -> Self {
         Self {
             tried: Vec::new(),
             reroutes: 0,
-            turned_away: 0,
-            turned_away_by: None,
+            backend_refusals: 0,
+            refused_by: None,
             crashes: 0,
-            attempts_left: ATTEMPTS,
+            attempts_left: MAX_EXECUTIONS,
             sends: 0,
-            at: 0,
+            instance: 0,
             arrival: None,
         }
     }
@@ -116,8 +116,8 @@
 #[derive(Clone, Copy)]
 struct Caller {
     first_sent: Now,
-    tries: u32,
-    most_tries: u32,
+    attempts: u32,
+    max_attempts: u32,
     impatient: bool,
     /// What it asks for.
     request: RequestFingerprint,
@@ -130,53 +130,53 @@
     call: u64,
     daemon: usize,
     started: Now,
-    piece: Duration,
+    work_step: Duration,
     next_call: usize,
     level: u16,
     repeated: bool,
-    began: TuningSample,
+    sample: TuningSample,
 }
 
 /// How a call ended at its instance.
 #[derive(Clone, Copy)]
-enum Ended {
+enum CallResult {
     Answered,
     /// The backend server failed it, since a call below failed.
-    FailedBelow,
+    NestedCallFailed,
     NotRun(Refusal),
-    TooLate,
+    DeadlineExceeded,
     /// The backend server crashed while it ran the call.
     Crashed,
 }
 
 enum Event {
-    NextDue(usize),
-    Root(usize, Caller),
-    Arrives(u64),
-    WaitOver(u64),
-    NotBegun(u64, Refusal),
-    CrashDue(usize),
-    Heard(CrashUpdate),
-    PieceDone(u64),
-    Answer(u64, Ended, Option<Told>),
+    NextArrival(usize),
+    RootRequest(usize, Caller),
+    CallArrival(u64),
+    QueueTimeout(u64),
+    BackendRefusal(u64, Refusal),
+    CrashingRequest(usize),
+    CrashUpdateReceived(CrashUpdate),
+    WorkStepDone(u64),
+    Answer(u64, CallResult, Option<AnswerContext>),
     Sample,
     Restart,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     experiment: &'a Experiment,
     /// The names of kinds and of services, in order.
-    names: Vec<String>,
-    services: Vec<String>,
+    kind_names: Vec<String>,
+    service_names: Vec<String>,
     /// The part of all VMs that each service has.
-    shares: BTreeMap<String, f64>,
+    vm_shares: BTreeMap<String, f64>,
     importances: Vec<Importance>,
     kinds: Vec<Kind>,
-    site: Site,
+    topology: Topology,
     /// The first daemon of each service.
-    first: Vec<usize>,
+    first_daemons: Vec<usize>,
     /// The service of each daemon.
-    service_of: Vec<usize>,
+    service_by_daemon: Vec<usize>,
     daemons: Vec<Daemon>,
     rng: Rng,
     now: Now,
@@ -185,9 +185,9 @@
     calls: HashMap<u64, Call>,
     runs: HashMap<u64, Run>,
     next_id: u64,
-    taken_from: Now,
+    accepts_from: Now,
     /// Until when the backend server of each daemon is away after a crash.
-    away_until: Vec<Now>,
+    backend_down_until: Vec<Now>,
     /// What all daemons know of crashes, once they have heard of them.
     quarantine: Quarantine,
     outcome: Outcome,
@@ -201,7 +201,7 @@
     Duration::from_secs_f64(s.max(0.0))
 }
 
-fn shares(experiment: &Experiment) -> BTreeMap<String, f64> {
+fn vm_shares(experiment: &Experiment) -> BTreeMap<String, f64> {
     let instances = experiment.services.values().map(|spec| spec.instances);
     let all = instances.sum::<usize>() as f64;
     let services = experiment.services.iter();
@@ -210,12 +210,13 @@
         .collect()
 }
 
-impl<'a> Play<'a> {
+impl<'a> Simulation<'a> {
     fn new(experiment: &'a Experiment, seed: u64) -> Self {
         let services: Vec<&str> = experiment.services.keys().map(String::as_str).collect();
-        let names: Vec<&str> = experiment.kinds.keys().map(String::as_str).collect();
-        let place = |names: &[&str], name: &str| names.iter().position(|known| *known == name);
-        let of_roots: Vec<Importance> = experiment
+        let kind_names: Vec<&str> = experiment.kinds.keys().map(String::as_str).collect();
+        let index_of =
+            |kind_names: &[&str], name: &str| kind_names.iter().position(|known| *known == name);
+        let root_importances: Vec<Importance> = experiment
             .kinds
             .values()
             .filter(|kind| kind.per_second > 0.0)
@@ -227,12 +228,12 @@
         for (name, spec) in &experiment.kinds {
             let mut calls = Vec::new();
             for call in &spec.calls {
-                let kind = place(&names, &call.kind).unwrap_or(0);
+                let kind = index_of(&kind_names, &call.kind).unwrap_or(0);
                 calls.extend(std::iter::repeat_n(kind, call.times as usize));
             }
-            let mut called = calls.clone();
-            called.sort_unstable();
-            called.dedup();
+            let mut distinct_calls = calls.clone();
+            distinct_calls.sort_unstable();
+            distinct_calls.dedup();
             let is_root = spec.per_second > 0.0;
             if is_root {
                 outcome.kinds.push(KindOutcome {
@@ -242,56 +243,56 @@
                 });
             }
             kinds.push(Kind {
-                service: place(&services, &spec.service).unwrap_or(0),
+                service: index_of(&services, &spec.service).unwrap_or(0),
                 importance: spec.importance,
-                rank: rank_of(spec.importance, &of_roots),
+                rank: rank_of(spec.importance, &root_importances),
                 work: ms(spec.work_ms),
                 spread: spec.spread,
                 target: ms(spec.target_ms),
                 deadline: ms(spec.deadline_ms),
                 timeout: ms(spec.timeout_ms.unwrap_or(spec.deadline_ms)),
                 repeatable: spec.repeatable || !is_root,
-                once_among_repeatable: is_root
+                at_most_once_among_repeatable: is_root
                     && !spec.repeatable
                     && experiment.kinds.values().any(|other| {
                         other.per_second > 0.0
                             && other.repeatable
                             && other.importance == spec.importance
                     }),
-                returns: spec.returns,
+                max_retries: spec.returns,
                 calls,
-                called,
-                outcome: is_root.then(|| outcome.kinds.len() - 1),
+                distinct_calls,
+                outcome_index: is_root.then(|| outcome.kinds.len() - 1),
             });
         }
-        let mut site = Site {
+        let mut topology = Topology {
             domains: Vec::new(),
             slots: Vec::new(),
-            daemons: 0,
+            daemon_count: 0,
         };
-        let (mut first, mut service_of) = (Vec::new(), Vec::new());
+        let (mut first_daemons, mut service_by_daemon) = (Vec::new(), Vec::new());
         for (service, (name, spec)) in experiment.services.iter().enumerate() {
-            first.push(site.daemons);
+            first_daemons.push(topology.daemon_count);
             let domains = (0..spec.instances).map(|at| (at + service) % experiment.domains);
-            site.domains.push(domains.collect());
-            site.slots.push(spec.slots);
-            site.daemons += spec.instances;
-            service_of.extend(std::iter::repeat_n(service, spec.instances));
+            topology.domains.push(domains.collect());
+            topology.slots.push(spec.slots);
+            topology.daemon_count += spec.instances;
+            service_by_daemon.extend(std::iter::repeat_n(service, spec.instances));
             outcome.services.push(ServiceOutcome {
                 service: name.clone(),
                 ..ServiceOutcome::default()
             });
         }
-        let mut play = Self {
+        let mut simulation = Self {
             experiment,
-            names: experiment.kinds.keys().cloned().collect(),
-            services: experiment.services.keys().cloned().collect(),
-            shares: shares(experiment),
+            kind_names: experiment.kinds.keys().cloned().collect(),
+            service_names: experiment.services.keys().cloned().collect(),
+            vm_shares: vm_shares(experiment),
             importances: kinds.iter().map(|kind| kind.importance).collect(),
             kinds,
-            site,
-            first,
-            service_of,
+            topology,
+            first_daemons,
+            service_by_daemon,
             daemons: Vec::new(),
             rng: Rng::with_seed(seed),
             now: Duration::ZERO,
@@ -300,50 +301,52 @@
             calls: HashMap::new(),
             runs: HashMap::new(),
             next_id: 0,
-            taken_from: Duration::ZERO,
-            away_until: Vec::new(),
+            accepts_from: Duration::ZERO,
+            backend_down_until: Vec::new(),
             quarantine: Quarantine::with_crash_threshold(experiment.crashes_to_hold),
             outcome,
         };
-        play.away_until = vec![Duration::ZERO; play.site.daemons];
-        play.start_daemons();
-        play
+        simulation.backend_down_until = vec![Duration::ZERO; simulation.topology.daemon_count];
+        simulation.start_daemons();
+        simulation
     }
 
     fn start_daemons(&mut self) {
-        self.daemons = (0..self.site.daemons)
+        self.daemons = (0..self.topology.daemon_count)
             .map(|at| {
-                let service = self.service_of[at];
-                let domain = self.site.domains[service][at - self.first[service]];
-                Daemon::new(self.experiment, &self.site, service, domain, self.now)
+                let service = self.service_by_daemon[at];
+                let domain = self.topology.domains[service][at - self.first_daemons[service]];
+                Daemon::new(self.experiment, &self.topology, service, domain, self.now)
             })
             .collect();
     }
 
     fn run(&mut self) {
         for kind in 0..self.kinds.len() {
-            if self.kinds[kind].outcome.is_some() {
-                self.next_due(kind);
+            if self.kinds[kind].outcome_index.is_some() {
+                self.schedule_next_arrival(kind);
             }
         }
         for (number, fault) in self.experiment.faults.iter().enumerate() {
             match fault {
-                FaultSpec::RestartAll { at_s, .. } => self.at(seconds(*at_s), Event::Restart),
+                FaultSpec::RestartAll { at_s, .. } => {
+                    self.schedule_at(seconds(*at_s), Event::Restart)
+                }
                 FaultSpec::Crashes { from_s, .. } => {
-                    self.at(seconds(*from_s), Event::CrashDue(number));
+                    self.schedule_at(seconds(*from_s), Event::CrashingRequest(number));
                 }
                 _ => {}
             }
         }
-        self.at(Duration::ZERO, Event::Sample);
-        let end = seconds(self.experiment.seconds) + PLAYED_ON;
+        self.schedule_at(Duration::ZERO, Event::Sample);
+        let end = seconds(self.experiment.seconds) + DRAIN_DURATION;
         while let Some(Reverse((at, id))) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             if let Some(event) = self.events.remove(&id) {
-                self.happens(event);
+                self.handle(event);
             }
         }
         // Whatever has no answer by now never gets one.
@@ -354,64 +357,64 @@
         }
     }
 
-    fn id(&mut self) -> u64 {
+    fn new_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 
-    fn at(&mut self, at: Now, event: Event) {
-        let id = self.id();
+    fn schedule_at(&mut self, at: Now, event: Event) {
+        let id = self.new_id();
         self.queue.push(Reverse((at, id)));
         self.events.insert(id, event);
     }
 
-    fn after(&mut self, wait: Duration, event: Event) {
-        self.at(self.now + wait, event);
+    fn schedule_after(&mut self, wait: Duration, event: Event) {
+        self.schedule_at(self.now + wait, event);
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::NextDue(kind) => self.arrives_from_callers(kind),
-            Event::Root(kind, caller) => self.root(kind, caller),
-            Event::Arrives(call) => self.arrives(call),
-            Event::WaitOver(call) => self.wait_over(call),
-            Event::NotBegun(call, refusal) => self.not_begun(call, refusal),
-            Event::CrashDue(fault) => self.crash_due(fault),
-            Event::Heard(news) => self.heard(&news),
-            Event::PieceDone(run) => self.piece_done(run),
-            Event::Answer(call, ended, told) => self.answer(call, ended, told),
+            Event::NextArrival(kind) => self.send_new_requests(kind),
+            Event::RootRequest(kind, caller) => self.handle_root_request(kind, caller),
+            Event::CallArrival(call) => self.handle_arrival(call),
+            Event::QueueTimeout(call) => self.queue_timed_out(call),
+            Event::BackendRefusal(call, refusal) => self.backend_refused(call, refusal),
+            Event::CrashingRequest(fault) => self.send_crashing_request(fault),
+            Event::CrashUpdateReceived(update) => self.receive_crash_update(&update),
+            Event::WorkStepDone(run) => self.work_step_done(run),
+            Event::Answer(call, result, context) => self.handle_answer(call, result, context),
             Event::Sample => self.sample(),
             Event::Restart => self.restart(),
         }
     }
 
     /// A daemon's side of a hop; returns when it is done.
-    fn works(&mut self, daemon: usize) -> Now {
+    fn occupy_processor(&mut self, daemon: usize) -> Now {
         let us = self.experiment.hop_side_us / self.experiment.cores;
-        self.daemons[daemon].works(self.now, Duration::from_nanos((us * 1_000.0) as u64))
+        self.daemons[daemon].occupy_processor(self.now, Duration::from_nanos((us * 1_000.0) as u64))
     }
 
     fn domain_of(&self, daemon: usize) -> usize {
-        let service = self.service_of[daemon];
-        self.site.domains[service][daemon - self.first[service]]
+        let service = self.service_by_daemon[daemon];
+        self.topology.domains[service][daemon - self.first_daemons[service]]
     }
 
     /// Notes which part of the slots that a service works best with is at work, of the instances that are there.
     fn sample(&mut self) {
-        for service in 0..self.services.len() {
-            let (mut taken, mut slots) = (0.0, 0.0);
-            let daemons =
-                self.first[service]..self.first[service] + self.site.domains[service].len();
+        for service in 0..self.service_names.len() {
+            let (mut used, mut slots) = (0.0, 0.0);
+            let daemons = self.first_daemons[service]
+                ..self.first_daemons[service] + self.topology.domains[service].len();
             for daemon in daemons.filter(|daemon| !self.is_lost(*daemon)) {
                 let gate = &self.daemons[daemon].gate;
-                taken += f64::from(gate.in_flight());
+                used += f64::from(gate.in_flight());
                 slots += f64::from(gate.steady_limit(self.now));
             }
-            let at_work = taken / f64::max(slots, 1.0);
-            self.outcome.services[service].at_work.push(at_work);
+            let slot_usage = used / f64::max(slots, 1.0);
+            self.outcome.services[service].slot_usage.push(slot_usage);
         }
         if self.now < seconds(self.experiment.seconds) {
-            self.after(ms(1_000.0 / SAMPLES_A_SECOND as f64), Event::Sample);
+            self.schedule_after(ms(1_000.0 / SAMPLES_PER_SECOND as f64), Event::Sample);
         }
     }
 }
--- /dev/null
+++ b/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
@@ -0,0 +1,258 @@
+//! The daemon beside the backend server that runs a call, and the run.
+
+use super::{AttemptState, BACKEND_REFUSAL_DURATION, Call, CallResult, Event, Run, Simulation, ms};
+use crate::experiment::daemon::AnswerContext;
+use crate::experiment::file::Mechanism;
+use sorrelturn_policy::{Arrival, Decision, Outcome as GateOutcome, TuningSample};
+use sorrelturn_protocol::{Priority, Refusal};
+use std::time::Duration;
+
+impl Simulation<'_> {
+    /// A call arrives at the daemon beside its instance.
+    pub(super) fn handle_arrival(&mut self, id: u64) {
+        let Some(call) = self.calls.get(&id) else {
+            return;
+        };
+        let kind = &self.kinds[call.kind];
+        let owner = self.first_daemons[kind.service] + call.attempts.instance;
+        let is_cross_domain = self.domain_of(call.forwarder) != self.domain_of(owner);
+        let services = &mut self.outcome.services[kind.service];
+        services.cross_domain += u64::from(is_cross_domain);
+        services.arrived += 1;
+        services.repeated += u64::from(call.attempts.sends > 1 || call.repeated);
+        let is_call = self.experiment.learns_calls.then(|| {
+            let origin = &self.service_names[self.service_by_daemon[call.forwarder]];
+            let daemon = &mut self.daemons[owner];
+            daemon.record_origin(&self.kind_names[call.kind], origin);
+            daemon.is_called_kind(&self.kind_names[call.kind], &self.vm_shares)
+        });
+        let arrival = Arrival {
+            id,
+            priority: Priority::new(kind.importance, call.bucket),
+            is_nested_call: is_call.unwrap_or(call.parent.is_some()),
+            deadline: call.deadline,
+            level: call.level,
+        };
+        if let Some(call) = self.calls.get_mut(&id) {
+            call.attempts.arrival = Some(arrival);
+        }
+        self.occupy_processor(owner);
+        let gate = &mut self.daemons[owner].gate;
+        let (decision, evicted) = gate.arrive(self.now, &arrival);
+        let wait = gate.queue_timeout(&arrival);
+        if let Some(id) = evicted {
+            self.send_answer(id, CallResult::NotRun(Refusal::Overload));
+        }
+        match decision {
+            Decision::Admit => {
+                let sample = self.daemons[owner].gate.last_sample();
+                self.begin_execution(id, sample);
+            }
+            Decision::Queue => self.schedule_after(wait, Event::QueueTimeout(id)),
+            Decision::Refuse(refusal) => self.send_answer(id, CallResult::NotRun(refusal)),
+        }
+    }
+
+    pub(super) fn queue_timed_out(&mut self, id: u64) {
+        let Some((owner, arrival)) = self.owner_and_arrival(id) else {
+            return;
+        };
+        if self.daemons[owner].gate.remove_queued(&arrival, true) {
+            self.send_answer(id, CallResult::NotRun(Refusal::Overload));
+        }
+    }
+
+    pub(super) fn owner_and_arrival(&self, id: u64) -> Option<(usize, Arrival)> {
+        let call = self.calls.get(&id)?;
+        let owner = self.first_daemons[self.kinds[call.kind].service] + call.attempts.instance;
+        Some((owner, call.attempts.arrival?))
+    }
+
+    /// The backend server is handed a call.
+    pub(super) fn begin_execution(&mut self, id: u64, sample: TuningSample) {
+        let Some((daemon, _)) = self.owner_and_arrival(id) else {
+            return;
+        };
+        if self.is_backend_down(daemon) {
+            let refusal = Refusal::BackendUnreachable;
+            return self
+                .schedule_after(BACKEND_REFUSAL_DURATION, Event::BackendRefusal(id, refusal));
+        }
+        let (slowdown, refused_share) = self.backend_faults(daemon);
+        if refused_share > 0.0 && self.rng.f64() < refused_share {
+            let refusal = Refusal::BackendRefused;
+            return self
+                .schedule_after(BACKEND_REFUSAL_DURATION, Event::BackendRefusal(id, refusal));
+        }
+        let call = &self.calls[&id];
+        let kind = &self.kinds[call.kind];
+        let spec = self.experiment.services.values().nth(kind.service);
+        let at = daemon - self.first_daemons[kind.service];
+        let speeds = spec.map_or(&[][..], |spec| &spec.speeds);
+        let speed = match speeds.len() {
+            0 => 1.0,
+            count => speeds[at % count],
+        };
+        let usage = f64::from(self.daemons[daemon].gate.in_flight())
+            / f64::from(self.topology.slots[kind.service]);
+        let above_knee = spec.filter(|spec| usage > spec.knee);
+        let knee = above_knee.map_or(1.0, |spec| spec.knee_times);
+        // The part that varies is distributed exponentially.
+        let variation = kind.spread.min(1.0);
+        let random = 1.0 - variation - variation * (1.0 - self.rng.f64()).ln();
+        let work = kind.work.mul_f64(random * slowdown * knee / speed);
+        let work_step = work / (kind.calls.len() as u32 + 1);
+        let (level, repeated) = (call.level, call.repeated);
+        let (kind_index, deadline) = (call.kind, call.deadline);
+        let run = self.new_id();
+        self.runs.insert(
+            run,
+            Run {
+                call: id,
+                daemon,
+                started: self.now,
+                work_step,
+                next_call: 0,
+                level,
+                repeated,
+                sample,
+            },
+        );
+        self.daemons[daemon].begin_execution(run, kind_index, deadline, level, repeated);
+        self.schedule_after(work_step, Event::WorkStepDone(run));
+    }
+
+    /// The backend server turned a call away, or isn't there.
+    pub(super) fn backend_refused(&mut self, id: u64, refusal: Refusal) {
+        let Some((owner, _)) = self.owner_and_arrival(id) else {
+            return;
+        };
+        let outcome = match refusal {
+            Refusal::BackendUnreachable => GateOutcome::Failed,
+            _ => GateOutcome::Overloaded,
+        };
+        self.release_slot(owner, outcome, BACKEND_REFUSAL_DURATION);
+        self.send_answer(id, CallResult::NotRun(refusal));
+    }
+
+    pub(super) fn release_slot(&mut self, owner: usize, outcome: GateOutcome, took: Duration) {
+        let gate = &mut self.daemons[owner].gate;
+        let released = gate.finish(self.now, outcome, took);
+        for (id, sample) in released.admitted.into_iter().zip(released.samples) {
+            self.begin_execution(id, sample);
+        }
+        for (id, refusal) in released.refused {
+            self.send_answer(id, CallResult::NotRun(refusal));
+        }
+    }
+
+    /// A piece of a run's work is done: the next call follows, or the answer.
+    pub(super) fn work_step_done(&mut self, id: u64) {
+        let Some(run) = self.runs.get_mut(&id) else {
+            return;
+        };
+        let Some(call) = self.calls.get(&run.call) else {
+            if let Some(run) = self.runs.remove(&id) {
+                self.daemons[run.daemon].end_execution(id, run.level, run.repeated);
+            }
+            return;
+        };
+        if self.now >= call.deadline {
+            return self.finish_run(id, CallResult::DeadlineExceeded);
+        }
+        if call.caller.crashes && call.parent.is_none() {
+            let daemon = run.daemon;
+            return self.crash_backend(daemon);
+        }
+        let kind = &self.kinds[call.kind];
+        let Some(next) = kind.calls.get(run.next_call).copied() else {
+            return self.finish_run(id, CallResult::Answered);
+        };
+        run.next_call += 1;
+        let forward_nested = Call {
+            kind: next,
+            forwarder: run.daemon,
+            parent: Some(id),
+            caller: call.caller,
+            bucket: self.rng.u8(..),
+            level: self.daemons[run.daemon].in_progress.mean_level(),
+            repeated: run.repeated,
+            repeated_fraction: self.daemons[run.daemon].in_progress.repeated_fraction(),
+            deadline: call.deadline.min(self.now + self.kinds[next].deadline),
+            attempts: AttemptState::default(),
+        };
+        self.forward_nested(forward_nested);
+    }
+
+    /// A run ends; its slot is free.
+    pub(super) fn finish_run(&mut self, id: u64, result: CallResult) {
+        let Some(run) = self.runs.remove(&id) else {
+            return;
+        };
+        self.daemons[run.daemon].end_execution(id, run.level, run.repeated);
+        let took = self.now - run.started;
+        let kind = self.calls.get(&run.call).map(|call| call.kind);
+        if let Some(kind) = kind {
+            self.daemons[run.daemon].learn_calls(&self.kind_names[kind], took);
+        }
+        let leaf_kind = kind.filter(|kind| self.is_leaf(run.daemon, *kind));
+        if self.experiment.is_enabled(Mechanism::BestSlots) {
+            let gate = &mut self.daemons[run.daemon].gate;
+            gate.end_sample(
+                self.now,
+                run.sample,
+                leaf_kind.map(|kind| kind as u64),
+                took,
+            );
+        }
+        let outcome = match result {
+            CallResult::Crashed => GateOutcome::Failed,
+            _ => GateOutcome::Answered,
+        };
+        self.release_slot(run.daemon, outcome, took);
+        self.send_answer(run.call, result);
+    }
+
+    pub(super) fn is_leaf(&self, daemon: usize, kind: usize) -> bool {
+        if self.experiment.learns_calls {
+            self.daemons[daemon].is_leaf(&self.kind_names[kind])
+        } else {
+            self.kinds[kind].calls.is_empty()
+        }
+    }
+
+    /// What a kind calls, as far as the daemon beside its backend server knows.
+    pub(super) fn known_calls(&self, daemon: usize, kind: usize) -> Vec<usize> {
+        if !self.experiment.learns_calls {
+            return self.kinds[kind].distinct_calls.clone();
+        }
+        let known = self.daemons[daemon].known_calls(&self.kind_names[kind]);
+        let places = known
+            .iter()
+            .filter_map(|name| self.kind_names.binary_search(name).ok());
+        places.collect()
+    }
+
+    /// The owner's answer goes back.
+    pub(super) fn send_answer(&mut self, id: u64, result: CallResult) {
+        let Some((owner, _)) = self.owner_and_arrival(id) else {
+            return;
+        };
+        let kind = self.calls[&id].kind;
+        let max_called_level = match result {
+            CallResult::NotRun(_) => Priority::default(),
+            _ => self.daemons[owner].max_shedding_level(self.now, &self.known_calls(owner, kind)),
+        };
+        let is_call = self.daemons[owner].is_called_kind(&self.kind_names[kind], &self.vm_shares);
+        let gate = &mut self.daemons[owner].gate;
+        let own = gate.threshold(self.now);
+        let context = AnswerContext {
+            threshold: own.max(max_called_level),
+            load: gate.load_percent(self.now),
+            is_call,
+        };
+        let sent = self.occupy_processor(owner);
+        let hop = ms(self.experiment.hop_ms);
+        self.schedule_at(sent + hop, Event::Answer(id, result, Some(context)));
+    }
+}
--- a/crates/sorrelturn-bench/src/experiment/table.rs
+++ b/crates/sorrelturn-bench/src/experiment/table.rs
@@ -4,7 +4,7 @@
 
 /// One table of the kinds and one of the services, as Markdown. `stretches` are lines of seconds besides the
 /// whole; each outcome has the name of what was played.
-pub fn table(outcomes: &[(&str, &Outcome)], stretches: &[(usize, usize)]) -> String {
+pub fn table(outcomes: &[(&str, &Outcome)], intervals: &[(usize, usize)]) -> String {
     let mut lines = vec![
         "| played | seconds | kind | asked | good % | late % | refused % | again % | failed % | \
          worth |"
@@ -12,16 +12,16 @@
         "|---|---|---|---|---|---|---|---|---|---|".to_owned(),
     ];
     for (name, outcome) in outcomes {
-        let whole = outcome.kinds.first().map_or(0, |kind| kind.by_second.len());
-        let all = std::iter::once((0, whole)).chain(stretches.iter().copied());
+        let seconds = outcome.kinds.first().map_or(0, |kind| kind.by_second.len());
+        let all = std::iter::once((0, seconds)).chain(intervals.iter().copied());
         for (from, to) in all {
             for kind in &outcome.kinds {
                 let counts = kind.between(from, to);
                 lines.push(format!(
                     "| {name} | {from} to {to} | {} | {} | {} | |",
                     kind.kind,
-                    counts.asked,
-                    shares(&counts)
+                    counts.requested,
+                    percentages(&counts)
                 ));
             }
             let worth = outcome.worth_between(from, to);
@@ -38,19 +38,19 @@
     );
     lines.push("|---|---|---|---|---|---|---|---|---|".to_owned());
     for (name, outcome) in outcomes {
-        let whole = outcome.kinds.first().map_or(0, |kind| kind.by_second.len());
-        let all = std::iter::once((0, whole)).chain(stretches.iter().copied());
+        let seconds = outcome.kinds.first().map_or(0, |kind| kind.by_second.len());
+        let all = std::iter::once((0, seconds)).chain(intervals.iter().copied());
         for (from, to) in all {
             for service in &outcome.services {
-                let (mean, apart) = outcome.slots_between(&service.service, from, to);
+                let (mean, spread) = outcome.slot_usage_between(&service.service, from, to);
                 lines.push(format!(
                     "| {name} | {} | {from} to {to} | {:.1} | {:.1} | {} | {} | {} | {} |",
                     service.service,
                     mean * 100.0,
-                    apart * 100.0,
+                    spread * 100.0,
                     service.arrived,
                     percent(service.repeated as f64, service.arrived as f64),
-                    percent(service.crossed as f64, service.arrived as f64),
+                    percent(service.cross_domain as f64, service.arrived as f64),
                     service.crashes,
                 ));
             }
@@ -60,8 +60,8 @@
     lines.join("\n")
 }
 
-fn shares(counts: &Counts) -> String {
-    let of = |part: u32| percent(f64::from(part), f64::from(counts.asked));
+fn percentages(counts: &Counts) -> String {
+    let of = |part: u32| percent(f64::from(part), f64::from(counts.requested));
     [
         of(counts.good),
         of(counts.late),
--- a/crates/sorrelturn-bench/src/lib.rs
+++ b/crates/sorrelturn-bench/src/lib.rs
@@ -17,7 +17,7 @@
 mod plan;
 mod processes;
 mod relay;
-mod returns;
+mod retry_simulation;
 mod routed_backend;
 mod routed_fleet;
 mod scenario;
@@ -38,14 +38,14 @@
 pub use plan::{Fault, KindPlan, Plan, PlannedCall, plan_for};
 pub use processes::{DaemonProcess, Process, ProcessFleet, binary, cpu_time, memory};
 pub use relay::Relay;
-pub use returns::{
-    PRESSINGS, PRODUCT, Pressing, RETURNING_KINDS, Refused, ReturnRule, ReturnWay, Returned,
-    ReturningKind, play_returns,
+pub use retry_simulation::{
+    OVERLOAD_CASES, OverloadCase, PRODUCT_POLICY, RETRYING_KINDS, RefusedRequest, RetryAfterRule,
+    RetryPolicy, RetryStats, RetryingKind, simulate_retries,
 };
 pub use routed_backend::{
     BODY, CALL_PATH, Cancelled, IDLE_S, Reached, RoutedBackend, SIGNATURE, Script,
 };
 pub use routed_fleet::{Paths, RoutedFleet, RoutedInstance, until};
-pub use scenario::{Lengths, SCENARIOS, Scenario, System, run_scenario};
+pub use scenario::{PhaseDurations, SCENARIOS, Scenario, System, run_scenario};
 pub use summary::{Goodput, Summary};
 pub use workload::{MixPart, Workload};
--- a/crates/sorrelturn-bench/src/load.rs
+++ b/crates/sorrelturn-bench/src/load.rs
@@ -106,7 +106,7 @@
                 Timer::at(start + next).await;
                 let caller = Caller {
                     client: self.entries[number % self.entries.len()].clone(),
-                    part: self.workload.draw(&mut rng).clone(),
+                    part: self.workload.random_kind(&mut rng).clone(),
                     retries: self.retries,
                     once: self.once,
                     key: format!("k{number}"),
--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -7,7 +7,7 @@
     fleet::LocalFleet,
     load::{Load, OnceWay, Retries, Stretch},
     plan::plan_for,
-    summary::{Context, Summary},
+    summary::{Summary, SummaryInput},
     workload::Workload,
 };
 use smol::{Executor, net::TcpListener};
@@ -21,7 +21,7 @@
 };
 
 /// The share of the capacity that callers ask for in normal times.
-const NORMAL_SHARE: f64 = 0.7;
+const NORMAL_LOAD_FRACTION: f64 = 0.7;
 
 /// What happens between the normal times.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,7 +35,7 @@
     /// How often a caller asks in all.
     pub tries: u32,
     /// How often the pressure comes, with a short normal time between.
-    pub pressures: usize,
+    pub overloads: usize,
 }
 
 /// All scenarios.
@@ -45,35 +45,35 @@
         surge: 3.0,
         slow: 1.0,
         tries: 1,
-        pressures: 1,
+        overloads: 1,
     },
     Scenario {
         name: "deep service x5 slower",
         surge: 1.0,
         slow: 5.0,
         tries: 1,
-        pressures: 1,
+        overloads: 1,
     },
     Scenario {
         name: "hard retries, surge x1.5",
         surge: 1.5,
         slow: 1.0,
         tries: 5,
-        pressures: 1,
+        overloads: 1,
     },
     Scenario {
         name: "all together",
         surge: 3.0,
         slow: 5.0,
         tries: 5,
-        pressures: 1,
+        overloads: 1,
     },
     Scenario {
         name: "all together, twice in a row",
         surge: 3.0,
         slow: 5.0,
         tries: 5,
-        pressures: 2,
+        overloads: 2,
     },
 ];
 
@@ -99,31 +99,31 @@
 
 /// How long the stretches last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Lengths {
+pub struct PhaseDurations {
     /// The normal time before.
     pub before: Duration,
     /// Each pressure.
-    pub pressure: Duration,
+    pub overload: Duration,
     /// The normal time between two pressures.
     pub between: Duration,
     /// The normal time after.
     pub after: Duration,
 }
 
-impl Lengths {
+impl PhaseDurations {
     /// Normal times and pressures by turns, with a normal time first and last.
     fn stretches(&self, normal: f64, scenario: &Scenario) -> Vec<Stretch> {
-        let last = 2 * scenario.pressures;
+        let last = 2 * scenario.overloads;
         (0..=last)
             .map(|at| Stretch {
-                rate: if is_pressure(at) {
+                rate: if is_overload(at) {
                     normal * scenario.surge
                 } else {
                     normal
                 },
                 length: match at {
                     0 => self.before,
-                    at if is_pressure(at) => self.pressure,
+                    at if is_overload(at) => self.overload,
                     at if at == last => self.after,
                     _ => self.between,
                 },
@@ -133,22 +133,22 @@
 }
 
 /// Whether a stretch is one of pressure.
-fn is_pressure(at: usize) -> bool {
+fn is_overload(at: usize) -> bool {
     at % 2 == 1
 }
 
 /// From when to when there is pressure, since the start of the load.
-fn pressures(stretches: &[Stretch]) -> Vec<Range<Duration>> {
+fn overloads(stretches: &[Stretch]) -> Vec<Range<Duration>> {
     let mut begin = Duration::ZERO;
-    let mut pressures = Vec::new();
+    let mut overloads = Vec::new();
     for (at, stretch) in stretches.iter().enumerate() {
         let end = begin + stretch.length;
-        if is_pressure(at) {
-            pressures.push(begin..end);
+        if is_overload(at) {
+            overloads.push(begin..end);
         }
         begin = end;
     }
-    pressures
+    overloads
 }
 
 /// Runs one scenario against one system; `progress` hears of each stretch.
@@ -157,12 +157,12 @@
     workload: &Arc<Workload>,
     scenario: &Scenario,
     system: System,
-    lengths: Lengths,
+    durations: PhaseDurations,
     progress: impl Fn(&str),
 ) -> Summary {
     let running = start(&ex, workload, system).await;
-    let normal = workload.capacity * NORMAL_SHARE;
-    let stretches = lengths.stretches(normal, scenario);
+    let normal = workload.capacity * NORMAL_LOAD_FRACTION;
+    let stretches = durations.stretches(normal, scenario);
     let load = Load {
         ex: Arc::clone(&ex),
         entries: running.entries.clone(),
@@ -179,35 +179,42 @@
     let deep = running.backends_of(workload.deep_service);
     let records = load
         .run(&stretches, |at| {
-            let slow = if is_pressure(at) { scenario.slow } else { 1.0 };
+            let slow = if is_overload(at) { scenario.slow } else { 1.0 };
             for backend in &deep {
                 backend.change_plan(|plan| plan.slow = slow);
             }
-            progress(if is_pressure(at) {
+            progress(if is_overload(at) {
                 "pressure"
             } else {
                 "normal load"
             });
         })
         .await;
-    let pressures = pressures(&stretches);
-    let best = workload.best(normal * scenario.surge, scenario.slow);
-    summarize(&running, workload, system, &pressures, best, &records)
+    let overloads = overloads(&stretches);
+    let max_goodput = workload.max_goodput(normal * scenario.surge, scenario.slow);
+    summarize(
+        &running,
+        workload,
+        system,
+        &overloads,
+        max_goodput,
+        &records,
+    )
 }
 
 fn summarize(
-    running: &Running,
+    running: &RunningSystem,
     workload: &Workload,
     system: System,
-    pressures: &[Range<Duration>],
-    best: BTreeMap<Importance, f64>,
+    overloads: &[Range<Duration>],
+    max_goodput: BTreeMap<Importance, f64>,
     records: &[crate::load::Record],
 ) -> Summary {
     let bundle = workload.fleet.indexed();
-    let mut ran: HashMap<String, u32> = HashMap::new();
+    let mut executions_by_key: HashMap<String, u32> = HashMap::new();
     for (_, backend) in &running.backends {
         for (name, count) in backend.ran() {
-            *ran.entry(name).or_default() += count;
+            *executions_by_key.entry(name).or_default() += count;
         }
     }
     let kinds = || {
@@ -218,10 +225,10 @@
             .flat_map(|service| service.kinds.keys())
             .filter_map(|name| bundle.kind(name))
     };
-    let need = kinds()
+    let min_executions = kinds()
         .map(|kind| (kind.name.clone(), kind.min_executions))
         .collect();
-    let once: Vec<String> = kinds()
+    let at_most_once_kinds: Vec<String> = kinds()
         .filter(|kind| kind.at_most_once())
         .map(|kind| kind.name.clone())
         .collect();
@@ -230,29 +237,29 @@
         .iter()
         .map(|(_, backend)| backend.executions())
         .sum();
-    Summary::of(
+    Summary::from_records(
         records,
-        &Context {
+        &SummaryInput {
             system: system.name(),
-            pressures,
-            best,
+            overloads,
+            max_goodput,
             executions,
-            ran: &ran,
-            need: &need,
-            once: &once,
+            executions_by_key: &executions_by_key,
+            min_executions: &min_executions,
+            at_most_once_kinds: &at_most_once_kinds,
         },
     )
 }
 
 /// A system under load.
-struct Running {
+struct RunningSystem {
     entries: Vec<Client>,
     backends: Vec<(String, FakeBackend)>,
     _fleet: Option<LocalFleet>,
     _tasks: Vec<smol::Task<()>>,
 }
 
-impl Running {
+impl RunningSystem {
     fn backends_of(&self, service: &str) -> Vec<FakeBackend> {
         self.backends
             .iter()
@@ -262,14 +269,14 @@
     }
 }
 
-async fn start(ex: &Arc<Executor<'static>>, workload: &Workload, system: System) -> Running {
+async fn start(ex: &Arc<Executor<'static>>, workload: &Workload, system: System) -> RunningSystem {
     match system {
         System::Sorrelturn => start_daemons(ex, workload).await,
         System::Baseline(kind) => start_baseline(ex, workload, kind).await,
     }
 }
 
-async fn start_daemons(ex: &Arc<Executor<'static>>, workload: &Workload) -> Running {
+async fn start_daemons(ex: &Arc<Executor<'static>>, workload: &Workload) -> RunningSystem {
     let fleet = LocalFleet::start(Arc::clone(ex), workload.fleet.clone()).await;
     let entries = (0..fleet.daemons.len())
         .map(|at| fleet.caller(at))
@@ -281,7 +288,7 @@
         .zip(&fleet.backends)
         .map(|(instance, backend)| (instance.service.clone(), backend.clone()))
         .collect();
-    Running {
+    RunningSystem {
         entries,
         backends,
         _fleet: Some(fleet),
@@ -293,7 +300,7 @@
     ex: &Arc<Executor<'static>>,
     workload: &Workload,
     kind: BaselineKind,
-) -> Running {
+) -> RunningSystem {
     let bundle = workload.fleet.indexed();
     let proxy = Baseline::new(kind, bundle.clone());
     let (mut tasks, mut backends, mut entries) = (Vec::new(), Vec::new(), Vec::new());
@@ -307,7 +314,7 @@
         let backend_addr = listener.local_addr().expect("a bound address");
         let backend = FakeBackend::default();
         tasks.push(ex.spawn(serve_backend(Arc::clone(ex), listener, backend.clone())));
-        proxy.add(ex, &instance.service, backend_addr);
+        proxy.add_backend(ex, &instance.service, backend_addr);
         // Each backend server has a proxy of its own beside it, as each has a daemon.
         let listener = bind().await;
         let local = listener.local_addr().expect("a bound address");
@@ -318,7 +325,7 @@
         backends.push((instance.service.clone(), backend));
         entries.push(Client::new(Arc::clone(ex), local));
     }
-    Running {
+    RunningSystem {
         entries,
         backends,
         _fleet: None,
--- a/crates/sorrelturn-bench/src/summary.rs
+++ b/crates/sorrelturn-bench/src/summary.rs
@@ -10,9 +10,9 @@
 };
 
 /// The width of the windows in which recovery is looked for.
-const WINDOW: Duration = Duration::from_millis(250);
+const WINDOW_DURATION: Duration = Duration::from_millis(250);
 /// A window is well if this share of its requests got a good answer.
-const WELL: f64 = 0.95;
+const RECOVERED_FRACTION: f64 = 0.95;
 
 /// Good answers of one importance in one stretch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,72 +64,72 @@
 }
 
 /// What the summary needs besides the records.
-pub struct Context<'a> {
+pub struct SummaryInput<'a> {
     /// The name of the system.
     pub system: &'a str,
     /// From when to when there was pressure, since the start of the load.
-    pub pressures: &'a [Range<Duration>],
+    pub overloads: &'a [Range<Duration>],
     /// The most good answers a second under pressure that the slots allow, importance first.
-    pub best: BTreeMap<Importance, f64>,
+    pub max_goodput: BTreeMap<Importance, f64>,
     /// Executions at all backend servers.
     pub executions: u64,
     /// Executions by key and kind.
-    pub ran: &'a HashMap<String, u32>,
+    pub executions_by_key: &'a HashMap<String, u32>,
     /// The executions that a good answer of each kind needs.
-    pub need: &'a HashMap<String, u32>,
+    pub min_executions: &'a HashMap<String, u32>,
     /// The kinds that run at most once.
-    pub once: &'a [String],
+    pub at_most_once_kinds: &'a [String],
 }
 
-impl Context<'_> {
-    fn is_under_pressure(&self, record: &Record) -> bool {
-        self.pressures
+impl SummaryInput<'_> {
+    fn is_during_overload(&self, record: &Record) -> bool {
+        self.overloads
             .iter()
-            .any(|pressure| pressure.contains(&record.sent))
+            .any(|overload| overload.contains(&record.sent))
     }
 }
 
 impl Summary {
     /// Sums a run up.
-    pub fn of(records: &[Record], cx: &Context) -> Self {
-        let begin = cx
-            .pressures
+    pub fn from_records(records: &[Record], input: &SummaryInput) -> Self {
+        let begin = input
+            .overloads
             .first()
             .map_or(Duration::MAX, |first| first.start);
         let before = || records.iter().filter(|record| record.sent < begin);
         let under = || {
-            let is_under = |record: &&Record| cx.is_under_pressure(record);
-            records.iter().filter(is_under)
+            let is_during_overload = |record: &&Record| input.is_during_overload(record);
+            records.iter().filter(is_during_overload)
         };
-        let length = cx
-            .pressures
+        let length = input
+            .overloads
             .iter()
             .map(|range| range.end - range.start)
             .sum();
         let useful: u64 = records
             .iter()
             .filter(|record| record.good)
-            .map(|record| u64::from(cx.need.get(&record.kind).copied().unwrap_or(1)))
+            .map(|record| u64::from(input.min_executions.get(&record.kind).copied().unwrap_or(1)))
             .sum();
-        let wasted = cx.executions.saturating_sub(useful);
+        let wasted = input.executions.saturating_sub(useful);
         let tries: u64 = records.iter().map(|record| u64::from(record.tries)).sum();
         let per_second = |good: usize, length: Duration| good as f64 / length.as_secs_f64();
         let good = |record: &&Record| record.good;
         Self {
-            system: cx.system.to_owned(),
+            system: input.system.to_owned(),
             before: by_importance(before()),
             under: by_importance(under()),
             goodput_before: per_second(before().filter(good).count(), begin),
             goodput_under: per_second(under().filter(good).count(), length),
-            best_under: cx.best.values().sum(),
-            recovery_s: worst_recovery(records, cx).as_secs_f64(),
-            executions: cx.executions,
-            wasted_percent: wasted as f64 * 100.0 / cx.executions.max(1) as f64,
+            best_under: input.max_goodput.values().sum(),
+            recovery_s: worst_recovery(records, input).as_secs_f64(),
+            executions: input.executions,
+            wasted_percent: wasted as f64 * 100.0 / input.executions.max(1) as f64,
             tries_per_request: tries as f64 / records.len().max(1) as f64,
-            double_runs: double_runs(cx),
+            double_runs: double_runs(input),
             wrong_answers: records.iter().filter(|record| record.wrong).count() as u64,
-            failures: failures(records, cx),
-            false_not_run: false_not_run(records, cx),
+            failures: failures(records, input),
+            false_not_run: false_not_run(records, input),
         }
     }
 }
@@ -147,11 +147,11 @@
 }
 
 /// The longest recovery after a pressure.
-fn worst_recovery(records: &[Record], cx: &Context) -> Duration {
-    let recoveries = cx.pressures.iter().enumerate().map(|(at, pressure)| {
-        let next = cx.pressures.get(at + 1);
+fn worst_recovery(records: &[Record], input: &SummaryInput) -> Duration {
+    let recoveries = input.overloads.iter().enumerate().map(|(at, overload)| {
+        let next = input.overloads.get(at + 1);
         let until = next.map_or(Duration::MAX, |next| next.start);
-        recovery(records, pressure.end..until)
+        recovery(records, overload.end..until)
     });
     recoveries.max().unwrap_or(Duration::ZERO)
 }
@@ -164,22 +164,22 @@
         .iter()
         .filter(|record| normal.contains(&record.sent))
     {
-        let window = (record.sent - end).as_nanos() / WINDOW.as_nanos();
+        let window = (record.sent - end).as_nanos() / WINDOW_DURATION.as_nanos();
         let sum = windows.entry(window as u32).or_default();
         sum.offered += 1;
         sum.good += u64::from(record.good);
     }
     let last_bad = windows
         .iter()
-        .rfind(|(_, sum)| sum.percent() < WELL * 100.0)
+        .rfind(|(_, sum)| sum.percent() < RECOVERED_FRACTION * 100.0)
         .map(|(window, _)| *window);
-    last_bad.map_or(Duration::ZERO, |window| WINDOW * (window + 1))
+    last_bad.map_or(Duration::ZERO, |window| WINDOW_DURATION * (window + 1))
 }
 
-fn failures(records: &[Record], cx: &Context) -> BTreeMap<String, u64> {
+fn failures(records: &[Record], input: &SummaryInput) -> BTreeMap<String, u64> {
     let mut failures = BTreeMap::new();
     for record in records.iter().filter(|record| !record.good) {
-        let stretch = if cx.is_under_pressure(record) {
+        let stretch = if input.is_during_overload(record) {
             "under"
         } else {
             "normal"
@@ -196,23 +196,27 @@
     failures
 }
 
-fn double_runs(cx: &Context) -> u64 {
-    cx.ran
+fn double_runs(input: &SummaryInput) -> u64 {
+    input
+        .executions_by_key
         .iter()
         .filter(|(name, count)| {
             let kind = name.split(' ').next_back().unwrap_or_default();
-            **count > 1 && cx.once.iter().any(|once| once == kind)
+            **count > 1 && input.at_most_once_kinds.iter().any(|once| once == kind)
         })
         .count() as u64
 }
 
-fn false_not_run(records: &[Record], cx: &Context) -> u64 {
+fn false_not_run(records: &[Record], input: &SummaryInput) -> u64 {
     records
         .iter()
         .filter(|record| record.told_not_run == record.tries)
         .filter(|record| {
             let name = format!("{} {}", record.key, record.kind);
-            cx.ran.get(&name).is_some_and(|count| *count > 0)
+            input
+                .executions_by_key
+                .get(&name)
+                .is_some_and(|count| *count > 0)
         })
         .count() as u64
 }
--- a/crates/sorrelturn-bench/src/workload.rs
+++ b/crates/sorrelturn-bench/src/workload.rs
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 
 /// Slots of the users' tables are divided by this, so that one machine can play all instances.
-const SCALE: u32 = 4;
+const SLOT_DIVISOR: u32 = 4;
 /// The work of a kind that only reads, and of one that changes something, in milliseconds.
-const READ_MS: f64 = 40.0;
-const CHANGE_MS: f64 = 75.0;
+const READ_WORK_MS: f64 = 40.0;
+const WRITE_WORK_MS: f64 = 75.0;
 
 /// One kind of root request in a mix.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,20 +40,20 @@
     /// The deep service that is slowed in the scenarios.
     pub deep_service: &'static str,
     indexed: Bundle,
-    counts: BTreeMap<String, usize>,
+    instance_counts: BTreeMap<String, usize>,
 }
 
 impl Workload {
     /// One of the users' deployments, by the name of its bundle.
-    pub fn of(name: &str) -> Self {
-        let protokols = name != "dalaqyz-soft";
+    pub fn for_deployment(name: &str) -> Self {
+        let is_protokols = name != "dalaqyz-soft";
         let mut bundle = example_bundle(name);
         for service in bundle.services.values_mut() {
-            service.slots = (service.slots / SCALE).max(2);
-            service.connections /= SCALE;
+            service.slots = (service.slots / SLOT_DIVISOR).max(2);
+            service.connections /= SLOT_DIVISOR;
             service.cold_start_ms = 1;
         }
-        let (instances, domains, shares, deep): (&[_], [&str; 3], &[_], _) = if protokols {
+        let (instances, domains, shares, deep): (&[_], [&str; 3], &[_], _) = if is_protokols {
             (
                 &[
                     ("archive", 5),
@@ -92,13 +92,13 @@
                 "statements",
             )
         };
-        let work_ms = work(&bundle);
+        let work_ms = work_ms_by_kind(&bundle);
         let indexed = Bundle::new(1, bundle.clone());
         let mix: Vec<MixPart> = shares
             .iter()
-            .filter_map(|(name, share)| part(&indexed, name, *share))
+            .filter_map(|(name, share)| mix_part(&indexed, name, *share))
             .collect();
-        let counts = instances
+        let instance_counts = instances
             .iter()
             .map(|(service, count)| ((*service).to_owned(), *count))
             .collect();
@@ -110,33 +110,33 @@
             capacity: 0.0,
             deep_service: deep,
             indexed,
-            counts,
+            instance_counts,
         };
-        workload.capacity = workload.slots(1.0).of_mix(&workload.mix);
+        workload.capacity = workload.slot_capacity(1.0).max_rate(&workload.mix);
         workload
     }
 
     /// The most good answers a second by importance, with importance first, when `rate` are asked for
     /// while the deep service is so many times slower.
-    pub fn best(&self, rate: f64, slow: f64) -> BTreeMap<Importance, f64> {
-        self.slots(slow).best(&self.mix, rate)
+    pub fn max_goodput(&self, rate: f64, slow_factor: f64) -> BTreeMap<Importance, f64> {
+        self.slot_capacity(slow_factor).max_goodput(&self.mix, rate)
     }
 
-    fn slots(&self, slow: f64) -> Capacity<'_> {
+    fn slot_capacity(&self, slow_factor: f64) -> Capacity<'_> {
         Capacity {
             bundle: &self.indexed,
-            instances: &self.counts,
+            instances: &self.instance_counts,
             work_ms: &self.fleet.work_ms,
-            slow: (self.deep_service, slow),
+            slow: (self.deep_service, slow_factor),
         }
     }
 
     /// Draws a kind of root request.
-    pub fn draw(&self, rng: &mut fastrand::Rng) -> &MixPart {
-        let mut left = rng.f64();
+    pub fn random_kind(&self, rng: &mut fastrand::Rng) -> &MixPart {
+        let mut remaining = rng.f64();
         for part in &self.mix {
-            left -= part.share;
-            if left < 0.0 {
+            remaining -= part.share;
+            if remaining < 0.0 {
                 return part;
             }
         }
@@ -144,19 +144,26 @@
     }
 }
 
-fn work(bundle: &BundleSource) -> BTreeMap<String, f64> {
+fn work_ms_by_kind(bundle: &BundleSource) -> BTreeMap<String, f64> {
     bundle
         .services
         .values()
         .flat_map(|service| &service.kinds)
         .map(|(name, kind)| {
-            let changes = kind.execution == Execution::AtMostOnce;
-            (name.clone(), if changes { CHANGE_MS } else { READ_MS })
+            let is_write = kind.execution == Execution::AtMostOnce;
+            (
+                name.clone(),
+                if is_write {
+                    WRITE_WORK_MS
+                } else {
+                    READ_WORK_MS
+                },
+            )
         })
         .collect()
 }
 
-fn part(bundle: &Bundle, name: &str, share: f64) -> Option<MixPart> {
+fn mix_part(bundle: &Bundle, name: &str, share: f64) -> Option<MixPart> {
     let kind = bundle.kind(name)?;
     Some(MixPart {
         kind: name.to_owned(),
--- a/crates/sorrelturn-bench/tests/experiment.rs
+++ b/crates/sorrelturn-bench/tests/experiment.rs
@@ -3,7 +3,9 @@
 //! Each test names the pattern that it plays; the bounds lie between what was measured with the mechanism and without
 //! it, nearer to the first (16 seeds; here 4).
 
-use sorrelturn_bench::experiment::{Experiment, Mechanism, Outcome, play_experiment, plot, table};
+use sorrelturn_bench::experiment::{
+    Experiment, Mechanism, Outcome, plot, simulate_experiment, table,
+};
 use std::{
     path::{Path, PathBuf},
     sync::OnceLock,
@@ -20,34 +22,34 @@
     Experiment::read(&shipped(name)).expect("a shipped experiment")
 }
 
-fn play(experiment: &Experiment) -> Outcome {
+fn simulate(experiment: &Experiment) -> Outcome {
     let mut sum = Outcome::default();
     for seed in 0..SEEDS {
-        sum.add(&play_experiment(experiment, seed));
+        sum.add(&simulate_experiment(experiment, seed));
     }
     sum
 }
 
-fn without(name: &str, mechanism: Mechanism) -> Outcome {
+fn simulate_without(name: &str, mechanism: Mechanism) -> Outcome {
     let mut experiment = experiment(name);
     experiment.without.push(mechanism);
-    play(&experiment)
+    simulate(&experiment)
 }
 
 fn served(outcome: &Outcome, kind: &str, from: usize, to: usize) -> f64 {
     let kind = outcome.kinds.iter().find(|known| known.kind == kind);
     let counts = kind.expect("a kind").between(from, to);
-    f64::from(counts.good + counts.late) / f64::from(counts.asked)
+    f64::from(counts.good + counts.late) / f64::from(counts.requested)
 }
 
 /// A service turns 55 in 100 away for eight seconds although it has slots. Retries that successes pay for dry up at
 /// once: 1.1 % of what arrives is sent again, and 0.33 of the worth is served.
 #[test]
 fn what_a_service_turns_away_with_slots_free_is_sent_again_while_the_bound_allows_it() {
-    let outcome = play(&experiment("wide-rejection.jsonc"));
+    let outcome = simulate(&experiment("wide-rejection.jsonc"));
     let worth = outcome.worth_between(12, 20);
     assert!(worth > 0.36, "{worth}");
-    let bare = without("wide-rejection.jsonc", Mechanism::SendingAgain);
+    let bare = simulate_without("wide-rejection.jsonc", Mechanism::SendingAgain);
     let bare = bare.worth_between(12, 20);
     assert!(worth > bare + 0.03, "{worth} with, {bare} without");
 }
@@ -57,7 +59,7 @@
 fn sendings_beyond_the_first_keep_the_bound_while_a_service_turns_most_away() {
     let experiment = experiment("wide-rejection.jsonc");
     for seed in 0..SEEDS {
-        let outcome = play_experiment(&experiment, seed);
+        let outcome = simulate_experiment(&experiment, seed);
         for service in &outcome.services {
             let first = (service.arrived - service.repeated) as f64;
             let most = experiment.retries.ratio * first + 3.0 * experiment.retries.slack;
@@ -71,12 +73,12 @@
 /// work best with: since gates find that out, these are no longer two thirds of what is announced.
 #[test]
 fn the_slots_that_are_left_stay_at_work_after_an_instance_is_lost() {
-    let outcome = play(&experiment("lost-instance.jsonc"));
-    let (at_work, apart) = outcome.slots_between("devices", 34, 50);
+    let outcome = simulate(&experiment("lost-instance.jsonc"));
+    let (at_work, apart) = outcome.slot_usage_between("devices", 34, 50);
     assert!(at_work > 0.88, "{at_work}");
     assert!(apart < 0.26, "{apart}");
     // In a burst on top of it, which presses steadily.
-    let (at_work, apart) = outcome.slots_between("devices", 23, 28);
+    let (at_work, apart) = outcome.slot_usage_between("devices", 23, 28);
     assert!(at_work > 0.92, "{at_work}");
     assert!(apart < 0.2, "{apart}");
 }
@@ -84,7 +86,7 @@
 /// All daemons end under a burst and start anew, knowing nothing: the level follows within a second or two.
 #[test]
 fn a_burst_is_borne_again_soon_after_all_daemons_started_anew() {
-    let outcome = play(&experiment("burst-and-restart.jsonc"));
+    let outcome = simulate(&experiment("burst-and-restart.jsonc"));
     let before = outcome.worth_between(8, 14);
     let after = outcome.worth_between(23, 30);
     assert!(after > before - 0.03, "{after} after, {before} before");
@@ -95,20 +97,20 @@
 fn the_same_seed_gives_the_same_figures() {
     let experiment = experiment("slow-instance.jsonc");
     assert_eq!(
-        play_experiment(&experiment, 7),
-        play_experiment(&experiment, 7)
+        simulate_experiment(&experiment, 7),
+        simulate_experiment(&experiment, 7)
     );
     assert_ne!(
-        play_experiment(&experiment, 7),
-        play_experiment(&experiment, 8)
+        simulate_experiment(&experiment, 7),
+        simulate_experiment(&experiment, 8)
     );
 }
 
 #[test]
 fn the_table_and_the_picture_show_each_kind() {
-    let outcome = play_experiment(&experiment("slow-instance.jsonc"), 1);
-    let played = [("as it is", &outcome)];
-    let (text, picture) = (table(&played, &[(8, 18)]), plot(&played));
+    let outcome = simulate_experiment(&experiment("slow-instance.jsonc"), 1);
+    let outcomes = [("as it is", &outcome)];
+    let (text, picture) = (table(&outcomes, &[(8, 18)]), plot(&outcomes));
     for kind in &outcome.kinds {
         assert!(text.contains(&format!("| {} |", kind.kind)), "{text}");
         assert!(picture.contains(&kind.kind));
@@ -117,12 +119,12 @@
 }
 
 /// What a file's text says that is wrong.
-fn error(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     let parsed = Experiment::parse("it.jsonc", text);
     parsed.expect_err("it is wrong").to_string()
 }
 
-const RIGHT: &str = r#"{
+const VALID: &str = r#"{
   "about": "", "seconds": 1,
   "services": { "a": { "instances": 1, "slots": 2 } },
   "kinds": { "k": { "service": "a", "work_ms": 5, "deadline_ms": 100, "per_second": 10 } }
@@ -130,7 +132,7 @@
 
 #[test]
 fn a_wrong_file_is_refused_with_the_place_and_what_to_write_instead() {
-    assert!(Experiment::parse("it.jsonc", RIGHT).is_ok());
+    assert!(Experiment::parse("it.jsonc", VALID).is_ok());
     let cases = [
         (
             r#""slots": 2"#,
@@ -169,7 +171,7 @@
         ),
     ];
     for (part, wrong, says) in cases {
-        let said = error(&RIGHT.replace(part, wrong));
+        let said = parse_error(&VALID.replace(part, wrong));
         assert!(said.contains(says), "{said}");
     }
     let missing = Experiment::read(Path::new("nowhere.jsonc")).expect_err("no such file");
@@ -182,13 +184,13 @@
 
 /// The play of the large fleet, once for all tests: it takes seconds. Two seeds lie within 0.01 of sixteen.
 fn large_fleet() -> &'static Outcome {
-    static PLAYED: OnceLock<Outcome> = OnceLock::new();
-    PLAYED.get_or_init(|| play_twice(&experiment("large-fleet.jsonc")))
+    static OUTCOME: OnceLock<Outcome> = OnceLock::new();
+    OUTCOME.get_or_init(|| simulate_two_seeds(&experiment("large-fleet.jsonc")))
 }
 
-fn play_twice(experiment: &Experiment) -> Outcome {
-    let mut sum = play_experiment(experiment, 0);
-    sum.add(&play_experiment(experiment, 1));
+fn simulate_two_seeds(experiment: &Experiment) -> Outcome {
+    let mut sum = simulate_experiment(experiment, 0);
+    sum.add(&simulate_experiment(experiment, 1));
     sum
 }
 
@@ -199,7 +201,7 @@
     let worth = large_fleet().worth();
     let mut bare = experiment("large-fleet.jsonc");
     bare.without.push(Mechanism::BestSlots);
-    let bare = play_twice(&bare).worth();
+    let bare = simulate_two_seeds(&bare).worth();
     assert!(worth > 0.69, "{worth}");
     assert!(worth > bare + 0.04, "{worth} with, {bare} without");
 }
@@ -211,9 +213,9 @@
     for service in experiment.services.values_mut() {
         service.knee_times = 1.0;
     }
-    let worth = play_twice(&experiment).worth();
+    let worth = simulate_two_seeds(&experiment).worth();
     experiment.without.push(Mechanism::BestSlots);
-    let bare = play_twice(&experiment).worth();
+    let bare = simulate_two_seeds(&experiment).worth();
     assert!(worth > bare - 0.02, "{worth} with, {bare} without");
 }
 
@@ -224,7 +226,7 @@
     let outcome = large_fleet();
     let critical = outcome.kinds.iter().find(|kind| kind.kind == "certify");
     let counts = critical.expect("a kind").between(2, 4);
-    let failed = f64::from(counts.failed) / f64::from(counts.asked);
+    let failed = f64::from(counts.failed) / f64::from(counts.requested);
     assert!(failed < 0.06, "{failed}");
 }
 
@@ -236,7 +238,7 @@
     let outcome = large_fleet();
     let critical = outcome.kinds.iter().find(|kind| kind.kind == "certify");
     let counts = critical.expect("a kind").total();
-    let failed = f64::from(counts.failed) / f64::from(counts.asked);
+    let failed = f64::from(counts.failed) / f64::from(counts.requested);
     assert!(failed < 0.07, "{failed}");
     let (books, reads) = (
         served(outcome, "book", 0, 40),
@@ -261,11 +263,11 @@
             .map(|service| service.crashes)
             .sum::<u64>()
     };
-    let held = play_twice(&experiment);
+    let held = simulate_two_seeds(&experiment);
     assert!(crashes(&held) <= 2 * 6, "{} crashes", crashes(&held));
     assert!(held.worth() > 0.95, "{}", held.worth());
     experiment.without.push(Mechanism::Quarantine);
-    let bare = play_twice(&experiment);
+    let bare = simulate_two_seeds(&experiment);
     assert!(crashes(&bare) > 10 * crashes(&held));
     assert!(bare.worth() < held.worth() - 0.1, "{}", bare.worth());
 }
