--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon of an experiment: what it has learnt, on the product's own policy code.
+//! A simulated daemon. Its decisions are made by the product's policy code.
 
 use super::file::{Experiment, Mechanism};
 use fastrand::Rng;
@@ -13,58 +13,58 @@
     time::Duration,
 };
 
-/// The waits of the product's gates, where calls have a wait of their own.
+/// The queue timeouts of the product's gates: for root requests, and for nested calls.
 const QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
 const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
-/// The window of the bound on retries, the part of its slack that the product uses, and the least number of
-/// daemons that share it.
+/// The window of the retry limit.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
+/// The fraction of the configured retry slack that is shared out among the daemons.
 const SLACK_FRACTION: f64 = 0.5;
+/// The slack is divided by at least this number of daemons.
 const MIN_SHARING_DAEMONS: usize = 12;
 
-/// What a daemon has learnt about one kind.
+/// A daemon's state for one kind of request.
 struct KindState {
     threshold: LearnedThreshold,
     retry_detector: RetryDetector,
     refusal_streak: RefusalStreak,
-    /// What answers told of it: whether its requests are calls.
+    /// Whether answers report requests of this kind as nested calls.
     is_call: bool,
     was_answered: bool,
 }
 
-/// How far apart the same end may seem: it travels in whole milliseconds.
+/// Deadlines this close count as the same one, since they are sent in whole milliseconds.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
-/// A request that the backend server works on.
+/// A request in progress at the backend server.
 struct RunningRequest {
     kind: usize,
     deadline: Now,
 }
 
-/// What a daemon knows of one instance.
+/// A daemon's statistics of one instance.
 struct InstanceState {
     stats: Instance,
 }
 
-/// A daemon with the gate before its backend server.
+/// A daemon with the gate in front of its backend server.
 pub(super) struct Daemon {
     kinds: Vec<KindState>,
-    /// For each service, its instances.
+    /// The instances, by service index.
     instances_by_service: Vec<Vec<InstanceState>>,
-    /// For each service.
+    /// The retry windows, by service index.
     retries: Vec<RetryWindow>,
     pub(super) gate: Gate,
-    /// When its processor is free.
     processor_free_at: Now,
-    /// What the backend server works on.
+    /// The totals of the requests in progress at the backend server.
     pub(super) in_progress: InProgressRequests,
-    /// The same one by one, by the ids of the runs.
+    /// The requests in progress, by run id.
     running_requests: BTreeMap<u64, RunningRequest>,
     graph: CallGraph,
     origins: RequestOrigins,
 }
 
-/// Where the instances of the services stand.
+/// The instances of all services and their failure domains.
 pub(super) struct Topology {
     /// For each service, the failure domain of each instance.
     pub(super) domains: Vec<Vec<usize>>,
@@ -72,7 +72,7 @@
     pub(super) daemon_count: usize,
 }
 
-/// What an answer tells besides the answer.
+/// The metadata that an answer carries.
 #[derive(Clone, Copy)]
 pub(super) struct AnswerContext {
     pub(super) threshold: Priority,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The backend server is handed a request.
+    /// Records that the backend server starts a request.
     pub(super) fn begin_execution(
         &mut self,
         run: u64,
@@ -148,28 +148,28 @@
             .insert(run, RunningRequest { kind, deadline });
     }
 
-    /// It is done with one.
+    /// Records that the backend server has finished a request.
     pub(super) fn end_execution(&mut self, run: u64, level: u16, repeated: bool) {
         self.in_progress.end(level, repeated);
         self.running_requests.remove(&run);
     }
 
-    /// Learns from a finished request what its kind calls.
+    /// Learns from a finished request which kinds its kind calls.
     pub(super) fn learn_calls(&mut self, name: &str, took: Duration) {
         self.graph.record_end(name, took);
     }
 
-    /// What a kind is known to call.
+    /// The kinds that a kind is known to call.
     pub(super) fn known_calls(&self, name: &str) -> &[String] {
         self.graph.calls(name)
     }
 
-    /// Whether a kind is known to call nothing.
+    /// Whether a kind is known to make no calls.
     pub(super) fn is_leaf(&self, name: &str) -> bool {
         self.graph.is_leaf(name)
     }
 
-    /// The backend server makes a call that is known as one.
+    /// Records a nested call of the backend server, with the requests in progress that may have made it.
     pub(super) fn record_call(&mut self, names: &[String], child: usize, deadline: Now) {
         let mut groups: BTreeMap<(usize, bool), u32> = BTreeMap::new();
         for running in self.running_requests.values() {
@@ -189,23 +189,24 @@
         self.graph.record_call(&names[child], &candidates);
     }
 
-    /// A request of a kind came from the VM of a service.
+    /// Records that a request of a kind arrived from a VM of a service.
     pub(super) fn record_origin(&mut self, name: &str, service: &str) {
         self.origins.record(name, service);
     }
 
-    /// Whether requests of a kind are calls, as seen where they are answered.
+    /// Whether requests of a kind are nested calls, judged by where they come from.
     pub(super) fn is_called_kind(&self, name: &str, shares: &BTreeMap<String, f64>) -> bool {
         let share_of = |service: &str| shares.get(service).copied().unwrap_or(1.0);
         self.origins.are_calls(name, shares.len(), share_of)
     }
 
-    /// Whether requests of a kind are calls, as answers told.
+    /// Whether answers reported requests of a kind as nested calls.
     pub(super) fn is_reported_as_call(&self, kind: usize) -> bool {
         self.kinds[kind].is_call
     }
 
-    /// How many lower importances the root requests have that were answered, and how many they have in all.
+    /// Among the importances of answered root requests: how many are lower than that of `kind`, and how many
+    /// there are.
     pub(super) fn known_rank(&self, importances: &[Importance], kind: usize) -> (usize, usize) {
         let known = self.kinds.iter().zip(importances);
         let root_importances: Vec<Importance> = known
@@ -215,7 +216,7 @@
         rank_of(importances[kind], &root_importances)
     }
 
-    /// The processor takes so long for a side of a hop; returns when it is done.
+    /// Occupies the processor for one side of a hop. Returns the time at which it is done.
     pub(super) fn occupy_processor(&mut self, now: Now, duration: Duration) -> Now {
         let lag = self.processor_free_at.saturating_sub(now);
         if !duration.is_zero() {
@@ -225,12 +226,12 @@
         self.processor_free_at
     }
 
-    /// The level that was learnt for a kind with all that it calls.
+    /// The shedding level learned for a kind, including the kinds that it calls.
     pub(super) fn shedding_level(&self, now: Now, kind: usize) -> u16 {
         self.kinds[kind].threshold.current(now).0
     }
 
-    /// The highest level of some kinds.
+    /// The highest learned shedding level of `kinds`.
     pub(super) fn max_shedding_level(&self, now: Now, kinds: &[usize]) -> Priority {
         let levels = kinds
             .iter()
@@ -238,7 +239,7 @@
         levels.max().unwrap_or_default()
     }
 
-    /// Whether a root request is refused; `left` is what its caller says that it will still wait.
+    /// Whether a root request is refused. `left` is the time that its caller will still wait.
     pub(super) fn refuses_request(
         &mut self,
         experiment: &Experiment,
@@ -263,7 +264,7 @@
         refuses(level, rank.0, rank.1, bucket)
     }
 
-    /// When a refused caller is told to come back.
+    /// The Retry-After time for a refused caller.
     pub(super) fn retry_after(
         &mut self,
         experiment: &Experiment,
@@ -277,7 +278,7 @@
         RetryAfter::compute(None, rng)
     }
 
-    /// Picks an instance of a service.
+    /// Chooses an instance of a service that isn't in `tried`.
     pub(super) fn choose_instance(
         &self,
         experiment: &Experiment,
@@ -297,19 +298,19 @@
         rng.choice(untried)
     }
 
-    /// A call goes out to an instance.
+    /// Records that a call is sent to an instance.
     pub(super) fn begin_call(&self, service: usize, index: usize) {
         self.instances_by_service[service][index].stats.started();
     }
 
-    /// A call is over.
+    /// Records the end of a call to an instance.
     pub(super) fn end_call(&self, now: Now, service: usize, index: usize, report: InstanceReport) {
         self.instances_by_service[service][index]
             .stats
             .finished(now, report);
     }
 
-    /// Learns what an answer tells.
+    /// Learns from the metadata of an answer.
     pub(super) fn record_answer(&mut self, now: Now, kind: usize, context: &AnswerContext) {
         let state = &mut self.kinds[kind];
         state.threshold.observe(now, context.threshold);
@@ -317,12 +318,13 @@
         state.was_answered = true;
     }
 
-    /// A call is sent to a service for the first time; the part of those that may make it is run once more.
+    /// Records the first attempt of a call to a service. `repeated` is the fraction of its possible parents that
+    /// are retries.
     pub(super) fn record_first_attempt(&mut self, now: Now, service: usize, repeated: f64) {
         self.retries[service].record_call_of_repeat(now, repeated);
     }
 
-    /// Takes the price of another sending to a service, if it is there.
+    /// Whether the retry limit allows another attempt at a service. If so, the attempt is counted.
     pub(super) fn try_retry(&mut self, now: Now, service: usize) -> bool {
         self.retries[service].try_retry(now)
     }
@@ -340,12 +342,12 @@
     }
 }
 
-/// An instance's name for the choice.
+/// The incarnation that identifies an instance in the choice of instances.
 pub(super) fn incarnation(service: usize, index: usize) -> Incarnation {
     Incarnation((service as u64) << 32 | (index as u64 + 1))
 }
 
-/// How many lower importances root requests have, and how many in all.
+/// Among the importances of root requests: how many are lower than `importance`, and how many there are.
 pub(super) fn rank_of(importance: Importance, root_importances: &[Importance]) -> (usize, usize) {
     let mut known: HashMap<Importance, ()> = HashMap::new();
     for root in root_importances {
--- a/crates/sorrelturn-bench/src/experiment/file.rs
+++ b/crates/sorrelturn-bench/src/experiment/file.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment: services, kinds of requests, load, faults, and what is switched off.
+//! The experiment file: services, kinds of requests, load, faults, and disabled mechanisms.
 
 use displaydoc::Display;
 use json_comments::StripComments;
@@ -7,46 +7,46 @@
 use sorrelturn_protocol::Importance;
 use std::{collections::BTreeMap, io::Read, path::Path};
 
-/// A whole experiment.
+/// An experiment as its file describes it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it shows, for the head of the table.
+    /// A description, printed above the tables.
     pub about: String,
-    /// How long requests arrive.
+    /// How long callers send new requests, in seconds.
     pub seconds: f64,
-    /// How many failure domains the instances are spread over, one after the other.
+    /// The number of failure domains; instances are assigned to them in turn.
     #[serde(default = "default_domains")]
     pub domains: usize,
-    /// One way between two VMs.
+    /// The one-way delay between two VMs, in milliseconds.
     #[serde(default = "default_hop_ms")]
     pub hop_ms: f64,
-    /// What a daemon's processor takes for its side of one hop.
+    /// Processor time of a daemon for its side of one hop, in microseconds.
     #[serde(default)]
     pub hop_side_us: f64,
-    /// The part of a core that a daemon has.
+    /// The number of cores of a daemon; may be a fraction.
     #[serde(default = "default_cores")]
     pub cores: f64,
-    /// Daemons learn who calls whom and which kinds are calls, as the product does; else they are told.
+    /// Whether daemons learn the call graph, as in the product. Otherwise they know it from the start.
     #[serde(default)]
     pub learns_calls: bool,
     /// The services, by name.
     pub services: BTreeMap<String, ServiceSpec>,
     /// The kinds of requests, by name.
     pub kinds: BTreeMap<String, KindSpec>,
-    /// Stretches in which more or less arrives.
+    /// Intervals with a different load.
     #[serde(default)]
     pub load: Vec<LoadSpec>,
-    /// What goes wrong.
+    /// The injected faults.
     #[serde(default)]
     pub faults: Vec<FaultSpec>,
-    /// The retries that all daemons may make together.
+    /// The limit on retries of all daemons together.
     #[serde(default)]
     pub retries: RetrySpec,
-    /// In how many crashes a request was at work that is held.
+    /// A request is quarantined after it was in progress in this many crashes.
     #[serde(default = "default_crashes_to_hold")]
     pub crashes_to_hold: usize,
-    /// Mechanisms of the product that are switched off.
+    /// The disabled mechanisms of the product.
     #[serde(default)]
     pub without: Vec<Mechanism>,
 }
@@ -55,173 +55,173 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// How many instances it has.
+    /// The number of instances.
     pub instances: usize,
-    /// How many requests each works on at once.
+    /// The number of requests that each instance runs concurrently.
     pub slots: u32,
-    /// The speeds of its instances, in turn; 1 without.
+    /// Relative speeds, assigned to the instances in turn; 1 if empty.
     #[serde(default)]
     pub speeds: Vec<f64>,
-    /// With this part of its slots taken, an instance works slower.
+    /// An instance slows down if more than this fraction of its slots is in use.
     #[serde(default = "default_knee")]
     pub knee: f64,
-    /// So many times slower.
+    /// The slowdown factor above the knee.
     #[serde(default = "default_times")]
     pub knee_times: f64,
 }
 
-/// A kind of request. One with `per_second` comes from callers, any other is called.
+/// A kind of request. Callers send kinds with a rate in `per_second`; the others are nested calls only.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindSpec {
     /// The service that runs it.
     pub service: String,
-    /// How many callers send in a second.
+    /// The rate at which callers send it, in requests per second.
     #[serde(default)]
     pub per_second: f64,
     /// Its importance.
     #[serde(default = "default_importance")]
     pub importance: Importance,
-    /// The mean time that it is worked on, its calls left out.
+    /// The mean execution time in milliseconds, without nested calls.
     pub work_ms: f64,
-    /// How much that varies: the standard deviation as a part of the mean.
+    /// The standard deviation of the execution time, as a fraction of the mean.
     #[serde(default = "default_spread")]
     pub spread: f64,
-    /// Within this time its answer is worth all, later less.
+    /// An answer within this time, in milliseconds, earns `worth`; a later one earns `late_worth`.
     #[serde(default = "default_target_ms")]
     pub target_ms: f64,
-    /// How long its callers wait.
+    /// How long its callers wait, in milliseconds.
     pub deadline_ms: f64,
-    /// How long its route lets one try take; without, as long as its caller waits.
+    /// The timeout of one attempt in milliseconds; without it, `deadline_ms`.
     pub timeout_ms: Option<f64>,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     #[serde(default)]
     pub repeatable: bool,
-    /// What an answer in time is worth.
+    /// The value of an answer within the target time.
     #[serde(default)]
     pub worth: f64,
-    /// What a late one is worth.
+    /// The value of a late answer.
     #[serde(default)]
     pub late_worth: f64,
-    /// How often its callers come back.
+    /// The maximum number of retries of a caller.
     #[serde(default = "default_returns")]
     pub returns: u32,
-    /// What it calls, one after the other, with work between.
+    /// Its nested calls, made one after the other with work in between.
     #[serde(default)]
     pub calls: Vec<CallSpec>,
 }
 
-/// Calls of one kind.
+/// Nested calls of one kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallSpec {
-    /// The kind.
+    /// The kind that is called.
     pub kind: String,
-    /// How often.
+    /// The number of calls.
     #[serde(default = "default_calls")]
     pub times: u32,
 }
 
-/// A stretch of other load.
+/// An interval with a different load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSpec {
-    /// Its beginning.
+    /// Start, in seconds.
     pub from_s: f64,
-    /// Its end.
+    /// End, in seconds.
     pub to_s: f64,
-    /// So many times the usual load.
+    /// The load as a multiple of the normal load.
     pub times: f64,
-    /// Requests arrive in clumps of so many, in one moment.
+    /// The number of requests that arrive at the same moment.
     #[serde(default = "default_calls")]
     pub clumps_of: u32,
 }
 
-/// Something that goes wrong.
+/// An injected fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, tag = "fault", rename_all = "kebab-case")]
 pub enum FaultSpec {
-    /// Instances turn requests away although they have slots.
+    /// Backend servers refuse requests although they have free slots.
     TurnsAway {
         /// The service.
         service: String,
-        /// Of what arrives.
+        /// The share of requests that is refused.
         share: f64,
-        /// Begin.
+        /// Start, in seconds.
         from_s: f64,
-        /// End.
+        /// End, in seconds.
         to_s: f64,
     },
-    /// Instances work slower.
+    /// Instances slow down.
     Slow {
         /// The service.
         service: String,
-        /// How many of its instances.
+        /// The number of affected instances.
         instances: usize,
-        /// So many times.
+        /// The slowdown factor.
         times: f64,
-        /// Begin.
+        /// Start, in seconds.
         from_s: f64,
-        /// End.
+        /// End, in seconds.
         to_s: f64,
     },
-    /// Instances are gone, with their daemons.
+    /// Instances are down, together with their daemons.
     Lost {
         /// The service.
         service: String,
-        /// How many of its instances.
+        /// The number of affected instances.
         instances: usize,
-        /// Begin.
+        /// Start, in seconds.
         from_s: f64,
-        /// End.
+        /// End, in seconds.
         to_s: f64,
     },
-    /// All daemons end and start anew; what they carry is lost.
+    /// All daemons restart and lose their requests in flight.
     RestartAll {
-        /// When they end.
+        /// When they stop, in seconds.
         at_s: f64,
-        /// For so long nothing is taken.
+        /// How long no requests are accepted, in seconds.
         for_s: f64,
-        /// For so long after that, backend servers are cold.
+        /// How long backend servers are slow after that, in seconds.
         #[serde(default)]
         cold_s: f64,
-        /// And so many times slower.
+        /// The slowdown factor of cold backend servers.
         #[serde(default = "default_times")]
         cold_times: f64,
     },
-    /// One request crashes each backend server that runs it, and is sent again and again, at any VM.
+    /// A request that crashes each backend server that runs it is sent repeatedly to random VMs.
     Crashes {
-        /// The kind that it is of.
+        /// Its kind.
         kind: String,
-        /// How often it is sent in a second.
+        /// The rate at which it is sent, in requests per second.
         per_second: f64,
-        /// For so long a backend server that crashed is away.
+        /// How long a backend server is down after a crash, in seconds.
         away_s: f64,
-        /// Begin.
+        /// Start, in seconds.
         from_s: f64,
-        /// End.
+        /// End, in seconds.
         to_s: f64,
     },
-    /// Some callers come back at once, and more often.
+    /// Some callers ignore Retry-After and retry more often.
     Repeats {
-        /// Of the callers.
+        /// The share of such callers.
         share: f64,
-        /// So many tries more.
+        /// The number of additional attempts.
         tries: u32,
-        /// Begin.
+        /// Start, in seconds.
         from_s: f64,
-        /// End.
+        /// End, in seconds.
         to_s: f64,
     },
 }
 
-/// The bound on retries.
+/// The limit on retries of a service.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySpec {
-    /// For each request of a service.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// And so many besides.
+    /// Retries allowed in addition, within the retry window.
     pub slack: f64,
 }
 
@@ -234,30 +234,30 @@
     }
 }
 
-/// A mechanism of the product that can be switched off.
+/// A mechanism of the product that can be disabled.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
-    /// Refusing at the entry by the learnt level.
+    /// Entries shed load by the learned level.
     EntryAdmission,
-    /// Refusing again those who were refused, rather than others at their first try.
+    /// Retries of refused requests are shed before first attempts.
     ReturnOrder,
-    /// Telling callers to come back by how long the entry has refused.
+    /// Retry-After depends on how long the entry has been refusing requests.
     ReturnTime,
-    /// Sending again what a backend server turned away.
+    /// Requests refused by a backend server are sent to another instance.
     SendingAgain,
-    /// Choosing instances by their load.
+    /// Instances are chosen by their load.
     ChoiceByLoad,
-    /// Choosing near instances first.
+    /// Instances in the same failure domain are preferred.
     NearFirst,
-    /// Finding how many of its slots a backend server works best with.
+    /// The gate tunes the number of concurrent requests of its backend server.
     BestSlots,
-    /// Holding requests that crash backend servers.
+    /// Requests that crash backend servers are quarantined.
     Quarantine,
 }
 
 impl Mechanism {
-    /// All of them, with their words.
+    /// All mechanisms with their names on the command line.
     pub const ALL: [(&'static str, Self); 8] = [
         ("entry-admission", Self::EntryAdmission),
         ("return-order", Self::ReturnOrder),
@@ -270,30 +270,30 @@
     ];
 }
 
-/// Why an experiment can't be played.
+/// Why an experiment file is rejected.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum ExperimentError {
     /// {path} can't be read: {error}
     Unreadable {
         /// The file.
         path: String,
-        /// Why.
+        /// The I/O error.
         error: String,
     },
     /// {path}, line {line}: {error}; `docs/EXPERIMENTS.md` lists the fields
     Malformed {
         /// The file.
         path: String,
-        /// Where.
+        /// The line number.
         line: usize,
-        /// What.
+        /// What is wrong there.
         error: String,
     },
     /// {path}: {error}
     Invalid {
         /// The file.
         path: String,
-        /// What, and what to write instead.
+        /// What is wrong and how to fix it.
         error: String,
     },
 }
@@ -301,7 +301,7 @@
 impl std::error::Error for ExperimentError {}
 
 impl Experiment {
-    /// Reads a file and checks it.
+    /// Reads and validates a file.
     pub fn read(path: &Path) -> Result<Self, ExperimentError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| ExperimentError::Unreadable {
@@ -311,7 +311,7 @@
         Self::parse(&shown, &text)
     }
 
-    /// Reads a file's text and checks it; `path` is for errors.
+    /// Parses and validates the text of a file. `path` is used in errors only.
     pub fn parse(path: &str, text: &str) -> Result<Self, ExperimentError> {
         let malformed = |line, error| ExperimentError::Malformed {
             path: path.to_owned(),
@@ -337,7 +337,7 @@
         check_positive("seconds", self.seconds)?;
         check_positive("cores", self.cores)?;
         if self.domains == 0 {
-            return Err("domains is 0; write how many failure domains there are".to_owned());
+            return Err("domains is 0; write the number of failure domains".to_owned());
         }
         for (name, service) in &self.services {
             if service.instances == 0 || service.slots == 0 {
@@ -360,7 +360,7 @@
                 if !self.kinds.contains_key(&call.kind) {
                     let known: Vec<&str> = self.kinds.keys().map(String::as_str).collect();
                     return Err(format!(
-                        "kind {name} calls {}, which isn't there; write one of: {}",
+                        "kind {name} calls {}, which is not defined; write one of: {}",
                         call.kind,
                         known.join(", ")
                     ));
@@ -389,7 +389,7 @@
         }
         let known: Vec<&str> = self.services.keys().map(String::as_str).collect();
         Err(format!(
-            "{of} names service {name}, which isn't there; write one of: {}",
+            "{of} names service {name}, which is not defined; write one of: {}",
             known.join(", ")
         ))
     }
@@ -407,7 +407,7 @@
         ))
     }
 
-    /// A kind that calls itself, by whatever way, would never end.
+    /// Rejects kinds that call themselves, directly or through other kinds.
     fn check_calls_are_acyclic(&self) -> Result<(), String> {
         for name in self.kinds.keys() {
             let mut descendants: Vec<&str> = vec![name];
@@ -422,7 +422,7 @@
             }
             if !descendants.is_empty() {
                 return Err(format!(
-                    "the calls of kind {name} lead in a circle; take one of them out"
+                    "the calls of kind {name} form a cycle; remove one of them"
                 ));
             }
         }
--- a/crates/sorrelturn-bench/src/experiment/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments on the product's own decisions, in virtual time and without network: call graphs of any depth
-//! and fan-out under load and faults, as a file describes them. See `docs/EXPERIMENTS.md`.
+//! Simulates load and faults on call graphs in virtual time, without a network, using the product's policy
+//! code. A file describes each experiment. See `docs/EXPERIMENTS.md`.
 
 mod daemon;
 mod file;
--- a/crates/sorrelturn-bench/src/experiment/outcome.rs
+++ b/crates/sorrelturn-bench/src/experiment/outcome.rs
@@ -1,19 +1,19 @@
-//! What came of the requests of an experiment.
+//! The results of an experiment.
 
-/// What came of the requests of one kind that were first sent within one second.
+/// The results of the requests of one kind that were first sent within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// First tries.
+    /// First attempts.
     pub requested: u32,
-    /// Answered in time, counted from the first try.
+    /// Answered within the target time, counted from the first attempt.
     pub good: u32,
     /// Answered later.
     pub late: u32,
-    /// Refused, at the last try.
+    /// Refused at the last attempt.
     pub refused: u32,
-    /// Those of them who had come back.
+    /// Of the refused ones, those that had been retried.
     pub refused_again: u32,
-    /// Failed after work was done, or never answered.
+    /// Failed or never answered.
     pub failed: u32,
 }
 
@@ -28,24 +28,24 @@
     }
 }
 
-/// What came of one kind.
+/// The results of one kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct KindOutcome {
     /// Its name.
     pub kind: String,
-    /// What an answer in time is worth, and a late one.
+    /// The values of an answer in time and of a late one.
     pub worth: (f64, f64),
-    /// By the second in which requests were first sent.
+    /// The counts by the second in which requests were first sent.
     pub by_second: Vec<Counts>,
 }
 
 impl KindOutcome {
-    /// All seconds together.
+    /// The counts of all seconds together.
     pub fn total(&self) -> Counts {
         self.between(0, self.by_second.len())
     }
 
-    /// The seconds from one to another, without that.
+    /// The counts of the seconds `from..to` together.
     pub fn between(&self, from: usize, to: usize) -> Counts {
         let mut sum = Counts::default();
         for counts in self.by_second.iter().take(to).skip(from) {
@@ -59,16 +59,16 @@
     }
 }
 
-/// What one service was like.
+/// The results of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceOutcome {
     /// Its name.
     pub service: String,
-    /// The part of its slots at work, sampled.
+    /// The fraction of its slots in use, sampled at a fixed rate.
     pub slot_usage: Vec<f64>,
     /// Requests that arrived.
     pub arrived: u64,
-    /// Arrivals beyond the first of a request.
+    /// Arrivals of repeated attempts.
     pub repeated: u64,
     /// Arrivals from another failure domain.
     pub cross_domain: u64,
@@ -76,20 +76,19 @@
     pub crashes: u64,
 }
 
-/// What came of an experiment.
+/// The results of an experiment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// The kinds that callers send.
+    /// The results of the kinds that callers send.
     pub kinds: Vec<KindOutcome>,
-    /// The services.
+    /// The results of all services.
     pub services: Vec<ServiceOutcome>,
 }
 
-/// How often the slots at work are sampled.
 pub(super) const SAMPLES_PER_SECOND: usize = 10;
 
 impl Outcome {
-    /// The worth that was earned, as a part of what was owed, in some seconds.
+    /// The value of the answers to requests of the seconds `from..to`, as a fraction of the maximum value.
     pub fn worth_between(&self, from: usize, to: usize) -> f64 {
         let (mut earned, mut owed) = (0.0, 0.0);
         for kind in &self.kinds {
@@ -100,14 +99,14 @@
         if owed > 0.0 { earned / owed } else { 0.0 }
     }
 
-    /// The worth of all.
+    /// The same fraction over the whole time.
     pub fn worth(&self) -> f64 {
         let seconds = self.kinds.iter().map(|kind| kind.by_second.len());
         self.worth_between(0, seconds.max().unwrap_or(0))
     }
 
-    /// The mean part of a service's slots at work in some seconds, and how far its means over half a second lie
-    /// apart, from the tenth to the ninetieth of a hundred.
+    /// The mean fraction of a service's slots in use in the seconds `from..to`, and the distance between the 10th
+    /// and the 90th percentile of its means over half a second.
     pub fn slot_usage_between(&self, service: &str, from: usize, to: usize) -> (f64, f64) {
         let found = self.services.iter().find(|found| found.service == service);
         let samples = found.map_or(&[][..], |found| &found.slot_usage);
@@ -126,7 +125,7 @@
         (mean, decile(9) - decile(1))
     }
 
-    /// Adds the play of another seed.
+    /// Adds the results of another seed.
     pub fn add(&mut self, other: &Self) {
         if self.kinds.is_empty() {
             *self = other.clone();
--- a/crates/sorrelturn-bench/src/experiment/plot.rs
+++ b/crates/sorrelturn-bench/src/experiment/plot.rs
@@ -1,11 +1,11 @@
-//! A picture of an experiment: what came of each kind, second by second.
+//! An SVG chart of the outcome of each kind, by second.
 
 use super::outcome::{Counts, Outcome};
 
 const WIDTH: usize = 720;
 const HEIGHT: usize = 120;
 const MARGIN: usize = 30;
-/// What is stacked, from below, with its colour.
+/// The stacked series from bottom to top, with their colours.
 const SERIES: [(&str, &str, CountSelector); 4] = [
     ("in time", "#2a7", |counts| counts.good),
     ("late", "#fb3", |counts| counts.late),
@@ -13,10 +13,10 @@
     ("failed", "#d43", |counts| counts.failed),
 ];
 
-/// The count that one part of a column shows.
+/// Selects the count that a series shows.
 type CountSelector = fn(&Counts) -> u32;
 
-/// An SVG with one row for each kind of each outcome.
+/// Returns an SVG with one row for each kind of each outcome. Each outcome comes with its title.
 pub fn plot(outcomes: &[(&str, &Outcome)]) -> String {
     let rows: usize = outcomes
         .iter()
--- a/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: when they send, when they come back, and what came of their requests.
+//! Callers: new requests, retries, and the results that are counted.
 
 use super::{
     AttemptState, Call, CallResult, Caller, Event, MAX_WAIT_DIVISOR, Simulation, ms, seconds,
@@ -45,7 +45,7 @@
 
     pub(super) fn count(&mut self, kind: usize, caller: &Caller, f: impl FnOnce(&mut Counts)) {
         if caller.crashes {
-            // Nobody misses its answer.
+            // Its results aren't part of the outcome.
             return;
         }
         let second = caller.first_sent.as_secs() as usize;
@@ -56,10 +56,10 @@
         }
     }
 
-    /// A try of a caller reaches a daemon.
+    /// Handles an attempt of a caller at a random daemon.
     pub(super) fn handle_root_request(&mut self, kind: usize, mut caller: Caller) {
         caller.attempts += 1;
-        // Each try has an id of its own, and with it its own place in the order of shedding.
+        // Each attempt has its own request id, and so its own shedding bucket.
         let mut bucket = self.rng.u8(..);
         if self.kinds[kind].at_most_once_among_repeatable {
             bucket = bucket_for_at_most_once(bucket);
@@ -78,7 +78,7 @@
             return self.retry_failed(kind, caller);
         }
         if self.is_quarantined(caller.request) {
-            // It is told to come back after more time than its caller has.
+            // The Retry-After time of a quarantined request exceeds the caller's deadline.
             return self.count_final_refusal(kind, caller);
         }
         let rank = self.rank(forwarder, kind);
@@ -103,7 +103,7 @@
         self.forward(call);
     }
 
-    /// A caller is refused and doesn't come back.
+    /// Counts a refused request that isn't retried.
     fn count_final_refusal(&mut self, kind: usize, caller: Caller) {
         self.count(kind, &caller, |counts| {
             counts.refused += 1;
@@ -111,7 +111,7 @@
         });
     }
 
-    /// A caller is refused: it comes back as told, if it still may.
+    /// Schedules a retry of a refused request, if the caller has attempts left.
     pub(super) fn retry_refused(&mut self, kind: usize, caller: Caller, retry_after: Duration) {
         if caller.attempts >= caller.max_attempts {
             return self.count_final_refusal(kind, caller);
@@ -125,7 +125,7 @@
         self.schedule_after(wait, Event::RootRequest(kind, caller));
     }
 
-    /// A caller's request failed: it tries again where that harms nobody.
+    /// Schedules a retry of a failed request if it is repeatable and the caller has attempts left.
     pub(super) fn retry_failed(&mut self, kind: usize, caller: Caller) {
         if caller.attempts >= caller.max_attempts || !self.kinds[kind].repeatable {
             return self.count(kind, &caller, |counts| counts.failed += 1);
--- a/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
@@ -1,17 +1,17 @@
-//! Backend servers that crash by a request, and what the daemons tell one another of it.
+//! Requests that crash backend servers, and the crash updates between daemons.
 
 use super::{CallResult, Caller, Event, Simulation, seconds};
 use crate::experiment::file::{FaultSpec, Mechanism};
 use sorrelturn_protocol::{CrashId, CrashReport, CrashUpdate, RequestFingerprint};
 use std::time::Duration;
 
-/// All daemons have heard of a crash after this time: it is noticed within 5 ms, and news takes a few hops.
+/// The time until all daemons have received the update on a crash.
 const CRASH_UPDATE_DELAY: Duration = Duration::from_millis(15);
-/// The fingerprints of requests that crash backend servers; all others have numbers from 1 on.
+/// Fingerprints of crashing requests count down from here; those of other requests count up from 1.
 const MAX_CRASHING_FINGERPRINT: u64 = u64::MAX;
 
 impl Simulation<'_> {
-    /// The request that crashes backend servers is sent once more, by another caller.
+    /// Sends the crashing request of a fault from a new caller, and schedules the next one.
     pub(super) fn send_crashing_request(&mut self, number: usize) {
         let Some(FaultSpec::Crashes {
             kind,
@@ -41,7 +41,7 @@
         self.handle_root_request(kind, caller);
     }
 
-    /// Whether a request is held by all who have heard of the crashes.
+    /// Whether a request is quarantined at the daemons.
     pub(super) fn is_quarantined(&self, request: RequestFingerprint) -> bool {
         self.experiment.is_enabled(Mechanism::Quarantine) && self.quarantine.is_quarantined(request)
     }
@@ -50,7 +50,7 @@
         self.now < self.backend_down_until[daemon]
     }
 
-    /// A backend server ends with all that it has at work.
+    /// Crashes a backend server with all its requests in progress.
     pub(super) fn crash_backend(&mut self, daemon: usize) {
         let down_duration = self.experiment.faults.iter().find_map(|fault| match fault {
             FaultSpec::Crashes { away_s, .. } => Some(seconds(*away_s)),
@@ -60,7 +60,7 @@
         self.outcome.services[self.service_by_daemon[daemon]].crashes += 1;
         let runs_of_daemon = self.runs.iter().filter(|(_, run)| run.daemon == daemon);
         let mut runs: Vec<u64> = runs_of_daemon.map(|(id, _)| *id).collect();
-        // A map's order isn't the same in every run.
+        // The iteration order of a map differs between executions.
         runs.sort_unstable();
         let calls = runs
             .iter()
--- a/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
@@ -1,10 +1,10 @@
-//! What goes wrong, as the file says, and how much arrives.
+//! The faults and the load of the experiment file at the current time.
 
 use super::{Call, Simulation, seconds};
 use crate::experiment::file::FaultSpec;
 
 impl Simulation<'_> {
-    /// How much arrives now, as a multiple of the usual, and in clumps of how many.
+    /// The current load as a multiple of the normal load, and the number of requests that arrive at once.
     pub(super) fn current_load(&self) -> (f64, u32) {
         let now = self.now.as_secs_f64();
         let mut load = (1.0, 1);
@@ -17,6 +17,7 @@
         load
     }
 
+    /// The current share of impatient callers and their additional attempts.
     pub(super) fn impatience(&self) -> Option<(f64, u32)> {
         let now = self.now.as_secs_f64();
         self.experiment.faults.iter().find_map(|fault| match fault {
@@ -41,7 +42,7 @@
         })
     }
 
-    /// How much slower an instance works, and which share it turns away.
+    /// The slowdown factor of a backend server and the share of requests that it refuses.
     pub(super) fn backend_faults(&self, daemon: usize) -> (f64, f64) {
         let service = self.service_by_daemon[daemon];
         let index = daemon - self.first_daemons[service];
@@ -77,7 +78,7 @@
         (slowdown, refused_share)
     }
 
-    /// All daemons end, with whatever they carry, and know nothing when they are back.
+    /// Restarts all daemons. Calls in flight fail and learned state is lost.
     pub(super) fn restart(&mut self) {
         let now = self.now.as_secs_f64();
         for fault in &self.experiment.faults {
@@ -93,7 +94,7 @@
             .into_iter()
             .filter(|(_, call)| call.parent.is_none())
             .collect();
-        // A map's order isn't the same in every run.
+        // The iteration order of a map differs between executions.
         roots.sort_unstable_by_key(|(id, _)| *id);
         for (_, call) in roots {
             self.retry_failed(call.kind, call.caller);
--- a/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
@@ -1,4 +1,4 @@
-//! The daemon that forwards a call: which instance, and what follows from its answer.
+//! The daemon that forwards a call: chooses instances and handles their answers.
 
 use super::{CONNECT_FAILURE_DURATION, Call, CallResult, Event, Simulation, ms};
 use crate::experiment::daemon::{AnswerContext, incarnation};
@@ -7,7 +7,7 @@
 use sorrelturn_protocol::{Refusal, Verdict};
 
 impl Simulation<'_> {
-    /// A rank among those of root requests, as a daemon knows them.
+    /// The rank of a kind among the importances of root requests, as far as the daemon knows them.
     pub(super) fn rank(&self, daemon: usize, kind: usize) -> (usize, usize) {
         if self.experiment.learns_calls {
             self.daemons[daemon].known_rank(&self.importances, kind)
@@ -16,8 +16,8 @@
         }
     }
 
-    /// A call of the backend server beside a daemon. Until its kind is known to be one, it is taken for a root
-    /// request: it may be refused there, and tells nothing of who calls whom.
+    /// Forwards a nested call of the daemon's own backend server. Until its kind is known to be a nested call, it is
+    /// treated as a root request: it may be refused, and isn't recorded in the call graph.
     pub(super) fn forward_nested(&mut self, mut call: Call) {
         let (forwarder, kind, now) = (call.forwarder, call.kind, self.now);
         if self.experiment.learns_calls {
@@ -38,7 +38,7 @@
         self.forward(call);
     }
 
-    /// Sends a call to the better of two instances.
+    /// Sends a call to an instance that hasn't been tried, or fails it if there is none.
     pub(super) fn forward(&mut self, mut call: Call) {
         let service = self.kinds[call.kind].service;
         let daemon = &mut self.daemons[call.forwarder];
@@ -71,7 +71,7 @@
         self.schedule_at(sent + hop, Event::CallArrival(id));
     }
 
-    /// An answer is back at the daemon that forwarded the call.
+    /// Handles an answer at the daemon that forwarded the call.
     pub(super) fn handle_answer(
         &mut self,
         id: u64,
@@ -108,7 +108,7 @@
         self.finish_call(call, result);
     }
 
-    /// Whether another instance is asked, as the product decides it.
+    /// Whether the call is sent to another instance, decided by the product's policy. Updates the attempt state.
     pub(super) fn should_retry(&mut self, call: &mut Call, result: CallResult) -> bool {
         let refusal = match result {
             CallResult::Answered => return false,
@@ -161,7 +161,7 @@
         true
     }
 
-    /// A call has its final answer.
+    /// Passes the final result to the caller or to the parent run.
     pub(super) fn finish_call(&mut self, call: Call, result: CallResult) {
         let Some(run) = call.parent else {
             return self.finish_root(&call, result);
--- a/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! One play of an experiment: events in virtual time.
+//! Simulates one experiment with one seed, as events in virtual time.
 
 mod callers;
 mod crashes;
@@ -20,25 +20,25 @@
     time::Duration,
 };
 
-/// Callers wait as they are told for up to this part of the time that they have left.
+/// Callers wait for Retry-After, but at most for their remaining time divided by this.
 const MAX_WAIT_DIVISOR: u32 = 3;
-/// A backend server that turns a request away takes so long for it.
+/// The time that a backend server takes to refuse a request.
 const BACKEND_REFUSAL_DURATION: Duration = Duration::from_micros(500);
-/// A connection to a VM that is gone takes so long to fail.
+/// The time until a connection to a lost VM fails.
 const CONNECT_FAILURE_DURATION: Duration = Duration::from_millis(1);
-/// The executions that a call may cost.
+/// The maximum number of executions of one call.
 const MAX_EXECUTIONS: u32 = 3;
-/// After the last arrival, so long is played on.
+/// How long the simulation continues after the last new request.
 const DRAIN_DURATION: Duration = Duration::from_secs(10);
 
-/// Plays an experiment with one seed. The same seed gives the same outcome.
+/// Simulates an experiment. The same seed gives the same outcome.
 pub fn simulate_experiment(experiment: &Experiment, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(experiment, seed);
     simulation.run();
     simulation.outcome
 }
 
-/// A kind, with its parts found.
+/// A kind of request, with names resolved to indexes.
 struct Kind {
     service: usize,
     importance: Importance,
@@ -49,39 +49,39 @@
     deadline: Duration,
     timeout: Duration,
     repeatable: bool,
-    /// It must not run twice while other root requests of its importance may.
+    /// Whether it runs at most once while other root requests of its importance are repeatable.
     at_most_once_among_repeatable: bool,
     max_retries: u32,
-    /// What it calls, in order, each as often as it is called.
+    /// The kinds of its nested calls, in order, one entry for each call.
     calls: Vec<usize>,
-    /// The same, each once.
+    /// The kinds of its nested calls without duplicates.
     distinct_calls: Vec<usize>,
-    /// The place among the outcomes, if callers send it.
+    /// The index of its outcome, if callers send it.
     outcome_index: Option<usize>,
 }
 
-/// One call on its way: a root request or a nested one.
+/// A call in flight: a root request or a nested call.
 #[derive(Clone)]
 struct Call {
     kind: usize,
-    /// The daemon that forwards it.
+    /// The daemon that forwards the call.
     forwarder: usize,
-    /// The run that makes it; `None` for a root request.
+    /// The run that makes the call; `None` for a root request.
     parent: Option<u64>,
-    /// The root request's caller.
+    /// The caller of the root request.
     caller: Caller,
     bucket: u8,
-    /// The level at which its root was admitted, as far as is known.
+    /// The shedding level at which its root request was admitted, as far as known.
     level: u16,
-    /// It runs once more.
+    /// Whether this is a retry.
     repeated: bool,
-    /// The part of those that may make it that runs once more.
+    /// The fraction of its possible parents that are retries.
     repeated_fraction: f64,
     deadline: Now,
     attempts: AttemptState,
 }
 
-/// What the tries of a call have come to so far.
+/// The state of a call's attempts.
 #[derive(Clone)]
 struct AttemptState {
     tried: Vec<Incarnation>,
@@ -91,7 +91,7 @@
     crashes: usize,
     attempts_left: u32,
     sends: u32,
-    /// Where it is now: the service's instance.
+    /// The instance of the current attempt, as an index within the service.
     instance: usize,
     arrival: Option<Arrival>,
 }
@@ -112,20 +112,19 @@
     }
 }
 
-/// What is known of a root request's caller.
+/// The caller of a root request.
 #[derive(Clone, Copy)]
 struct Caller {
     first_sent: Now,
     attempts: u32,
     max_attempts: u32,
     impatient: bool,
-    /// What it asks for.
     request: RequestFingerprint,
-    /// It crashes backend servers.
+    /// Whether its request crashes backend servers.
     crashes: bool,
 }
 
-/// A request that a backend server works on.
+/// An execution of a request at a backend server.
 struct Run {
     call: u64,
     daemon: usize,
@@ -137,15 +136,15 @@
     sample: TuningSample,
 }
 
-/// How a call ended at its instance.
+/// How an attempt ended at its instance.
 #[derive(Clone, Copy)]
 enum CallResult {
     Answered,
-    /// The backend server failed it, since a call below failed.
+    /// The backend server failed the request because a nested call failed.
     NestedCallFailed,
     NotRun(Refusal),
     DeadlineExceeded,
-    /// The backend server crashed while it ran the call.
+    /// The backend server crashed while it ran the request.
     Crashed,
 }
 
@@ -165,17 +164,17 @@
 
 struct Simulation<'a> {
     experiment: &'a Experiment,
-    /// The names of kinds and of services, in order.
+    /// The names of the kinds, sorted.
     kind_names: Vec<String>,
     service_names: Vec<String>,
-    /// The part of all VMs that each service has.
+    /// The share of each service in all VMs.
     vm_shares: BTreeMap<String, f64>,
     importances: Vec<Importance>,
     kinds: Vec<Kind>,
     topology: Topology,
-    /// The first daemon of each service.
+    /// The index of the first daemon of each service.
     first_daemons: Vec<usize>,
-    /// The service of each daemon.
+    /// The index of the service of each daemon.
     service_by_daemon: Vec<usize>,
     daemons: Vec<Daemon>,
     rng: Rng,
@@ -186,9 +185,9 @@
     runs: HashMap<u64, Run>,
     next_id: u64,
     accepts_from: Now,
-    /// Until when the backend server of each daemon is away after a crash.
+    /// Until when the backend server of each daemon is down after a crash.
     backend_down_until: Vec<Now>,
-    /// What all daemons know of crashes, once they have heard of them.
+    /// The quarantine state; all daemons share one.
     quarantine: Quarantine,
     outcome: Outcome,
 }
@@ -349,7 +348,7 @@
                 self.handle(event);
             }
         }
-        // Whatever has no answer by now never gets one.
+        // Root requests still in flight count as failed.
         for call in std::mem::take(&mut self.calls).into_values() {
             if call.parent.is_none() {
                 self.count(call.kind, &call.caller, |counts| counts.failed += 1);
@@ -388,7 +387,7 @@
         }
     }
 
-    /// A daemon's side of a hop; returns when it is done.
+    /// Occupies a daemon's processor for one side of a hop. Returns the time at which it is done.
     fn occupy_processor(&mut self, daemon: usize) -> Now {
         let us = self.experiment.hop_side_us / self.experiment.cores;
         self.daemons[daemon].occupy_processor(self.now, Duration::from_nanos((us * 1_000.0) as u64))
@@ -399,7 +398,8 @@
         self.topology.domains[service][daemon - self.first_daemons[service]]
     }
 
-    /// Notes which part of the slots that a service works best with is at work, of the instances that are there.
+    /// Samples the fraction of slots in use of each service. Only slots within the tuned limits of the instances
+    /// that aren't lost count.
     fn sample(&mut self) {
         for service in 0..self.service_names.len() {
             let (mut used, mut slots) = (0.0, 0.0);
--- a/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
@@ -1,4 +1,4 @@
-//! The daemon beside the backend server that runs a call, and the run.
+//! The owner: the daemon in front of the backend server that runs a call.
 
 use super::{AttemptState, BACKEND_REFUSAL_DURATION, Call, CallResult, Event, Run, Simulation, ms};
 use crate::experiment::daemon::AnswerContext;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Simulation<'_> {
-    /// A call arrives at the daemon beside its instance.
+    /// Handles the arrival of a call at its owner.
     pub(super) fn handle_arrival(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -68,7 +68,7 @@
         Some((owner, call.attempts.arrival?))
     }
 
-    /// The backend server is handed a call.
+    /// Passes a call to the backend server, which refuses or starts it.
     pub(super) fn begin_execution(&mut self, id: u64, sample: TuningSample) {
         let Some((daemon, _)) = self.owner_and_arrival(id) else {
             return;
@@ -97,7 +97,7 @@
             / f64::from(self.topology.slots[kind.service]);
         let above_knee = spec.filter(|spec| usage > spec.knee);
         let knee = above_knee.map_or(1.0, |spec| spec.knee_times);
-        // The part that varies is distributed exponentially.
+        // The variable part of the execution time is exponentially distributed.
         let variation = kind.spread.min(1.0);
         let random = 1.0 - variation - variation * (1.0 - self.rng.f64()).ln();
         let work = kind.work.mul_f64(random * slowdown * knee / speed);
@@ -122,7 +122,7 @@
         self.schedule_after(work_step, Event::WorkStepDone(run));
     }
 
-    /// The backend server turned a call away, or isn't there.
+    /// Handles a call that the backend server refused, or that didn't reach it.
     pub(super) fn backend_refused(&mut self, id: u64, refusal: Refusal) {
         let Some((owner, _)) = self.owner_and_arrival(id) else {
             return;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A piece of a run's work is done: the next call follows, or the answer.
+    /// Ends a step of a run's work. The next nested call or the answer follows.
     pub(super) fn work_step_done(&mut self, id: u64) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -184,7 +184,7 @@
         self.forward_nested(forward_nested);
     }
 
-    /// A run ends; its slot is free.
+    /// Ends a run and releases its slot.
     pub(super) fn finish_run(&mut self, id: u64, result: CallResult) {
         let Some(run) = self.runs.remove(&id) else {
             return;
@@ -221,7 +221,7 @@
         }
     }
 
-    /// What a kind calls, as far as the daemon beside its backend server knows.
+    /// The kinds that a kind calls, as far as its owner knows.
     pub(super) fn known_calls(&self, daemon: usize, kind: usize) -> Vec<usize> {
         if !self.experiment.learns_calls {
             return self.kinds[kind].distinct_calls.clone();
@@ -233,7 +233,7 @@
         places.collect()
     }
 
-    /// The owner's answer goes back.
+    /// Sends the owner's answer back to the forwarder.
     pub(super) fn send_answer(&mut self, id: u64, result: CallResult) {
         let Some((owner, _)) = self.owner_and_arrival(id) else {
             return;
--- a/crates/sorrelturn-bench/src/experiment/table.rs
+++ b/crates/sorrelturn-bench/src/experiment/table.rs
@@ -2,8 +2,8 @@
 
 use super::outcome::{Counts, Outcome};
 
-/// One table of the kinds and one of the services, as Markdown. `stretches` are lines of seconds besides the
-/// whole; each outcome has the name of what was played.
+/// Returns one table of the kinds and one of the services, as Markdown. Each outcome comes with its name.
+/// `intervals` are ranges of seconds that are shown in addition to the whole time.
 pub fn table(outcomes: &[(&str, &Outcome)], intervals: &[(usize, usize)]) -> String {
     let mut lines = vec![
         "| played | seconds | kind | asked | good % | late % | refused % | again % | failed % | \
--- a/crates/sorrelturn-bench/tests/experiment.rs
+++ b/crates/sorrelturn-bench/tests/experiment.rs
@@ -147,7 +147,7 @@
         (
             r#""service": "a""#,
             r#""service": "b""#,
-            "names service b, which isn't there; write one of: a",
+            "names service b, which is not defined; write one of: a",
         ),
         (
             r#""work_ms": 5"#,
@@ -157,12 +157,12 @@
         (
             r#""per_second": 10"#,
             r#""calls": [{ "kind": "x" }]"#,
-            "kind k calls x, which isn't there; write one of: k",
+            "kind k calls x, which is not defined; write one of: k",
         ),
         (
             r#""per_second": 10"#,
             r#""calls": [{ "kind": "k" }]"#,
-            "the calls of kind k lead in a circle",
+            "the calls of kind k form a cycle",
         ),
         (
             r#""seconds": 1"#,
