--- a/crates/sorrelturn-bench/src/baseline.rs
+++ b/crates/sorrelturn-bench/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The baselines: what a team has without sorrelturn. Every hop goes straight to a random
-//! instance and retries on failure, without a limit or with a fixed one.
+//! The baselines for comparison, without sorrelturn: every hop calls a random instance and retries on
+//! failure, with or without a fixed concurrency limit.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -22,18 +22,16 @@
 
 use crate::client::Client;
 
-/// How often a hop tries a call.
 const MAX_ATTEMPTS: u32 = 3;
-/// The longest time for one try.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which baseline.
+/// The kinds of baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// Every call is passed through.
+    /// Every call is passed on.
     PassThrough,
-    /// An instance takes as many calls at once as it has slots and half as many waiting, and
-    /// refuses the rest.
+    /// An instance accepts one and a half times as many concurrent calls as it has slots, and refuses the
+    /// rest.
     FixedLimits,
 }
 
@@ -43,7 +41,7 @@
     max_in_flight: usize,
 }
 
-/// One proxy that stands for all: it knows every backend server.
+/// A proxy that knows every backend server. One instance serves all callers.
 #[derive(Clone)]
 pub struct Baseline {
     bundle: Arc<Bundle>,
@@ -52,7 +50,7 @@
 }
 
 impl Baseline {
-    /// A proxy without backend servers.
+    /// Creates a proxy without backend servers.
     pub fn new(kind: BaselineKind, bundle: Bundle) -> Self {
         Self {
             bundle: Arc::new(bundle),
@@ -61,7 +59,7 @@
         }
     }
 
-    /// Adds a backend server.
+    /// Adds a backend server of a service.
     pub fn add_backend(&self, ex: &Arc<Executor<'static>>, service: &str, addr: SocketAddr) {
         let slots = self.bundle.service(service).map_or(1, |s| s.slots as usize);
         let target = Target {
@@ -79,7 +77,7 @@
             .push(Arc::new(target));
     }
 
-    /// Serves callers and backend servers alike until the task is dropped.
+    /// Serves callers and nested calls until the task is dropped.
     pub async fn serve(self, ex: Arc<Executor<'static>>, listener: TcpListener) {
         loop {
             let Ok((tcp, _)) = listener.accept().await else {
@@ -152,7 +150,7 @@
     }
 }
 
-/// Counts a call while it lives; calls are dropped when their caller goes away.
+/// Counts a call until it is dropped, also when its caller disconnects.
 struct InFlightGuard<'a>(&'a AtomicUsize);
 
 impl<'a> InFlightGuard<'a> {
--- a/crates/sorrelturn-bench/src/capacity.rs
+++ b/crates/sorrelturn-bench/src/capacity.rs
@@ -1,25 +1,25 @@
-//! What a fleet can carry, worked out from the bundle's slots and the work of each kind.
+//! Calculates the capacity of a fleet from the slots in the bundle and the execution times of the kinds.
 //!
-//! A slot is held while nested calls run, so a kind holds its service's slot for its own work and all
-//! the work below it. Queues, network and refusals cost nothing here: the figures are bounds.
+//! A slot is held while nested calls run, so a kind holds its service's slot for its own work and that of its
+//! nested calls. Queues, network and refusals are ignored: the results are upper bounds.
 
 use crate::workload::MixPart;
 use sorrelturn_bundle::Bundle;
 use sorrelturn_protocol::Importance;
 use std::collections::BTreeMap;
 
-/// The share of a kind that is added in one step of [`Capacity::best`].
+/// The fraction of a kind's rate that is added in one step of [`Capacity::max_goodput`].
 const STEP_FRACTION: f64 = 0.01;
 
-/// The slots of a fleet and the work that its backend servers do.
+/// The slots of a fleet and the execution times at its backend servers.
 pub struct Capacity<'a> {
     /// The bundle.
     pub bundle: &'a Bundle,
-    /// The instances of each service.
+    /// The number of instances of each service.
     pub instances: &'a BTreeMap<String, usize>,
-    /// The work of each kind, in milliseconds.
+    /// The execution time of each kind, in milliseconds.
     pub work_ms: &'a BTreeMap<String, f64>,
-    /// A service whose work takes so many times as long.
+    /// A service and its slowdown factor.
     pub slow: (&'a str, f64),
 }
 
@@ -27,7 +27,7 @@
 type SlotUsage = BTreeMap<String, f64>;
 
 impl Capacity<'_> {
-    /// Root requests a second of a mix that the slots can carry.
+    /// The maximum rate of a mix that the slots allow, in root requests per second.
     pub fn max_rate(&self, mix: &[MixPart]) -> f64 {
         let mut usage = SlotUsage::new();
         for part in mix {
@@ -39,9 +39,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The most good answers a second by importance when `rate` root requests a second are asked for
-    /// and importance goes first. Kinds of one importance get the same share until one of their
-    /// services is full.
+    /// The maximum good answers per second by importance, if `rate` root requests per second are sent and more
+    /// important ones go first. Kinds of one importance get the same share until one of their services is full.
     pub fn max_goodput(&self, mix: &[MixPart], rate: f64) -> BTreeMap<Importance, f64> {
         let mut usage = SlotUsage::new();
         let mut good = BTreeMap::new();
@@ -86,7 +85,7 @@
         f64::from(slots) * instances as f64
     }
 
-    /// Adds the slots that a kind keeps busy at `rate`; returns the seconds that one request holds.
+    /// Adds the slots that a kind uses at `rate`. Returns the time that one request holds its slot, in seconds.
     fn add_slot_usage(&self, kind: &str, rate: f64, usage: &mut SlotUsage) -> f64 {
         let Some(entry) = self.bundle.kind(kind) else {
             return 0.0;
--- a/crates/sorrelturn-bench/src/commands/experiment.rs
+++ b/crates/sorrelturn-bench/src/commands/experiment.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// What is switched off where nothing is: everything is played as the product does it.
+/// The name of the experiment as its file describes it.
 const UNCHANGED: &str = "as it is";
 
 pub(super) const ENTRY: CommandEntry = CommandEntry {
@@ -24,17 +24,17 @@
 fn signature() -> Command {
     let mechanisms = Mechanism::ALL.map(|(word, _)| word);
     Command::new("experiment")
-        .about("Plays load and faults on call graphs with the product's decisions, in virtual time")
+        .about("Simulates load and faults on call graphs in virtual time, with the product's decisions")
         .after_help(
             "Examples:\n  sorrelturn-bench experiment experiments/wide-rejection.jsonc --seeds 8\n  \
              sorrelturn-bench experiment experiments/lost-instance.jsonc --without entry-admission \
-             --plot lost.svg\n\nExit codes:\n  0  the tables are printed\n  1  a file can't be read, \
-             or is wrong",
+             --plot lost.svg\n\nExit codes:\n  0  the tables are printed\n  1  a file can't be read \
+             or is invalid",
         )
         .arg(
             Arg::new("file")
                 .value_name("FILE")
-                .help("The experiment; docs/EXPERIMENTS.md lists the fields")
+                .help("The experiment file; docs/EXPERIMENTS.md lists the fields")
                 .required(true)
                 .value_parser(value_parser!(PathBuf)),
         )
@@ -42,14 +42,14 @@
             Arg::new("against")
                 .long("against")
                 .value_name("FILE")
-                .help("Another experiment, played with the same seeds")
+                .help("Another experiment for comparison, simulated with the same seeds")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("without")
                 .long("without")
                 .value_name("MECHANISM")
-                .help("Plays it once more with a mechanism switched off; `all`: with each in turn")
+                .help("Repeats the simulation with a mechanism disabled; `all`: with each in turn")
                 .action(ArgAction::Append)
                 .value_parser([mechanisms.as_slice(), &["all"]].concat()),
         )
@@ -57,7 +57,7 @@
             Arg::new("seeds")
                 .long("seeds")
                 .value_name("NUMBER")
-                .help("Plays of each, with other luck each")
+                .help("Number of random seeds for each simulation")
                 .default_value("8")
                 .value_parser(value_parser!(u64).range(1..)),
         )
@@ -65,7 +65,7 @@
             Arg::new("between")
                 .long("between")
                 .value_name("SECONDS")
-                .help("Shows a stretch besides the whole, as 13-21")
+                .help("Shows an interval in addition to the whole time, such as 13-21")
                 .action(ArgAction::Append)
                 .value_parser(parse_interval),
         )
@@ -73,7 +73,7 @@
             Arg::new("plot")
                 .long("plot")
                 .value_name("FILE")
-                .help("Draws what came of each kind, second by second, as SVG")
+                .help("Writes a chart of the outcomes of each kind by second, as SVG")
                 .value_parser(value_parser!(PathBuf)),
         )
 }
@@ -83,7 +83,7 @@
     let seconds = parts.and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
     match seconds {
         Some((from, to)) if from < to => Ok((from, to)),
-        _ => Err("write two whole seconds, the smaller first, as 13-21".to_owned()),
+        _ => Err("write two whole seconds, the smaller first, such as 13-21".to_owned()),
     }
 }
 
@@ -103,7 +103,7 @@
     let outcomes: Vec<(String, Outcome)> = variants
         .into_iter()
         .map(|(name, experiment)| {
-            eprintln!("playing: {name}");
+            eprintln!("simulating: {name}");
             let outcome = simulate_seeds(&experiment, seeds);
             (name, outcome)
         })
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// What is played: the file, the one against it, and the file with each mechanism off that is named.
+/// The variants to simulate: the file, the one to compare with, and the file without each given mechanism.
 fn variants(args: &ArgMatches) -> Result<Vec<(String, Experiment)>, String> {
     let read = |path: &Path| Experiment::read(path).map_err(|error| error.to_string());
     let path = args.get_one::<PathBuf>("file").expect("clap requires it");
@@ -151,7 +151,7 @@
     Ok(variants)
 }
 
-/// Plays many seeds on all cores; the sum doesn't depend on which is done first.
+/// Simulates all seeds in parallel. The sum doesn't depend on the order in which they finish.
 fn simulate_seeds(experiment: &Experiment, seeds: u64) -> Outcome {
     let next = AtomicU64::new(0);
     let outcomes = Mutex::new(Vec::new());
--- a/crates/sorrelturn-bench/src/commands/instructions.rs
+++ b/crates/sorrelturn-bench/src/commands/instructions.rs
@@ -11,15 +11,15 @@
     run,
 };
 
-/// The difference between two runs is that of their rounds; all else is alike in both.
+/// Two runs with different numbers of rounds, so that the startup cost cancels out.
 const FEW_ROUNDS: u64 = 1_000;
 const MANY_ROUNDS: u64 = 3_000;
-/// What callgrind writes before the count.
+/// The text before the count in callgrind's output.
 const CALLGRIND_COUNT_LABEL: &str = "Collected : ";
 
 fn signature() -> Command {
     Command::new("instructions")
-        .about("Counts the instructions of each decision by callgrind, and holds them to bounds")
+        .about("Counts the instructions of each decision with callgrind, and checks them against bounds")
         .after_help(
             "Example:\n  sorrelturn-bench instructions\n\nExit codes:\n  0  within the bounds\n  \
              1  over a bound, or valgrind is not installed",
@@ -28,7 +28,7 @@
             Arg::new("decision")
                 .long("decision")
                 .value_name("NAME")
-                .help("Only make this decision, for a counter around this process")
+                .help("Only run this decision, to be counted by a tool around this process")
                 .requires("rounds")
                 .value_parser(PossibleValuesParser::new(
                     DECISIONS.iter().map(|decision| decision.name),
@@ -38,7 +38,7 @@
             Arg::new("rounds")
                 .long("rounds")
                 .value_name("COUNT")
-                .help("How often")
+                .help("Number of rounds of the decision")
                 .requires("decision")
                 .value_parser(value_parser!(u64)),
         )
@@ -60,7 +60,7 @@
             Ok(instructions) => instructions,
             Err(error) => {
                 eprintln!(
-                    "error: {error}\n  help: install valgrind, as in apt-get install valgrind"
+                    "error: {error}\n  help: install valgrind, for example with apt-get install valgrind"
                 );
                 return ExitCode::FAILURE;
             }
@@ -70,14 +70,14 @@
             decision.name, decision.max_instructions
         );
         if instructions > decision.max_instructions {
-            eprintln!("error: {} takes more than its bound", decision.name);
+            eprintln!("error: {} exceeds its bound", decision.name);
             code = ExitCode::FAILURE;
         }
     }
     code
 }
 
-/// The instructions of one round.
+/// The number of instructions of one round.
 fn instructions_per_round(decision: &Decision) -> Result<u64, String> {
     let few = collected_instructions(decision.name, FEW_ROUNDS)?;
     let many = collected_instructions(decision.name, MANY_ROUNDS)?;
@@ -92,10 +92,10 @@
         .args(["instructions", "--decision", name])
         .args(["--rounds", &rounds.to_string()])
         .output()
-        .map_err(|error| format!("valgrind doesn't start: {error}"))?;
+        .map_err(|error| format!("valgrind can't be started: {error}"))?;
     let text = String::from_utf8_lossy(&output.stderr);
     text.lines()
         .find_map(|line| line.split(CALLGRIND_COUNT_LABEL).nth(1))
         .and_then(|count| count.trim().parse().ok())
-        .ok_or_else(|| format!("valgrind gave no count: {text}"))
+        .ok_or_else(|| format!("valgrind reported no count: {text}"))
 }
--- a/crates/sorrelturn-bench/src/commands/overload.rs
+++ b/crates/sorrelturn-bench/src/commands/overload.rs
@@ -17,7 +17,7 @@
     run,
 };
 
-/// The systems that are compared in one run.
+/// The systems that are compared.
 pub(super) const SYSTEMS: [System; 3] = [
     System::Sorrelturn,
     System::Baseline(BaselineKind::FixedLimits),
@@ -26,7 +26,7 @@
 
 fn signature() -> Command {
     Command::new("overload")
-        .about("Goodput and recovery under overload, against the baselines")
+        .about("Measures goodput and recovery under overload, compared with the baselines")
         .after_help(
             "Example:\n  sorrelturn-bench overload --deployment protokols-riga --json out.json",
         )
@@ -34,7 +34,7 @@
             Arg::new("deployment")
                 .long("deployment")
                 .value_name("NAME")
-                .help("Whose services")
+                .help("The example deployment to run")
                 .default_value("protokols-riga")
                 .value_parser(PossibleValuesParser::new([
                     "protokols-riga",
@@ -45,14 +45,14 @@
             Arg::new("scenario")
                 .long("scenario")
                 .value_name("NUMBER")
-                .help("Only this scenario, from 1")
+                .help("Run only this scenario, counted from 1")
                 .value_parser(value_parser!(u64).range(1..=SCENARIOS.len() as u64)),
         )
         .arg(
             Arg::new("only")
                 .long("only")
                 .value_name("SYSTEM")
-                .help("Only this system")
+                .help("Run only this system")
                 .value_parser(PossibleValuesParser::new(
                     SYSTEMS.iter().map(|system| system.name()),
                 )),
@@ -60,14 +60,14 @@
         .arg(
             Arg::new("failures")
                 .long("failures")
-                .help("Count the failed requests by stretch, kind and last status")
+                .help("Count failed requests by phase, kind, last status and reason")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("json")
                 .long("json")
                 .value_name("FILE")
-                .help("Write the results there as well")
+                .help("Also write the results to this file")
                 .value_parser(value_parser!(PathBuf)),
         )
 }
@@ -108,7 +108,7 @@
         let text = serde_json::to_string_pretty(&results).unwrap_or_default();
         if let Err(error) = std::fs::write(file, text) {
             eprintln!(
-                "error: {}: {error}\n  help: name a file in a folder that is there",
+                "error: {}: {error}\n  help: choose a file in an existing folder",
                 file.display()
             );
             return ExitCode::FAILURE;
@@ -117,8 +117,8 @@
     ExitCode::SUCCESS
 }
 
-/// Measures one system under one scenario in a process of its own, so that nothing of the one
-/// before it is left: its connections are many.
+/// Measures one system under one scenario in a process of its own, so that connections of earlier
+/// measurements don't affect it.
 fn measure_in_subprocess(deployment: &str, scenario: usize, system: System) -> Summary {
     let file = std::env::temp_dir().join(format!("sorrelturn-overload-{}", std::process::id()));
     let executable = std::env::current_exe().expect("the running program has a path");
@@ -132,11 +132,11 @@
         .status();
     assert!(
         status.is_ok_and(|status| status.success()),
-        "the run failed"
+        "the subprocess failed"
     );
-    let text = std::fs::read_to_string(&file).expect("the run wrote its results");
+    let text = std::fs::read_to_string(&file).expect("the subprocess wrote its results");
     let _ = std::fs::remove_file(&file);
-    let mut results: Vec<(String, Summary)> = serde_json::from_str(&text).expect("its results");
+    let mut results: Vec<(String, Summary)> = serde_json::from_str(&text).expect("results in JSON");
     results.remove(0).1
 }
 
--- a/crates/sorrelturn-bench/src/commands/returns.rs
+++ b/crates/sorrelturn-bench/src/commands/returns.rs
@@ -16,7 +16,7 @@
 
 fn signature() -> Command {
     Command::new("returns")
-        .about("Plays callers that are refused and come back as told, in virtual time")
+        .about("Simulates callers that are refused and retry, in virtual time")
         .after_help(
             "Example:\n  sorrelturn-bench returns --seeds 10\n\nExit codes:\n  0  the tables are \
              printed",
@@ -25,42 +25,42 @@
             Arg::new("seeds")
                 .long("seeds")
                 .value_name("NUMBER")
-                .help("Plays of each pressure, with other luck each")
+                .help("Number of random seeds for each overload")
                 .default_value("10")
                 .value_parser(value_parser!(u64).range(1..)),
         )
 }
 
-/// The ways that are compared.
+/// The policies that are compared.
 const RETRY_POLICIES: &[RetryPolicy] = &[
     RetryPolicy {
-        name: "about a second, whatever presses",
+        name: "fixed Retry-After of about 1 s",
         retry_after_rule: || Box::new(|_, rng| RetryAfter::compute(None, rng)),
         ..PRODUCT_POLICY
     },
     PRODUCT_POLICY,
     RetryPolicy {
-        name: "at once",
+        name: "Retry-After of 0.1 s",
         retry_after_rule: || Box::new(|_, _| Duration::from_millis(100)),
         ..PRODUCT_POLICY
     },
     RetryPolicy {
-        name: "after a third of the time left",
+        name: "Retry-After of a third of the time left",
         retry_after_rule: || Box::new(|refused, _| refused.time_left / 3),
         ..PRODUCT_POLICY
     },
     RetryPolicy {
-        name: "as the product, half as far up in the rank",
+        name: "product, retry bucket halved",
         retry_bucket: |bucket, _| bucket / 2,
         ..PRODUCT_POLICY
     },
     RetryPolicy {
-        name: "as the product, like first tries",
+        name: "product, retry bucket unchanged",
         retry_bucket: |bucket, _| bucket,
         ..PRODUCT_POLICY
     },
     RetryPolicy {
-        name: "as the product, before first tries",
+        name: "product, retry bucket in the upper half",
         retry_bucket: |bucket, _| 255 - bucket / 2,
         ..PRODUCT_POLICY
     },
--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -1,5 +1,4 @@
-//! The decisions of a request's path in a loop, the same in every run, so that their instructions
-//! can be counted.
+//! Deterministic loops over the decisions on a request's path, for counting their instructions.
 
 use sorrelturn_once::{BeginResult, Fingerprint, Ledger, LedgerConfig, Outcome as Recorded};
 use sorrelturn_policy::{
@@ -9,20 +8,20 @@
 use sorrelturn_protocol::{Importance, Incarnation, Priority, Refusal, Verdict};
 use std::{hint::black_box, time::Duration};
 
-/// The instances of a service at the size that is aimed at.
+/// The number of instances of a large service.
 const INSTANCE_COUNT: u64 = 36;
 
-/// One decision, and the most instructions that it may take.
+/// A decision with its limit on instructions.
 pub struct Decision {
     /// Its name in the table.
     pub name: &'static str,
-    /// The bound, a tenth above what was counted when it was set, unless it says otherwise.
+    /// The maximum number of instructions of one round.
     pub max_instructions: u64,
-    /// Makes it so many times.
+    /// Makes the decision in `rounds` rounds.
     pub run: fn(rounds: u64),
 }
 
-/// All decisions that are counted.
+/// All decisions whose instructions are counted.
 pub const DECISIONS: &[Decision] = &[
     Decision {
         name: "admit-with-room",
@@ -51,7 +50,7 @@
     },
     Decision {
         name: "token-once",
-        // Half above what was counted: the hash takes whatever vector unit it finds.
+        // With a margin, since the hash depends on the vector unit of the machine.
         max_instructions: 12_300,
         run: token_once,
     },
@@ -93,7 +92,7 @@
     }
 }
 
-/// Three requests arrive for each that ends: the queue is full, and somebody is pushed out.
+/// Three requests arrive for each that ends, so the queue is full and requests are evicted.
 fn admit_overloaded(rounds: u64) {
     let mut gate = gate();
     let mut in_flight = 0;
@@ -111,7 +110,7 @@
     black_box(gate.queued());
 }
 
-/// One of 36 instances is chosen and answers.
+/// An instance is chosen and answers.
 fn choose_instance(rounds: u64) {
     let start = Duration::ZERO;
     let instance = |id| Instance::new(Incarnation(id), id % 3 == 0, Duration::ZERO, start);
@@ -128,7 +127,7 @@
     }
 }
 
-/// An entry learns from an answer and asks for the threshold.
+/// An entry learns a threshold from an answer and reads it.
 fn learn_threshold(rounds: u64) {
     let learned = LearnedThreshold::default();
     for round in 0..rounds {
@@ -138,7 +137,7 @@
     }
 }
 
-/// What follows a failed attempt.
+/// The next step after a failed attempt is decided.
 fn decide_next_step(rounds: u64) {
     for round in 0..rounds {
         let attempt = Attempt {
@@ -159,7 +158,7 @@
     }
 }
 
-/// A token is given out, begins, ends, and is asked for again.
+/// A token is issued, begins, ends, and is presented again.
 fn token_once(rounds: u64) {
     let cfg = LedgerConfig {
         ttl: Duration::from_millis(100),
--- a/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
@@ -73,7 +73,7 @@
     bucket: u8,
     /// The shedding level at which its root request was admitted, as far as known.
     level: u16,
-    /// Whether this is a retry.
+    /// Whether this is a retry, or a nested call of one.
     repeated: bool,
     /// The fraction of its possible parents that are retries.
     repeated_fraction: f64,
--- a/crates/sorrelturn-bench/src/plan.rs
+++ b/crates/sorrelturn-bench/src/plan.rs
@@ -1,45 +1,45 @@
-//! What a fake backend server does with each kind of request.
+//! The behaviour of a fake backend server for each kind of request.
 
 use serde::{Deserialize, Serialize};
 use sorrelturn_bundle::{Bundle, PathPattern};
 use std::{collections::BTreeMap, net::SocketAddr};
 
-/// The behaviour of one fake backend server; can be replaced while it runs.
+/// The behaviour of one fake backend server. It can be replaced while the server runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The local listener of its daemon, for nested calls.
+    /// The address of its daemon's local listener, for nested calls.
     pub local: Option<SocketAddr>,
-    /// How many requests it works on at once; more wait.
+    /// The number of requests that it runs concurrently; others are queued.
     pub slots: usize,
-    /// What it does with each kind of request.
+    /// The behaviour for each kind of request.
     pub kinds: Vec<KindPlan>,
-    /// Work takes this many times as long.
+    /// The factor by which work is slowed down.
     pub slow: f64,
-    /// What goes wrong.
+    /// The injected fault.
     pub fault: Fault,
-    /// Nested calls are tried this often; 1 means no retry, as in a well-behaved backend server.
+    /// The maximum number of attempts of nested calls. 1 means no retries, as in a well-behaved backend server.
     pub nested_tries: u32,
 }
 
-/// What goes wrong at a fake backend server.
+/// A fault of a fake backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
     /// Nothing.
     #[default]
     None,
-    /// It answers 500 after its work.
+    /// It answers 500 after the work is done.
     AnswersError,
-    /// It closes the connection after its work, without an answer.
+    /// It closes the connection after the work is done, without an answer.
     BreaksBeforeHead,
     /// It closes the connection in the middle of the body.
     BreaksInBody,
     /// It refuses with 503 before any work.
     Refuses,
-    /// It says in its answers that it drains.
+    /// Its answers have the header that says it is draining.
     Drains,
 }
 
-/// What it does with one kind of request.
+/// The behaviour for one kind of request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindPlan {
     /// The kind's name.
@@ -48,7 +48,7 @@
     pub method: String,
     /// The path pattern.
     pub path: String,
-    /// How long it works, in milliseconds.
+    /// The execution time, in milliseconds.
     pub work_ms: f64,
     /// The nested calls, one after another.
     pub calls: Vec<PlannedCall>,
@@ -66,11 +66,11 @@
 pub struct PlannedCall {
     /// The HTTP method.
     pub method: String,
-    /// A path of the kind.
+    /// A concrete path.
     pub path: String,
 }
 
-/// The plan that a bundle gives for one of its services; `work_ms` gives the work of each kind.
+/// Returns the plan for a service of a bundle. `work_ms` holds the execution time of each kind, 1 ms by default.
 pub fn plan_for(bundle: &Bundle, service: &str, work_ms: &BTreeMap<String, f64>) -> Plan {
     let Some(source) = bundle.service(service) else {
         return Plan::default();
@@ -110,7 +110,7 @@
         .collect()
 }
 
-/// A path of a pattern, with `value` in the place of each variable segment.
+/// Returns a path for a pattern, with `value` for each variable segment.
 pub(crate) fn concrete_path(pattern: &str, value: &str) -> String {
     pattern
         .split('/')
--- a/crates/sorrelturn-bench/src/retry_simulation.rs
+++ b/crates/sorrelturn-bench/src/retry_simulation.rs
@@ -1,7 +1,7 @@
-//! Callers that are refused at the entry and come back as they were told, played in virtual time.
+//! Simulates callers that are refused at the entry and retry, in virtual time.
 //!
-//! Entries refuse by the level that they learn from the gates of one service with few slots, with the
-//! code of the product; only the requests' way, their work and the callers are made up here.
+//! Entries shed load by the level that they learn from the gates of one service with few slots, using the
+//! product's policy code. Only the requests' path, their work and the callers are simulated.
 
 use fastrand::Rng;
 use sorrelturn_policy::{
@@ -18,36 +18,35 @@
 const ENTRY_COUNT: usize = 12;
 const INSTANCE_COUNT: usize = 3;
 const SLOTS_PER_INSTANCE: u32 = 20;
-/// The mean time that a call holds a slot; what is above a half of it is distributed exponentially.
+/// The mean time that a call holds a slot. Half of it is fixed, the rest exponentially distributed.
 const MEAN_CALL_WORK: Duration = Duration::from_millis(40);
-/// The first part of a request, before its call of the service with few slots: so long, and up to
-/// twice as long.
+/// A request works for this time, and up to twice as long, before it calls the service with few slots.
 const MIN_WORK_BEFORE_CALL: Duration = Duration::from_millis(200);
-/// One way between two VMs.
+/// The one-way delay between two VMs.
 const HOP_DELAY: Duration = Duration::from_millis(1);
-/// The load before, as a share of what the slots can do.
+/// The normal load, as a fraction of the capacity of the slots.
 const NORMAL_LOAD_FRACTION: f64 = 0.8;
-/// Callers wait as they are told for up to this part of the time that they have left.
+/// Callers wait for Retry-After, but at most for their remaining time divided by this.
 const MAX_WAIT_DIVISOR: u32 = 3;
-/// When the pressure begins, and when the last first try arrives.
+/// The start of the overload, and the time after which no new requests arrive.
 const OVERLOAD_START: Duration = Duration::from_secs(3);
 const LAST_ARRIVAL: Duration = Duration::from_secs(18);
 const CLIENTS_PER_KIND: usize = 60;
 
 /// A kind of request and its callers.
 pub struct RetryingKind {
-    /// For the table.
+    /// The name in the table.
     pub name: &'static str,
     rank: usize,
     importance: Importance,
     share: f64,
-    /// How long its callers wait.
+    /// The time that its callers wait.
     deadline: Duration,
-    /// An answer that comes later than this is worth less to them.
+    /// Later answers count as late.
     target: Duration,
 }
 
-/// The kinds: two of the lowest rank, one of the next.
+/// The simulated kinds: two of the lowest rank, one of the next.
 pub const RETRYING_KINDS: [RetryingKind; 3] = [
     RetryingKind {
         name: "normal, 5 s",
@@ -75,20 +74,20 @@
     },
 ];
 
-/// What presses.
+/// A simulated overload.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadCase {
-    /// For the table.
+    /// The name in the table.
     pub name: &'static str,
-    /// So many times the normal load.
+    /// The load as a multiple of the normal load.
     pub load_factor: f64,
-    /// So many instances are left.
+    /// The number of instances that are left.
     pub instances: usize,
-    /// For so long.
+    /// The duration of the overload.
     pub duration: Duration,
 }
 
-/// The pressures that are played.
+/// The simulated overloads.
 pub const OVERLOAD_CASES: [OverloadCase; 6] = [
     OverloadCase {
         name: "x3 for 0.3 s",
@@ -128,34 +127,34 @@
     },
 ];
 
-/// A refusal for which a rule says when to come back.
+/// A refused request for which a rule computes Retry-After.
 pub struct RefusedRequest {
-    /// Now.
+    /// The current time.
     pub now: Now,
-    /// The level by which it was refused.
+    /// The shedding level at which it was refused.
     pub level: u16,
     /// The rank of the request.
     pub rank: usize,
-    /// What its caller says that it will still wait.
+    /// The time that its caller will still wait.
     pub time_left: Duration,
 }
 
-/// When a refused caller is told to come back. Each entry has one of each kind.
+/// Computes Retry-After for a refused request. Each entry has one rule for each kind.
 pub type RetryAfterRule = Box<dyn FnMut(&RefusedRequest, &mut Rng) -> Duration>;
 
-/// A way to treat callers that come back.
+/// A policy for callers that retry.
 pub struct RetryPolicy {
-    /// For the table.
+    /// The name in the table.
     pub name: &'static str,
-    /// Makes the rule of one entry and kind.
+    /// Creates the rule of one entry and kind.
     pub retry_after_rule: fn() -> RetryAfterRule,
-    /// The place in the order of shedding that a request of a rank has when it was tried before.
+    /// Computes the shedding bucket of a retry from the request's own bucket and rank.
     pub retry_bucket: fn(u8, usize) -> u8,
 }
 
-/// What the entries of the product do.
+/// The policy of the product.
 pub const PRODUCT_POLICY: RetryPolicy = RetryPolicy {
-    name: "the product's",
+    name: "product",
     retry_after_rule: || {
         let mut refusing = RefusalStreak::default();
         Box::new(move |refused, rng| refusing.record_refusal(refused.now, rng))
@@ -163,44 +162,44 @@
     retry_bucket: bucket_for_retry,
 };
 
-/// What came of the requests of one kind that were first sent while the pressure lasted or in the
-/// two seconds after it.
+/// The results of the requests of one kind that were first sent during the overload or in the two
+/// seconds after it.
 #[derive(Clone, Debug, Default)]
 pub struct RetryStats {
-    /// First tries.
+    /// First attempts.
     pub requested: u32,
-    /// Answered in good time at the first try.
+    /// Answered within the target time at the first attempt.
     pub good_first: u32,
-    /// Answered in good time, counted from the first try, at the second.
+    /// Answered at the second attempt, within the target time counted from the first.
     pub good_later: u32,
-    /// Answered later than that.
+    /// Answered after the target time.
     pub late: u32,
-    /// Those who came back.
+    /// Retries.
     pub retried: u32,
-    /// Those of them who were told a time that they wait for.
+    /// Retries after the full Retry-After time.
     pub retried_after_wait: u32,
-    /// Those who came back and were served.
+    /// Retries that were served.
     pub retried_served: u32,
-    /// Those who came back as told and were served.
+    /// Retries after the full Retry-After time that were served.
     pub retried_after_wait_served: u32,
-    /// Requests that were taken and not served.
+    /// Requests that were accepted and not served.
     pub accepted_unserved: u32,
-    /// Requests that were taken.
+    /// Requests that were accepted.
     pub accepted: u32,
-    /// From arrival to refusal, of each refused try.
+    /// The time from arrival to refusal of each refused attempt.
     pub refusal_delays: Vec<Duration>,
-    /// Requests and served ones of each client.
+    /// The number of requests and of served ones of each client.
     pub by_client: HashMap<usize, (u32, u32)>,
 }
 
-/// Plays one pressure; returns what came of each kind.
+/// Simulates one overload. Returns the results of each kind.
 pub fn simulate_retries(case: &OverloadCase, seed: u64, policy: &RetryPolicy) -> Vec<RetryStats> {
     let mut simulation = Simulation::new(case, seed, policy);
     simulation.run();
     simulation.stats_by_kind
 }
 
-/// One request with its caller.
+/// An attempt of a request, with its caller.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     kind: usize,
@@ -208,7 +207,7 @@
     entry: usize,
     bucket: u8,
     first_sent: Now,
-    /// When it was sent this time.
+    /// When the current attempt was sent.
     sent: Now,
     tries: u32,
     after_wait: bool,
@@ -216,13 +215,13 @@
 }
 
 enum Event {
-    /// A new request of a kind is due.
+    /// The next new request of a kind arrives.
     NextArrival(usize),
     RequestArrival(Request),
     CallArrival(Request),
     QueueTimeout(usize, u64),
     CallDone(usize, u64, Duration),
-    /// What the caller and its entry hear.
+    /// The answer arrives, with the learned level and whether the request was served.
     Answered(Request, u16, bool),
 }
 
@@ -245,7 +244,7 @@
     queue: BinaryHeap<Reverse<(Now, u64)>>,
     events: HashMap<u64, Event>,
     next_id: u64,
-    /// One for each entry and kind.
+    /// The state of each entry and kind.
     entries: Vec<Vec<Entry>>,
     instances: Vec<Instance>,
     stats_by_kind: Vec<RetryStats>,
@@ -354,7 +353,7 @@
         }
     }
 
-    /// What came of it, if it was first sent while that counts.
+    /// Counts a result if the request was first sent in the counted time.
     fn count(&mut self, req: &Request, f: impl FnOnce(&mut RetryStats)) {
         let count_until = OVERLOAD_START + self.case.duration + Duration::from_secs(2);
         if (OVERLOAD_START..count_until).contains(&req.first_sent) {
@@ -403,7 +402,7 @@
         });
         if req.tries == 1 {
             req.tries = 2;
-            // Each try has an id of its own, and with it its own place in the order.
+            // Each attempt has its own request id, and so its own shedding bucket.
             req.bucket = self.rng.u8(..);
             req.after_wait = retry_after <= left / MAX_WAIT_DIVISOR;
             self.schedule_after(
@@ -510,7 +509,7 @@
 }
 
 impl RetryStats {
-    /// Adds another play.
+    /// Adds the results of another seed.
     pub fn add(&mut self, other: &Self) {
         self.requested += other.requested;
         self.good_first += other.good_first;
@@ -530,8 +529,7 @@
         }
     }
 
-    /// The share of its requests that a client has served, at the tenth and the ninetieth of a
-    /// hundred clients.
+    /// The 10th and the 90th percentile of the clients' shares of served requests.
     pub fn client_share_percentiles(&self) -> (f64, f64) {
         let share =
             |(requested, served): &(u32, u32)| f64::from(*served) / f64::from((*requested).max(1));
--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! One scenario against one system: normal load, pressure, normal load again.
+//! Runs one scenario against one system: normal load, overload, normal load again.
 
 use crate::{
     backend::{FakeBackend, serve_backend},
@@ -20,21 +20,21 @@
     time::Duration,
 };
 
-/// The share of the capacity that callers ask for in normal times.
+/// The normal load as a fraction of the capacity.
 const NORMAL_LOAD_FRACTION: f64 = 0.7;
 
-/// What happens between the normal times.
+/// An overload, and what causes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Scenario {
     /// Its name.
     pub name: &'static str,
-    /// Callers ask for so many times the normal load.
+    /// The load during the overload, as a multiple of the normal load.
     pub surge: f64,
-    /// A deep service is so many times slower.
+    /// The slowdown factor of the deep service.
     pub slow: f64,
-    /// How often a caller asks in all.
+    /// The maximum number of attempts of a caller.
     pub tries: u32,
-    /// How often the pressure comes, with a short normal time between.
+    /// The number of overload phases, with a short normal phase between them.
     pub overloads: usize,
 }
 
@@ -97,21 +97,21 @@
     }
 }
 
-/// How long the stretches last.
+/// The durations of the phases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PhaseDurations {
-    /// The normal time before.
+    /// The first normal phase.
     pub before: Duration,
-    /// Each pressure.
+    /// Each overload phase.
     pub overload: Duration,
-    /// The normal time between two pressures.
+    /// The normal phase between two overloads.
     pub between: Duration,
-    /// The normal time after.
+    /// The last normal phase.
     pub after: Duration,
 }
 
 impl PhaseDurations {
-    /// Normal times and pressures by turns, with a normal time first and last.
+    /// The phases: normal and overload in turn, beginning and ending with a normal phase.
     fn stretches(&self, normal: f64, scenario: &Scenario) -> Vec<Stretch> {
         let last = 2 * scenario.overloads;
         (0..=last)
@@ -132,12 +132,12 @@
     }
 }
 
-/// Whether a stretch is one of pressure.
+/// Whether the phase at an index is an overload phase.
 fn is_overload(at: usize) -> bool {
     at % 2 == 1
 }
 
-/// From when to when there is pressure, since the start of the load.
+/// The time ranges of the overload phases, since the start of the load.
 fn overloads(stretches: &[Stretch]) -> Vec<Range<Duration>> {
     let mut begin = Duration::ZERO;
     let mut overloads = Vec::new();
@@ -151,7 +151,7 @@
     overloads
 }
 
-/// Runs one scenario against one system; `progress` hears of each stretch.
+/// Runs one scenario against one system. `progress` is called with the name of each phase.
 pub async fn run_scenario(
     ex: Arc<Executor<'static>>,
     workload: &Arc<Workload>,
@@ -184,7 +184,7 @@
                 backend.change_plan(|plan| plan.slow = slow);
             }
             progress(if is_overload(at) {
-                "pressure"
+                "overload"
             } else {
                 "normal load"
             });
@@ -251,7 +251,7 @@
     )
 }
 
-/// A system under load.
+/// A running system with its entries and backend servers.
 struct RunningSystem {
     entries: Vec<Client>,
     backends: Vec<(String, FakeBackend)>,
@@ -315,7 +315,7 @@
         let backend = FakeBackend::default();
         tasks.push(ex.spawn(serve_backend(Arc::clone(ex), listener, backend.clone())));
         proxy.add_backend(ex, &instance.service, backend_addr);
-        // Each backend server has a proxy of its own beside it, as each has a daemon.
+        // Each backend server has its own local proxy, like its own daemon.
         let listener = bind().await;
         let local = listener.local_addr().expect("a bound address");
         tasks.push(ex.spawn(proxy.clone().serve(Arc::clone(ex), listener)));
--- a/crates/sorrelturn-bench/src/summary.rs
+++ b/crates/sorrelturn-bench/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a run came to: goodput, wasted work, recovery, and the counters that must be zero.
+//! The results of a run: goodput, wasted work, recovery time, and error counts that must be zero.
 
 use crate::load::Record;
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
     time::Duration,
 };
 
-/// The width of the windows in which recovery is looked for.
+/// The width of the windows in which recovery is measured.
 const WINDOW_DURATION: Duration = Duration::from_millis(250);
-/// A window is well if this share of its requests got a good answer.
+/// A window counts as recovered if at least this fraction of its requests got a good answer.
 const RECOVERED_FRACTION: f64 = 0.95;
 
-/// Good answers of one importance in one stretch.
+/// Good answers of one importance in one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Goodput {
-    /// Root requests that were sent.
+    /// The number of root requests sent.
     pub offered: u64,
-    /// Those that got a whole, useful answer.
+    /// The number of root requests with a complete and correct answer in time.
     pub good: u64,
 }
 
 impl Goodput {
-    /// The share of good answers, in percent.
+    /// The good answers in percent of the requests.
     pub fn percent(self) -> f64 {
         self.good as f64 * 100.0 / self.offered.max(1) as f64
     }
@@ -33,49 +33,50 @@
 /// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// Which system carried the load.
+    /// The name of the system under load.
     pub system: String,
-    /// Before the pressure, by importance.
+    /// Results before the overload, by importance.
     pub before: BTreeMap<String, Goodput>,
-    /// Under pressure, by importance.
+    /// Results during the overload, by importance.
     pub under: BTreeMap<String, Goodput>,
-    /// Good answers a second before the pressure and under it.
+    /// Good answers per second before the overload.
     pub goodput_before: f64,
-    /// As above, under pressure.
+    /// Good answers per second during the overload.
     pub goodput_under: f64,
-    /// The most good answers a second under pressure that the slots allow, importance first.
+    /// The maximum good answers per second that the slots allow during the overload.
     pub best_under: f64,
-    /// Seconds from the end of a pressure until requests are well again, the worst.
+    /// The longest time from the end of an overload to recovery, in seconds.
     pub recovery_s: f64,
     /// Executions at backend servers.
     pub executions: u64,
-    /// Executions that no good answer came of, in percent.
+    /// Executions that didn't contribute to a good answer, in percent.
     pub wasted_percent: f64,
-    /// Sent requests for each root request.
+    /// The mean number of attempts of a root request.
     pub tries_per_request: f64,
     /// Keys of at-most-once kinds that ran more than once.
     pub double_runs: u64,
-    /// Answers that were another caller's or cut and given as whole.
+    /// Answers that belonged to another caller, or were truncated but presented as complete.
     pub wrong_answers: u64,
-    /// Failed requests by stretch, kind, last status and reason.
+    /// Failed requests by phase, kind, last status and reason.
     pub failures: BTreeMap<String, u64>,
-    /// Requests all of whose tries were answered "not run" though one ran.
+    /// Requests that ran although all their attempts were answered "not run".
     pub false_not_run: u64,
 }
 
-/// What the summary needs besides the records.
+/// The input of the summary besides the records.
 pub struct SummaryInput<'a> {
     /// The name of the system.
     pub system: &'a str,
-    /// From when to when there was pressure, since the start of the load.
+    /// The time ranges of the overloads, since the start of the load.
     pub overloads: &'a [Range<Duration>],
-    /// The most good answers a second under pressure that the slots allow, importance first.
+    /// The maximum good answers per second that the slots allow during the overload, by importance, if more
+    /// important requests go first.
     pub max_goodput: BTreeMap<Importance, f64>,
     /// Executions at all backend servers.
     pub executions: u64,
     /// Executions by key and kind.
     pub executions_by_key: &'a HashMap<String, u32>,
-    /// The executions that a good answer of each kind needs.
+    /// The minimum number of executions for a good answer, by kind.
     pub min_executions: &'a HashMap<String, u32>,
     /// The kinds that run at most once.
     pub at_most_once_kinds: &'a [String],
@@ -90,7 +91,7 @@
 }
 
 impl Summary {
-    /// Sums a run up.
+    /// Summarizes the records of a run.
     pub fn from_records(records: &[Record], input: &SummaryInput) -> Self {
         let begin = input
             .overloads
@@ -146,7 +147,7 @@
         .collect()
 }
 
-/// The longest recovery after a pressure.
+/// The longest recovery time after an overload.
 fn worst_recovery(records: &[Record], input: &SummaryInput) -> Duration {
     let recoveries = input.overloads.iter().enumerate().map(|(at, overload)| {
         let next = input.overloads.get(at + 1);
@@ -156,7 +157,7 @@
     recoveries.max().unwrap_or(Duration::ZERO)
 }
 
-/// The time from the start of a normal time to the end of its last window that was not well.
+/// The time from the start of a normal phase to the end of its last window that hadn't recovered.
 fn recovery(records: &[Record], normal: Range<Duration>) -> Duration {
     let end = normal.start;
     let mut windows: BTreeMap<u32, Goodput> = BTreeMap::new();
--- a/crates/sorrelturn-bench/src/workload.rs
+++ b/crates/sorrelturn-bench/src/workload.rs
@@ -1,30 +1,30 @@
-//! The users' workloads scaled to one machine, and their capacity worked out from the bundle.
+//! Example deployments scaled down to one machine, with their load and calculated capacity.
 
 use crate::{FleetPlan, capacity::Capacity, examples::example_bundle, plan::concrete_path};
 use sorrelturn_bundle::{Bundle, BundleSource, Execution};
 use sorrelturn_protocol::Importance;
 use std::collections::BTreeMap;
 
-/// Slots of the users' tables are divided by this, so that one machine can play all instances.
+/// Slots and connections are divided by this, so that one machine can run all instances.
 const SLOT_DIVISOR: u32 = 4;
-/// The work of a kind that only reads, and of one that changes something, in milliseconds.
+/// The execution time of a repeatable kind, and of one that runs at most once.
 const READ_WORK_MS: f64 = 40.0;
 const WRITE_WORK_MS: f64 = 75.0;
 
-/// One kind of root request in a mix.
+/// A kind of root request in a mix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MixPart {
     /// The kind's name.
     pub kind: String,
-    /// Its method.
+    /// The HTTP method.
     pub method: String,
-    /// A path of it.
+    /// A concrete path.
     pub path: String,
     /// Its importance.
     pub importance: Importance,
     /// Whether it runs at most once.
     pub at_most_once: bool,
-    /// Its share of all root requests.
+    /// Its share in all root requests, from 0 to 1.
     pub share: f64,
 }
 
@@ -35,16 +35,16 @@
     pub fleet: FleetPlan,
     /// The mix of root requests.
     pub mix: Vec<MixPart>,
-    /// Root requests a second that the fleet can carry, worked out from slots and work.
+    /// The capacity in root requests per second, calculated from slots and execution times.
     pub capacity: f64,
-    /// The deep service that is slowed in the scenarios.
+    /// The service that the scenarios slow down.
     pub deep_service: &'static str,
     indexed: Bundle,
     instance_counts: BTreeMap<String, usize>,
 }
 
 impl Workload {
-    /// One of the users' deployments, by the name of its bundle.
+    /// The workload of an example deployment, by the name of its bundle.
     pub fn for_deployment(name: &str) -> Self {
         let is_protokols = name != "dalaqyz-soft";
         let mut bundle = example_bundle(name);
@@ -116,8 +116,8 @@
         workload
     }
 
-    /// The most good answers a second by importance, with importance first, when `rate` are asked for
-    /// while the deep service is so many times slower.
+    /// The maximum good answers per second by importance, if `rate` root requests per second are sent, more
+    /// important ones go first, and the deep service is slower by `slow_factor`.
     pub fn max_goodput(&self, rate: f64, slow_factor: f64) -> BTreeMap<Importance, f64> {
         self.slot_capacity(slow_factor).max_goodput(&self.mix, rate)
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Draws a kind of root request.
+    /// Picks a random kind of root request according to the shares.
     pub fn random_kind(&self, rng: &mut fastrand::Rng) -> &MixPart {
         let mut remaining = rng.f64();
         for part in &self.mix {
--- a/crates/sorrelturn-bench/tests/experiment.rs
+++ b/crates/sorrelturn-bench/tests/experiment.rs
@@ -1,7 +1,5 @@
-//! Experiments: the loads that the product's decisions answer, without network, and what a wrong file says.
-//!
-//! Each test names the pattern that it plays; the bounds lie between what was measured with the mechanism and without
-//! it, nearer to the first (16 seeds; here 4).
+//! Experiments: guard the effect of the product's mechanisms under load and faults, and the errors on invalid
+//! files. Bounds lie between the results with and without a mechanism.
 
 use sorrelturn_bench::experiment::{
     Experiment, Mechanism, Outcome, plot, simulate_experiment, table,
@@ -42,10 +40,9 @@
     f64::from(counts.good + counts.late) / f64::from(counts.requested)
 }
 
-/// A service turns 55 in 100 away for eight seconds although it has slots. Retries that successes pay for dry up at
-/// once: 1.1 % of what arrives is sent again, and 0.33 of the worth is served.
+/// A service refuses 55 % of its requests for eight seconds although it has free slots.
 #[test]
-fn what_a_service_turns_away_with_slots_free_is_sent_again_while_the_bound_allows_it() {
+fn requests_refused_with_free_slots_are_sent_again_within_the_retry_limit() {
     let outcome = simulate(&experiment("wide-rejection.jsonc"));
     let worth = outcome.worth_between(12, 20);
     assert!(worth > 0.36, "{worth}");
@@ -54,38 +51,38 @@
     assert!(worth > bare + 0.03, "{worth} with, {bare} without");
 }
 
-/// The bound itself, over the whole play of all daemons: a fifth of what is sent, and the slack.
+/// Guards the retry limit itself, over all daemons and the whole time.
 #[test]
-fn sendings_beyond_the_first_keep_the_bound_while_a_service_turns_most_away() {
+fn retries_stay_within_the_limit_while_a_service_refuses_most_requests() {
     let experiment = experiment("wide-rejection.jsonc");
     for seed in 0..SEEDS {
         let outcome = simulate_experiment(&experiment, seed);
         for service in &outcome.services {
-            let first = (service.arrived - service.repeated) as f64;
-            let most = experiment.retries.ratio * first + 3.0 * experiment.retries.slack;
-            assert!(service.repeated as f64 <= most, "{service:?}");
+            let first_arrivals = (service.arrived - service.repeated) as f64;
+            let max_repeated =
+                experiment.retries.ratio * first_arrivals + 3.0 * experiment.retries.slack;
+            assert!(service.repeated as f64 <= max_repeated, "{service:?}");
         }
     }
 }
 
-/// One of three instances of the smallest service is lost. An integral level swung: half-second means of the slots at
-/// work lay 30 points of those that are left apart, at 88 in 100 on the mean. Counted are the slots that the two others
-/// work best with: since gates find that out, these are no longer two thirds of what is announced.
+/// Guards against a shedding level that oscillates after one of three instances of a service is lost. Only slots
+/// within the tuned limits of the others count.
 #[test]
-fn the_slots_that_are_left_stay_at_work_after_an_instance_is_lost() {
+fn the_remaining_slots_stay_in_use_after_an_instance_is_lost() {
     let outcome = simulate(&experiment("lost-instance.jsonc"));
-    let (at_work, apart) = outcome.slot_usage_between("devices", 34, 50);
-    assert!(at_work > 0.88, "{at_work}");
-    assert!(apart < 0.26, "{apart}");
-    // In a burst on top of it, which presses steadily.
-    let (at_work, apart) = outcome.slot_usage_between("devices", 23, 28);
-    assert!(at_work > 0.92, "{at_work}");
-    assert!(apart < 0.2, "{apart}");
+    let (slot_usage, spread) = outcome.slot_usage_between("devices", 34, 50);
+    assert!(slot_usage > 0.88, "{slot_usage}");
+    assert!(spread < 0.26, "{spread}");
+    // During an additional burst with a steady load.
+    let (slot_usage, spread) = outcome.slot_usage_between("devices", 23, 28);
+    assert!(slot_usage > 0.92, "{slot_usage}");
+    assert!(spread < 0.2, "{spread}");
 }
 
-/// All daemons end under a burst and start anew, knowing nothing: the level follows within a second or two.
+/// All daemons restart during a burst and lose what they learned; the shedding level recovers in a few seconds.
 #[test]
-fn a_burst_is_borne_again_soon_after_all_daemons_started_anew() {
+fn a_burst_is_tolerated_again_soon_after_all_daemons_restarted() {
     let outcome = simulate(&experiment("burst-and-restart.jsonc"));
     let before = outcome.worth_between(8, 14);
     let after = outcome.worth_between(23, 30);
@@ -107,21 +104,21 @@
 }
 
 #[test]
-fn the_table_and_the_picture_show_each_kind() {
+fn the_table_and_the_chart_show_each_kind() {
     let outcome = simulate_experiment(&experiment("slow-instance.jsonc"), 1);
     let outcomes = [("as it is", &outcome)];
-    let (text, picture) = (table(&outcomes, &[(8, 18)]), plot(&outcomes));
+    let (text, chart) = (table(&outcomes, &[(8, 18)]), plot(&outcomes));
     for kind in &outcome.kinds {
         assert!(text.contains(&format!("| {} |", kind.kind)), "{text}");
-        assert!(picture.contains(&kind.kind));
+        assert!(chart.contains(&kind.kind));
     }
-    assert!(picture.starts_with("<svg") && picture.ends_with("</svg>\n"));
+    assert!(chart.starts_with("<svg") && chart.ends_with("</svg>\n"));
 }
 
-/// What a file's text says that is wrong.
+/// The error of a text that isn't a valid experiment.
 fn parse_error(text: &str) -> String {
     let parsed = Experiment::parse("it.jsonc", text);
-    parsed.expect_err("it is wrong").to_string()
+    parsed.expect_err("the text is invalid").to_string()
 }
 
 const VALID: &str = r#"{
@@ -131,7 +128,7 @@
 }"#;
 
 #[test]
-fn a_wrong_file_is_refused_with_the_place_and_what_to_write_instead() {
+fn an_invalid_file_is_rejected_with_the_place_and_what_to_write_instead() {
     assert!(Experiment::parse("it.jsonc", VALID).is_ok());
     let cases = [
         (
@@ -170,9 +167,9 @@
             "seconds is 0; write a number above 0",
         ),
     ];
-    for (part, wrong, says) in cases {
-        let said = parse_error(&VALID.replace(part, wrong));
-        assert!(said.contains(says), "{said}");
+    for (part, invalid, expected) in cases {
+        let error = parse_error(&VALID.replace(part, invalid));
+        assert!(error.contains(expected), "{error}");
     }
     let missing = Experiment::read(Path::new("nowhere.jsonc")).expect_err("no such file");
     assert!(
@@ -182,7 +179,7 @@
     );
 }
 
-/// The play of the large fleet, once for all tests: it takes seconds. Two seeds lie within 0.01 of sixteen.
+/// The outcome of the large fleet, simulated once for all tests since it takes seconds.
 fn large_fleet() -> &'static Outcome {
     static OUTCOME: OnceLock<Outcome> = OnceLock::new();
     OUTCOME.get_or_init(|| simulate_two_seeds(&experiment("large-fleet.jsonc")))
@@ -194,10 +191,10 @@
     sum
 }
 
-/// A fleet of 95 VMs whose smallest service works 1.3 times slower with its last two slots taken, held under pressure for
-/// 40 s: 0.71 of the worth, 0.61 where all announced slots are filled.
+/// The smallest service of a fleet of 95 VMs is the bottleneck and slows down with its last two slots in use. Guards
+/// the tuning of its limit.
 #[test]
-fn a_service_that_binds_is_not_held_where_it_slows_down() {
+fn a_bottleneck_service_is_not_kept_at_a_limit_where_it_slows_down() {
     let worth = large_fleet().worth();
     let mut bare = experiment("large-fleet.jsonc");
     bare.without.push(Mechanism::BestSlots);
@@ -206,9 +203,9 @@
     assert!(worth > bare + 0.04, "{worth} with, {bare} without");
 }
 
-/// The same fleet where nothing slows down: looking for a better limit costs about a hundredth (0.770 and 0.776).
+/// The same fleet without the slowdown: tuning the limit must cost little.
 #[test]
-fn looking_for_a_better_limit_costs_little_where_there_is_none() {
+fn tuning_the_limit_costs_little_where_there_is_no_better_one() {
     let mut experiment = experiment("large-fleet.jsonc");
     for service in experiment.services.values_mut() {
         service.knee_times = 1.0;
@@ -219,10 +216,10 @@
     assert!(worth > bare - 0.02, "{worth} with, {bare} without");
 }
 
-/// It starts under load, knowing neither what is a call nor who makes it. With forty requests to know a call and twenty
-/// to know who makes it, 23 in 100 critical requests failed deep in its seconds 2 to 4, now 1.
+/// Daemons start without a call graph. Guards against critical requests that fail in nested calls because the graph
+/// is learned too slowly.
 #[test]
-fn a_fleet_that_starts_under_load_knows_within_two_seconds_who_calls_whom() {
+fn a_fleet_that_starts_under_load_learns_the_call_graph_within_two_seconds() {
     let outcome = large_fleet();
     let critical = outcome.kinds.iter().find(|kind| kind.kind == "certify");
     let counts = critical.expect("a kind").between(2, 4);
@@ -230,11 +227,10 @@
     assert!(failed < 0.06, "{failed}");
 }
 
-/// While levels fell between two answers, 9 in 100 critical requests failed deep after work was done for them; holding for
-/// a second, 5 in 100. Bookings, which the service that binds answers itself, are served at least as often as reads of
-/// their importance.
+/// Guards against critical requests that fail after work was done for them. Bookings, which the bottleneck service
+/// answers itself, are served more often than reads of their importance.
 #[test]
-fn most_is_refused_where_it_begins_and_bookings_after_reads() {
+fn most_requests_are_refused_at_the_entry_and_reads_before_bookings() {
     let outcome = large_fleet();
     let critical = outcome.kinds.iter().find(|kind| kind.kind == "certify");
     let counts = critical.expect("a kind").total();
@@ -250,11 +246,10 @@
     );
 }
 
-/// One request crashes each backend server that runs it, and comes ten times a second at any VM, for half a minute. Held
-/// by all after its second crash, it takes 3.5 backend servers along and 0.986 of the worth is earned; else 54, and 0.654.
-/// The operators bear three crashes and three more.
+/// A request that crashes each backend server that runs it is sent ten times a second for half a minute. At most six
+/// crashes are allowed for each of the two seeds.
 #[test]
-fn a_request_that_crashes_backend_servers_takes_a_handful_along_and_not_the_service() {
+fn a_request_that_crashes_backend_servers_crashes_only_a_few_before_it_is_quarantined() {
     let mut experiment = experiment("crashing-request.jsonc");
     let crashes = |outcome: &Outcome| {
         outcome
@@ -263,11 +258,15 @@
             .map(|service| service.crashes)
             .sum::<u64>()
     };
-    let held = simulate_two_seeds(&experiment);
-    assert!(crashes(&held) <= 2 * 6, "{} crashes", crashes(&held));
-    assert!(held.worth() > 0.95, "{}", held.worth());
+    let quarantined = simulate_two_seeds(&experiment);
+    assert!(
+        crashes(&quarantined) <= 2 * 6,
+        "{} crashes",
+        crashes(&quarantined)
+    );
+    assert!(quarantined.worth() > 0.95, "{}", quarantined.worth());
     experiment.without.push(Mechanism::Quarantine);
     let bare = simulate_two_seeds(&experiment);
-    assert!(crashes(&bare) > 10 * crashes(&held));
-    assert!(bare.worth() < held.worth() - 0.1, "{}", bare.worth());
+    assert!(crashes(&bare) > 10 * crashes(&quarantined));
+    assert!(bare.worth() < quarantined.worth() - 0.1, "{}", bare.worth());
 }
--- a/crates/sorrelturn-bench/tests/returns.rs
+++ b/crates/sorrelturn-bench/tests/returns.rs
@@ -1,16 +1,15 @@
-//! What callers get that are refused at the entry and come back, in virtual time.
-//!
-//! As seen in these plays: callers were told about a second, whatever pressed and for how long, and came
-//! back into it.
+//! Refused callers that retry, in virtual time: guards against Retry-After times so short that retries
+//! arrive while the overload lasts.
 
 use sorrelturn_bench::{OVERLOAD_CASES, PRODUCT_POLICY, RetryStats, simulate_retries};
 
-/// Adds up a few plays of a pressure.
+/// The sum of the results of three seeds, by kind.
 fn simulate(name: &str) -> Vec<RetryStats> {
     let case = OVERLOAD_CASES.iter().find(|case| case.name == name);
     let mut sums = Vec::new();
     for seed in 0..3 {
-        let stats_by_kind = simulate_retries(case.expect("it is listed"), seed, &PRODUCT_POLICY);
+        let stats_by_kind =
+            simulate_retries(case.expect("the overload is listed"), seed, &PRODUCT_POLICY);
         sums.resize(stats_by_kind.len(), RetryStats::default());
         for (sum, stats) in sums.iter_mut().zip(&stats_by_kind) {
             sum.add(stats);
@@ -19,12 +18,12 @@
     sums
 }
 
-fn share(part: u32, whole: u32) -> f64 {
-    f64::from(part) / f64::from(whole.max(1))
+fn share(count: u32, whole: u32) -> f64 {
+    f64::from(count) / f64::from(whole.max(1))
 }
 
 #[test]
-fn those_who_come_back_in_a_long_surge_find_room_more_often() {
+fn retries_in_a_long_surge_are_served_often_enough() {
     let normal = &simulate("x2 for 5 s")[0];
     let served = share(normal.retried_served, normal.retried);
     assert!(served > 0.03, "{served}");
@@ -34,14 +33,14 @@
 }
 
 #[test]
-fn critical_callers_that_come_back_find_room_where_little_is_left() {
+fn critical_retries_are_served_where_little_capacity_is_left() {
     let critical = &simulate("one of three instances left, 8 s")[2];
     let served = share(critical.retried_served, critical.retried);
     assert!(served > 0.25, "{served}");
 }
 
 #[test]
-fn the_more_important_are_served_first_also_when_they_come_back() {
+fn more_important_requests_are_served_first_also_on_retry() {
     let stats_by_kind = simulate("x3 for 5 s");
     let [normal, _, critical] = &stats_by_kind[..] else {
         panic!("three kinds");
