--- a/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
@@ -26,17 +26,17 @@
         let (_, clumps_of) = self.current_load();
         for _ in 0..clumps_of {
             let impatience = self.impatience();
-            let impatient = impatience.is_some_and(|(share, _)| self.rng.f64() < share);
+            let is_impatient = impatience.is_some_and(|(share, _)| self.rng.f64() < share);
             let extra_attempts = impatience
-                .filter(|_| impatient)
+                .filter(|_| is_impatient)
                 .map_or(0, |(_, tries)| tries);
             let caller = Caller {
                 first_sent: self.now,
                 attempts: 0,
                 max_attempts: 1 + self.kinds[kind].max_retries + extra_attempts,
-                impatient,
+                is_impatient,
                 request: RequestFingerprint(self.new_id()),
-                crashes: false,
+                crashes_backends: false,
             };
             self.count(kind, &caller, |counts| counts.requested += 1);
             self.handle_root_request(kind, caller);
@@ -44,13 +44,14 @@
     }
 
     pub(super) fn count(&mut self, kind: usize, caller: &Caller, f: impl FnOnce(&mut Counts)) {
-        if caller.crashes {
+        if caller.crashes_backends {
             // Its results aren't part of the outcome.
             return;
         }
         let second = caller.first_sent.as_secs() as usize;
-        let outcome = self.kinds[kind].outcome_index;
-        let counts = outcome.and_then(|at| self.outcome.kinds[at].by_second.get_mut(second));
+        let outcome_index = self.kinds[kind].outcome_index;
+        let counts =
+            outcome_index.and_then(|index| self.outcome.kinds[index].by_second.get_mut(second));
         if let Some(counts) = counts {
             f(counts);
         }
@@ -117,7 +118,7 @@
             return self.count_final_refusal(kind, caller);
         }
         let left = (caller.first_sent + self.kinds[kind].deadline).saturating_sub(self.now);
-        let wait = if caller.impatient {
+        let wait = if caller.is_impatient {
             ms(20.0)
         } else {
             retry_after.min(left / MAX_WAIT_DIVISOR)
--- a/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
@@ -34,9 +34,9 @@
             first_sent: self.now,
             attempts: 0,
             max_attempts: 1 + self.kinds[kind].max_retries,
-            impatient: false,
+            is_impatient: false,
             request: RequestFingerprint(MAX_CRASHING_FINGERPRINT - number as u64),
-            crashes: true,
+            crashes_backends: true,
         };
         self.handle_root_request(kind, caller);
     }
--- a/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
@@ -8,10 +8,10 @@
     pub(super) fn current_load(&self) -> (f64, u32) {
         let now = self.now.as_secs_f64();
         let mut load = (1.0, 1);
-        for stretch in &self.experiment.load {
-            if (stretch.from_s..stretch.to_s).contains(&now) {
-                load.0 *= stretch.times;
-                load.1 = load.1.max(stretch.clumps_of);
+        for interval in &self.experiment.load {
+            if (interval.from_s..interval.to_s).contains(&now) {
+                load.0 *= interval.times;
+                load.1 = load.1.max(interval.clumps_of);
             }
         }
         load
--- a/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
@@ -59,9 +59,9 @@
         let hop = ms(self.experiment.hop_ms);
         let sent = self.occupy_processor(call.forwarder);
         let owner = self.first_daemons[service] + index;
-        let lost = self.is_lost(owner);
+        let is_lost = self.is_lost(owner);
         self.calls.insert(id, call);
-        if lost {
+        if is_lost {
             let refusal = CallResult::NotRun(Refusal::BackendUnreachable);
             return self.schedule_at(
                 sent + CONNECT_FAILURE_DURATION,
@@ -95,12 +95,12 @@
         if let Some(context) = context {
             daemon.record_answer(self.now, call.kind, &context);
         }
-        let incarnation_used = incarnation(service, call.attempts.instance);
+        let answered_by = incarnation(service, call.attempts.instance);
         if matches!(result, CallResult::NotRun(Refusal::BackendRefused)) {
             call.attempts.backend_refusals += 1;
-            call.attempts.refused_by = Some(incarnation_used);
+            call.attempts.refused_by = Some(answered_by);
         } else {
-            call.attempts.tried.push(incarnation_used);
+            call.attempts.tried.push(answered_by);
         }
         if self.should_retry(&mut call, result) {
             return self.forward(call);
@@ -125,8 +125,8 @@
             return false;
         }
         let backend_refused = refusal == Some(Refusal::BackendRefused);
-        let time_left = self.now < call.deadline;
-        let decided = next_step(&Attempt {
+        let in_time = self.now < call.deadline;
+        let policy_step = next_step(&Attempt {
             verdict: match refusal {
                 Some(_) => Verdict::NotRun,
                 None => Verdict::Ran,
@@ -137,12 +137,12 @@
             reroutes: call.attempts.reroutes,
             attempts_left: call.attempts.attempts_left,
             attempts_needed: 1,
-            has_time_left: time_left,
+            has_time_left: in_time,
         });
         let step = if backend_refused {
-            step_after_backend_refusal(call.attempts.backend_refusals, time_left)
+            step_after_backend_refusal(call.attempts.backend_refusals, in_time)
         } else {
-            decided
+            policy_step
         };
         if backend_refused && !self.experiment.is_enabled(Mechanism::SendingAgain) {
             return false;
--- a/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
@@ -118,10 +118,10 @@
     first_sent: Now,
     attempts: u32,
     max_attempts: u32,
-    impatient: bool,
+    is_impatient: bool,
     request: RequestFingerprint,
     /// Whether its request crashes backend servers.
-    crashes: bool,
+    crashes_backends: bool,
 }
 
 /// An execution of a request at a backend server.
--- a/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
@@ -16,10 +16,10 @@
         let kind = &self.kinds[call.kind];
         let owner = self.first_daemons[kind.service] + call.attempts.instance;
         let is_cross_domain = self.domain_of(call.forwarder) != self.domain_of(owner);
-        let services = &mut self.outcome.services[kind.service];
-        services.cross_domain += u64::from(is_cross_domain);
-        services.arrived += 1;
-        services.repeated += u64::from(call.attempts.sends > 1 || call.repeated);
+        let service_outcome = &mut self.outcome.services[kind.service];
+        service_outcome.cross_domain += u64::from(is_cross_domain);
+        service_outcome.arrived += 1;
+        service_outcome.repeated += u64::from(call.attempts.sends > 1 || call.repeated);
         let is_call = self.experiment.learns_calls.then(|| {
             let origin = &self.service_names[self.service_by_daemon[call.forwarder]];
             let daemon = &mut self.daemons[owner];
@@ -87,20 +87,20 @@
         let call = &self.calls[&id];
         let kind = &self.kinds[call.kind];
         let spec = self.experiment.services.values().nth(kind.service);
-        let at = daemon - self.first_daemons[kind.service];
+        let index = daemon - self.first_daemons[kind.service];
         let speeds = spec.map_or(&[][..], |spec| &spec.speeds);
         let speed = match speeds.len() {
             0 => 1.0,
-            count => speeds[at % count],
+            count => speeds[index % count],
         };
         let usage = f64::from(self.daemons[daemon].gate.in_flight())
             / f64::from(self.topology.slots[kind.service]);
         let above_knee = spec.filter(|spec| usage > spec.knee);
-        let knee = above_knee.map_or(1.0, |spec| spec.knee_times);
+        let knee_slowdown = above_knee.map_or(1.0, |spec| spec.knee_times);
         // The variable part of the execution time is exponentially distributed.
         let variation = kind.spread.min(1.0);
         let random = 1.0 - variation - variation * (1.0 - self.rng.f64()).ln();
-        let work = kind.work.mul_f64(random * slowdown * knee / speed);
+        let work = kind.work.mul_f64(random * slowdown * knee_slowdown / speed);
         let work_step = work / (kind.calls.len() as u32 + 1);
         let (level, repeated) = (call.level, call.repeated);
         let (kind_index, deadline) = (call.kind, call.deadline);
@@ -160,7 +160,7 @@
         if self.now >= call.deadline {
             return self.finish_run(id, CallResult::DeadlineExceeded);
         }
-        if call.caller.crashes && call.parent.is_none() {
+        if call.caller.crashes_backends && call.parent.is_none() {
             let daemon = run.daemon;
             return self.crash_backend(daemon);
         }
@@ -169,7 +169,7 @@
             return self.finish_run(id, CallResult::Answered);
         };
         run.next_call += 1;
-        let forward_nested = Call {
+        let nested_call = Call {
             kind: next,
             forwarder: run.daemon,
             parent: Some(id),
@@ -181,7 +181,7 @@
             deadline: call.deadline.min(self.now + self.kinds[next].deadline),
             attempts: AttemptState::default(),
         };
-        self.forward_nested(forward_nested);
+        self.forward_nested(nested_call);
     }
 
     /// Ends a run and releases its slot.
@@ -227,10 +227,10 @@
             return self.kinds[kind].distinct_calls.clone();
         }
         let known = self.daemons[daemon].known_calls(&self.kind_names[kind]);
-        let places = known
+        let indexes = known
             .iter()
             .filter_map(|name| self.kind_names.binary_search(name).ok());
-        places.collect()
+        indexes.collect()
     }
 
     /// Sends the owner's answer back to the forwarder.
@@ -245,9 +245,9 @@
         };
         let is_call = self.daemons[owner].is_called_kind(&self.kind_names[kind], &self.vm_shares);
         let gate = &mut self.daemons[owner].gate;
-        let own = gate.threshold(self.now);
+        let own_threshold = gate.threshold(self.now);
         let context = AnswerContext {
-            threshold: own.max(max_called_level),
+            threshold: own_threshold.max(max_called_level),
             load: gate.load_percent(self.now),
             is_call,
         };
--- a/crates/sorrelturn-bench/src/experiment/table.rs
+++ b/crates/sorrelturn-bench/src/experiment/table.rs
@@ -61,20 +61,20 @@
 }
 
 fn percentages(counts: &Counts) -> String {
-    let of = |part: u32| percent(f64::from(part), f64::from(counts.requested));
+    let percent_of = |count: u32| percent(f64::from(count), f64::from(counts.requested));
     [
-        of(counts.good),
-        of(counts.late),
-        of(counts.refused),
-        of(counts.refused_again),
-        of(counts.failed),
+        percent_of(counts.good),
+        percent_of(counts.late),
+        percent_of(counts.refused),
+        percent_of(counts.refused_again),
+        percent_of(counts.failed),
     ]
     .join(" | ")
 }
 
-fn percent(part: f64, whole: f64) -> String {
+fn percent(count: f64, whole: f64) -> String {
     if whole == 0.0 {
         return "-".to_owned();
     }
-    format!("{:.1}", part * 100.0 / whole)
+    format!("{:.1}", count * 100.0 / whole)
 }
--- a/crates/sorrelturn-bench/src/retry_simulation.rs
+++ b/crates/sorrelturn-bench/src/retry_simulation.rs
@@ -156,8 +156,8 @@
 pub const PRODUCT_POLICY: RetryPolicy = RetryPolicy {
     name: "product",
     retry_after_rule: || {
-        let mut refusing = RefusalStreak::default();
-        Box::new(move |refused, rng| refusing.record_refusal(refused.now, rng))
+        let mut refusal_streak = RefusalStreak::default();
+        Box::new(move |refused, rng| refusal_streak.record_refusal(refused.now, rng))
     },
     retry_bucket: bucket_for_retry,
 };
@@ -210,7 +210,7 @@
     /// When the current attempt was sent.
     sent: Now,
     tries: u32,
-    after_wait: bool,
+    waited_retry_after: bool,
     level: u16,
 }
 
@@ -221,7 +221,7 @@
     CallArrival(Request),
     QueueTimeout(usize, u64),
     CallDone(usize, u64, Duration),
-    /// The answer arrives, with the learned level and whether the request was served.
+    /// The answer arrives, with the threshold of the gate and whether the request was served.
     Answered(Request, u16, bool),
 }
 
@@ -348,7 +348,7 @@
             first_sent: self.now,
             sent: self.now,
             tries: 1,
-            after_wait: false,
+            waited_retry_after: false,
             level: 0,
         }
     }
@@ -369,7 +369,7 @@
             counts.requested += u32::from(is_first_attempt);
             counts.by_client.entry(req.client).or_default().0 += u32::from(is_first_attempt);
             counts.retried += u32::from(!is_first_attempt);
-            counts.retried_after_wait += u32::from(req.after_wait);
+            counts.retried_after_wait += u32::from(req.waited_retry_after);
         });
         let entry = &mut self.entries[req.entry][req.kind];
         let mut bucket = req.bucket;
@@ -404,7 +404,7 @@
             req.tries = 2;
             // Each attempt has its own request id, and so its own shedding bucket.
             req.bucket = self.rng.u8(..);
-            req.after_wait = retry_after <= left / MAX_WAIT_DIVISOR;
+            req.waited_retry_after = retry_after <= left / MAX_WAIT_DIVISOR;
             self.schedule_after(
                 retry_after.min(left / MAX_WAIT_DIVISOR),
                 Event::RequestArrival(req),
@@ -503,7 +503,7 @@
             counts.good_later += u32::from(good && !is_first_attempt);
             counts.late += u32::from(!good);
             counts.retried_served += u32::from(!is_first_attempt);
-            counts.retried_after_wait_served += u32::from(req.after_wait);
+            counts.retried_after_wait_served += u32::from(req.waited_retry_after);
         });
     }
 }
--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -184,7 +184,7 @@
                 backend.change_plan(|plan| plan.slow = slow);
             }
             progress(if is_overload(at) {
-                "overload"
+                "pressure"
             } else {
                 "normal load"
             });
