--- a/crates/sorrelturn-bench/src/baseline.rs
+++ b/crates/sorrelturn-bench/src/baseline.rs
@@ -1,5 +1,5 @@
-//! The baselines: what a team has without sorrelturn. Every hop goes straight to a random
-//! instance and retries on failure, without a limit or with a fixed one.
+//! The baselines for comparison, without sorrelturn: every hop calls a random instance and retries on
+//! failure, with or without a fixed concurrency limit.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -22,28 +22,26 @@
 
 use crate::client::Client;
 
-/// How often a hop tries a call.
-const TRIES: u32 = 3;
-/// The longest time for one try.
-const TRY_TIME: Duration = Duration::from_secs(2);
+const MAX_ATTEMPTS: u32 = 3;
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Which baseline.
+/// The kinds of baselines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
-    /// Every call is passed through.
+    /// Every call is passed on.
     PassThrough,
-    /// An instance takes as many calls at once as it has slots and half as many waiting, and
-    /// refuses the rest.
+    /// An instance accepts one and a half times as many concurrent calls as it has slots, and refuses the
+    /// rest.
     FixedLimits,
 }
 
 struct Target {
     client: Client,
     in_flight: AtomicUsize,
-    most: usize,
+    max_in_flight: usize,
 }
 
-/// One proxy that stands for all: it knows every backend server.
+/// A proxy that knows every backend server. One instance serves all callers.
 #[derive(Clone)]
 pub struct Baseline {
     bundle: Arc<Bundle>,
@@ -52,7 +50,7 @@
 }
 
 impl Baseline {
-    /// A proxy without backend servers.
+    /// Creates a proxy without backend servers.
     pub fn new(kind: BaselineKind, bundle: Bundle) -> Self {
         Self {
             bundle: Arc::new(bundle),
@@ -61,13 +59,13 @@
         }
     }
 
-    /// Adds a backend server.
-    pub fn add(&self, ex: &Arc<Executor<'static>>, service: &str, addr: SocketAddr) {
+    /// Adds a backend server of a service.
+    pub fn add_backend(&self, ex: &Arc<Executor<'static>>, service: &str, addr: SocketAddr) {
         let slots = self.bundle.service(service).map_or(1, |s| s.slots as usize);
         let target = Target {
             client: Client::new(Arc::clone(ex), addr),
             in_flight: AtomicUsize::new(0),
-            most: match self.kind {
+            max_in_flight: match self.kind {
                 BaselineKind::PassThrough => usize::MAX,
                 BaselineKind::FixedLimits => slots + slots / 2,
             },
@@ -79,7 +77,7 @@
             .push(Arc::new(target));
     }
 
-    /// Serves callers and backend servers alike until the task is dropped.
+    /// Serves callers and nested calls until the task is dropped.
     pub async fn serve(self, ex: Arc<Executor<'static>>, listener: TcpListener) {
         loop {
             let Ok((tcp, _)) = listener.accept().await else {
@@ -109,11 +107,11 @@
             .bundle
             .match_kind(parts.method.as_str(), parts.uri.path());
         let Some(kind) = kind else {
-            return Ok(status(StatusCode::NOT_FOUND));
+            return Ok(empty_response(StatusCode::NOT_FOUND));
         };
-        let mut answer = status(StatusCode::BAD_GATEWAY);
-        for _ in 0..TRIES {
-            let Some(target) = self.pick(&kind.service) else {
+        let mut answer = empty_response(StatusCode::BAD_GATEWAY);
+        for _ in 0..MAX_ATTEMPTS {
+            let Some(target) = self.random_target(&kind.service) else {
                 break;
             };
             let mut req = Request::new(body.clone());
@@ -128,7 +126,7 @@
         Ok(answer)
     }
 
-    fn pick(&self, service: &str) -> Option<Arc<Target>> {
+    fn random_target(&self, service: &str) -> Option<Arc<Target>> {
         let targets = self.targets.lock().unwrap_or_else(PoisonError::into_inner);
         let targets = targets.get(service)?;
         targets.get(fastrand::usize(..targets.len())).cloned()
@@ -137,38 +135,38 @@
 
 impl Target {
     async fn call(&self, req: Request<Bytes>) -> Response<Full<Bytes>> {
-        let _counted = Counted::new(&self.in_flight);
-        if self.in_flight.load(Ordering::Relaxed) > self.most {
-            return status(StatusCode::SERVICE_UNAVAILABLE);
+        let _guard = InFlightGuard::new(&self.in_flight);
+        if self.in_flight.load(Ordering::Relaxed) > self.max_in_flight {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
-        match self.client.send_within(req, None, TRY_TIME).await {
+        match self.client.send_within(req, None, ATTEMPT_TIMEOUT).await {
             Ok(answer) => {
                 let mut res = Response::new(Full::new(answer.body));
                 *res.status_mut() = answer.status.try_into().unwrap_or_default();
                 res
             }
-            Err(_) => status(StatusCode::BAD_GATEWAY),
+            Err(_) => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 }
 
-/// Counts a call while it lives; calls are dropped when their caller goes away.
-struct Counted<'a>(&'a AtomicUsize);
+/// Counts a call until it is dropped, also when its caller disconnects.
+struct InFlightGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Counted<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(count: &'a AtomicUsize) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-fn status(code: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(code: StatusCode) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = code;
     res
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon of an experiment: what it has learnt, on the product's own policy code.
+//! A simulated daemon. Its decisions are made by the product's policy code.
 
 use super::file::{Experiment, Mechanism};
 use fastrand::Rng;
@@ -13,68 +13,68 @@
     time::Duration,
 };
 
-/// The waits of the product's gates, where calls have a wait of their own.
-const QUEUE_WAIT: Duration = Duration::from_millis(100);
-const CALL_WAIT: Duration = Duration::from_millis(250);
-/// The window of the bound on retries, the part of its slack that the product uses, and the least number of
-/// daemons that share it.
+/// The queue timeouts of the product's gates: for root requests, and for nested calls.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
+const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The window of the retry limit.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
-const SLACK_USED: f64 = 0.5;
-const LEAST_SHARERS: usize = 12;
+/// The fraction of the configured retry slack that is shared out among the daemons.
+const SLACK_FRACTION: f64 = 0.5;
+/// The slack is divided by at least this number of daemons.
+const MIN_SHARING_DAEMONS: usize = 12;
 
-/// What a daemon has learnt about one kind.
+/// A daemon's state for one kind of request.
 struct KindState {
     threshold: LearnedThreshold,
-    first_tries: RetryDetector,
-    refusing: RefusalStreak,
-    /// What answers told of it: whether its requests are calls.
+    retry_detector: RetryDetector,
+    refusal_streak: RefusalStreak,
+    /// Whether answers report requests of this kind as nested calls.
     is_call: bool,
     was_answered: bool,
 }
 
-/// How far apart the same end may seem: it travels in whole milliseconds.
-const SAME_END: Duration = Duration::from_millis(4);
+/// Deadlines this close count as the same one, since they are sent in whole milliseconds.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
-/// A request that the backend server works on.
-struct AtWork {
+/// A request in progress at the backend server.
+struct RunningRequest {
     kind: usize,
     deadline: Now,
 }
 
-/// What a daemon knows of one instance.
-struct Route {
+/// A daemon's statistics of one instance.
+struct InstanceState {
     stats: Instance,
 }
 
-/// A daemon with the gate before its backend server.
+/// A daemon with the gate in front of its backend server.
 pub(super) struct Daemon {
     kinds: Vec<KindState>,
-    /// For each service, its instances.
-    routes: Vec<Vec<Route>>,
-    /// For each service.
+    /// The instances, by service index.
+    instances_by_service: Vec<Vec<InstanceState>>,
+    /// The retry windows, by service index.
     retries: Vec<RetryWindow>,
     pub(super) gate: Gate,
-    /// When its processor is free.
-    free_at: Now,
-    /// What the backend server works on.
-    pub(super) worked_on: InProgressRequests,
-    /// The same one by one, by the ids of the runs.
-    at_work: BTreeMap<u64, AtWork>,
+    processor_free_at: Now,
+    /// The totals of the requests in progress at the backend server.
+    pub(super) in_progress: InProgressRequests,
+    /// The requests in progress, by run id.
+    running_requests: BTreeMap<u64, RunningRequest>,
     graph: CallGraph,
     origins: RequestOrigins,
 }
 
-/// Where the instances of the services stand.
-pub(super) struct Site {
+/// The instances of all services and their failure domains.
+pub(super) struct Topology {
     /// For each service, the failure domain of each instance.
     pub(super) domains: Vec<Vec<usize>>,
     pub(super) slots: Vec<u32>,
-    pub(super) daemons: usize,
+    pub(super) daemon_count: usize,
 }
 
-/// What an answer tells besides the answer.
+/// The metadata that an answer carries.
 #[derive(Clone, Copy)]
-pub(super) struct Told {
+pub(super) struct AnswerContext {
     pub(super) threshold: Priority,
     pub(super) load: u16,
     pub(super) is_call: bool,
@@ -83,50 +83,59 @@
 impl Daemon {
     pub(super) fn new(
         experiment: &Experiment,
-        site: &Site,
+        topology: &Topology,
         service: usize,
         domain: usize,
         now: Now,
     ) -> Self {
-        let near_first = experiment.is_on(Mechanism::NearFirst);
-        let routes = site.domains.iter().enumerate().map(|(service, domains)| {
-            let instances = domains.iter().enumerate().map(|(at, its)| {
-                let near = !near_first || *its == domain;
-                Route {
-                    stats: Instance::new(incarnation(service, at), near, Duration::ZERO, now),
-                }
+        let near_first = experiment.is_enabled(Mechanism::NearFirst);
+        let instances_by_service = topology
+            .domains
+            .iter()
+            .enumerate()
+            .map(|(service, domains)| {
+                let instances = domains.iter().enumerate().map(|(index, instance_domain)| {
+                    let in_same_domain = !near_first || *instance_domain == domain;
+                    InstanceState {
+                        stats: Instance::new(
+                            incarnation(service, index),
+                            in_same_domain,
+                            Duration::ZERO,
+                            now,
+                        ),
+                    }
+                });
+                instances.collect()
             });
-            instances.collect()
-        });
-        let sharers = site.daemons.max(LEAST_SHARERS) as f64;
+        let sharing_daemons = topology.daemon_count.max(MIN_SHARING_DAEMONS) as f64;
         let ratio = experiment.retries.ratio;
-        let slack = experiment.retries.slack * SLACK_USED / sharers;
+        let slack = experiment.retries.slack * SLACK_FRACTION / sharing_daemons;
         let cfg = GateConfig {
-            slots: site.slots[service],
-            queue_len: site.slots[service],
-            queue_timeout: QUEUE_WAIT,
+            slots: topology.slots[service],
+            queue_len: topology.slots[service],
+            queue_timeout: QUEUE_TIMEOUT,
             cold_start: Duration::ZERO,
-            call_queue_timeout: Some(CALL_WAIT),
+            call_queue_timeout: Some(CALL_QUEUE_TIMEOUT),
         };
         Self {
             kinds: experiment.kinds.iter().map(|_| KindState::new()).collect(),
-            routes: routes.collect(),
-            retries: site
+            instances_by_service: instances_by_service.collect(),
+            retries: topology
                 .domains
                 .iter()
                 .map(|_| RetryWindow::new(RETRY_WINDOW, ratio, slack))
                 .collect(),
             gate: Gate::new(cfg, now),
-            free_at: now,
-            worked_on: InProgressRequests::default(),
-            at_work: BTreeMap::new(),
+            processor_free_at: now,
+            in_progress: InProgressRequests::default(),
+            running_requests: BTreeMap::new(),
             graph: CallGraph::default(),
             origins: RequestOrigins::default(),
         }
     }
 
-    /// The backend server is handed a request.
-    pub(super) fn begins(
+    /// Records that the backend server starts a request.
+    pub(super) fn begin_execution(
         &mut self,
         run: u64,
         kind: usize,
@@ -134,102 +143,104 @@
         level: u16,
         repeated: bool,
     ) {
-        self.worked_on.begin(level, repeated);
-        self.at_work.insert(run, AtWork { kind, deadline });
+        self.in_progress.begin(level, repeated);
+        self.running_requests
+            .insert(run, RunningRequest { kind, deadline });
     }
 
-    /// It is done with one.
-    pub(super) fn is_done(&mut self, run: u64, level: u16, repeated: bool) {
-        self.worked_on.end(level, repeated);
-        self.at_work.remove(&run);
+    /// Records that the backend server has finished a request.
+    pub(super) fn end_execution(&mut self, run: u64, level: u16, repeated: bool) {
+        self.in_progress.end(level, repeated);
+        self.running_requests.remove(&run);
     }
 
-    /// Learns from a finished request what its kind calls.
-    pub(super) fn learns_calls_of(&mut self, name: &str, took: Duration) {
+    /// Learns from a finished request which kinds its kind calls.
+    pub(super) fn learn_calls(&mut self, name: &str, took: Duration) {
         self.graph.record_end(name, took);
     }
 
-    /// What a kind is known to call.
-    pub(super) fn calls_of(&self, name: &str) -> &[String] {
+    /// The kinds that a kind is known to call.
+    pub(super) fn known_calls(&self, name: &str) -> &[String] {
         self.graph.calls(name)
     }
 
-    /// Whether a kind is known to call nothing.
-    pub(super) fn calls_nothing(&self, name: &str) -> bool {
+    /// Whether a kind is known to make no calls.
+    pub(super) fn is_leaf(&self, name: &str) -> bool {
         self.graph.is_leaf(name)
     }
 
-    /// The backend server makes a call that is known as one.
-    pub(super) fn called(&mut self, names: &[String], child: usize, end: Now) {
+    /// Records a nested call of the backend server, with the requests in progress that may have made it.
+    pub(super) fn record_call(&mut self, names: &[String], child: usize, deadline: Now) {
         let mut groups: BTreeMap<(usize, bool), u32> = BTreeMap::new();
-        for at_work in self.at_work.values() {
-            let same_end = at_work.deadline.abs_diff(end) <= SAME_END;
-            if same_end || at_work.deadline > end {
-                *groups.entry((at_work.kind, same_end)).or_default() += 1;
+        for running in self.running_requests.values() {
+            let same_deadline = running.deadline.abs_diff(deadline) <= DEADLINE_TOLERANCE;
+            if same_deadline || running.deadline > deadline {
+                *groups.entry((running.kind, same_deadline)).or_default() += 1;
             }
         }
         let candidates = groups
             .into_iter()
-            .map(|((kind, same_end), count)| Candidate {
+            .map(|((kind, same_deadline), count)| Candidate {
                 kind: names[kind].clone(),
-                has_same_deadline: same_end,
+                has_same_deadline: same_deadline,
                 count,
             });
         let candidates: Vec<Candidate> = candidates.collect();
         self.graph.record_call(&names[child], &candidates);
     }
 
-    /// A request of a kind came from the VM of a service.
-    pub(super) fn comes_from(&mut self, name: &str, service: &str) {
+    /// Records that a request of a kind arrived from a VM of a service.
+    pub(super) fn record_origin(&mut self, name: &str, service: &str) {
         self.origins.record(name, service);
     }
 
-    /// Whether requests of a kind are calls, as seen where they are answered.
-    pub(super) fn are_calls(&self, name: &str, shares: &BTreeMap<String, f64>) -> bool {
+    /// Whether requests of a kind are nested calls, judged by where they come from.
+    pub(super) fn is_called_kind(&self, name: &str, shares: &BTreeMap<String, f64>) -> bool {
         let share_of = |service: &str| shares.get(service).copied().unwrap_or(1.0);
         self.origins.are_calls(name, shares.len(), share_of)
     }
 
-    /// Whether requests of a kind are calls, as answers told.
-    pub(super) fn is_call(&self, kind: usize) -> bool {
+    /// Whether answers reported requests of a kind as nested calls.
+    pub(super) fn is_reported_as_call(&self, kind: usize) -> bool {
         self.kinds[kind].is_call
     }
 
-    /// How many lower importances the root requests have that were answered, and how many they have in all.
+    /// Among the importances of answered root requests: how many are lower than that of `kind`, and how many
+    /// there are.
     pub(super) fn known_rank(&self, importances: &[Importance], kind: usize) -> (usize, usize) {
         let known = self.kinds.iter().zip(importances);
-        let of_roots: Vec<Importance> = known
+        let root_importances: Vec<Importance> = known
             .filter(|(state, _)| state.was_answered && !state.is_call)
             .map(|(_, importance)| *importance)
             .collect();
-        rank_of(importances[kind], &of_roots)
+        rank_of(importances[kind], &root_importances)
     }
 
-    /// The processor takes so long for a side of a hop; returns when it is done.
-    pub(super) fn works(&mut self, now: Now, takes: Duration) -> Now {
-        let lag = self.free_at.saturating_sub(now);
-        if !takes.is_zero() {
+    /// Occupies the processor for one side of a hop. Returns the time at which it is done.
+    pub(super) fn occupy_processor(&mut self, now: Now, duration: Duration) -> Now {
+        let lag = self.processor_free_at.saturating_sub(now);
+        if !duration.is_zero() {
             self.gate.report_lag(lag);
         }
-        self.free_at = now.max(self.free_at) + takes;
-        self.free_at
+        self.processor_free_at = now.max(self.processor_free_at) + duration;
+        self.processor_free_at
     }
 
-    /// The level that was learnt for a kind with all that it calls.
-    pub(super) fn level(&self, now: Now, kind: usize) -> u16 {
+    /// The shedding level learned for a kind, including the kinds that it calls.
+    pub(super) fn shedding_level(&self, now: Now, kind: usize) -> u16 {
         self.kinds[kind].threshold.current(now).0
     }
 
-    /// The highest level of some kinds.
-    pub(super) fn level_of(&self, now: Now, kinds: &[usize]) -> Priority {
+    /// The highest learned shedding level of `kinds`.
+    pub(super) fn max_shedding_level(&self, now: Now, kinds: &[usize]) -> Priority {
         let levels = kinds
             .iter()
             .map(|kind| self.kinds[*kind].threshold.current(now));
         levels.max().unwrap_or_default()
     }
 
-    /// Whether a root request is refused; `left` is what its caller says that it will still wait.
-    pub(super) fn refuses(
+    /// Whether a root request is refused. `left` is the time that its caller will still wait.
+    pub(super) fn refuses_request(
         &mut self,
         experiment: &Experiment,
         now: Now,
@@ -238,14 +249,14 @@
         bucket: u8,
         left: Duration,
     ) -> bool {
-        if !experiment.is_on(Mechanism::EntryAdmission) {
+        if !experiment.is_enabled(Mechanism::EntryAdmission) {
             return false;
         }
-        let level = self.level(now, kind);
+        let level = self.shedding_level(now, kind);
         let was_tried = self.kinds[kind]
-            .first_tries
+            .retry_detector
             .observe(left.as_millis() as u32);
-        let bucket = if was_tried && experiment.is_on(Mechanism::ReturnOrder) {
+        let bucket = if was_tried && experiment.is_enabled(Mechanism::ReturnOrder) {
             bucket_for_retry(bucket, rank.0)
         } else {
             bucket
@@ -253,22 +264,22 @@
         refuses(level, rank.0, rank.1, bucket)
     }
 
-    /// When a refused caller is told to come back.
-    pub(super) fn come_back(
+    /// The Retry-After time for a refused caller.
+    pub(super) fn retry_after(
         &mut self,
         experiment: &Experiment,
         now: Now,
         kind: usize,
         rng: &mut Rng,
     ) -> Duration {
-        if experiment.is_on(Mechanism::ReturnTime) {
-            return self.kinds[kind].refusing.record_refusal(now, rng);
+        if experiment.is_enabled(Mechanism::ReturnTime) {
+            return self.kinds[kind].refusal_streak.record_refusal(now, rng);
         }
         RetryAfter::compute(None, rng)
     }
 
-    /// Picks an instance of a service.
-    pub(super) fn pick(
+    /// Chooses an instance of a service that isn't in `tried`.
+    pub(super) fn choose_instance(
         &self,
         experiment: &Experiment,
         now: Now,
@@ -276,42 +287,45 @@
         tried: &[Incarnation],
         rng: &mut Rng,
     ) -> Option<usize> {
-        let instances = &self.routes[service];
-        if experiment.is_on(Mechanism::ChoiceByLoad) {
+        let instances = &self.instances_by_service[service];
+        if experiment.is_enabled(Mechanism::ChoiceByLoad) {
             let stats = instances.iter().map(|route| &route.stats);
             return choose(stats, now, tried, rng);
         }
-        let open: Vec<usize> = (0..instances.len())
-            .filter(|at| !tried.contains(&instances[*at].stats.incarnation))
+        let untried: Vec<usize> = (0..instances.len())
+            .filter(|index| !tried.contains(&instances[*index].stats.incarnation))
             .collect();
-        rng.choice(open)
+        rng.choice(untried)
     }
 
-    /// A call goes out to an instance.
-    pub(super) fn starts(&self, service: usize, at: usize) {
-        self.routes[service][at].stats.started();
+    /// Records that a call is sent to an instance.
+    pub(super) fn begin_call(&self, service: usize, index: usize) {
+        self.instances_by_service[service][index].stats.started();
     }
 
-    /// A call is over.
-    pub(super) fn ends(&self, now: Now, service: usize, at: usize, report: InstanceReport) {
-        self.routes[service][at].stats.finished(now, report);
+    /// Records the end of a call to an instance.
+    pub(super) fn end_call(&self, now: Now, service: usize, index: usize, report: InstanceReport) {
+        self.instances_by_service[service][index]
+            .stats
+            .finished(now, report);
     }
 
-    /// Learns what an answer tells.
-    pub(super) fn learns(&mut self, now: Now, kind: usize, told: &Told) {
+    /// Learns from the metadata of an answer.
+    pub(super) fn record_answer(&mut self, now: Now, kind: usize, context: &AnswerContext) {
         let state = &mut self.kinds[kind];
-        state.threshold.observe(now, told.threshold);
-        state.is_call = told.is_call;
+        state.threshold.observe(now, context.threshold);
+        state.is_call = context.is_call;
         state.was_answered = true;
     }
 
-    /// A call is sent to a service for the first time; the part of those that may make it is run once more.
-    pub(super) fn sends(&mut self, now: Now, service: usize, repeated: f64) {
+    /// Records the first attempt of a call to a service. `repeated` is the fraction of its possible parents that
+    /// are retries.
+    pub(super) fn record_first_attempt(&mut self, now: Now, service: usize, repeated: f64) {
         self.retries[service].record_call_of_repeat(now, repeated);
     }
 
-    /// Takes the price of another sending to a service, if it is there.
-    pub(super) fn pays_retry(&mut self, now: Now, service: usize) -> bool {
+    /// Whether the retry limit allows another attempt at a service. If so, the attempt is counted.
+    pub(super) fn try_retry(&mut self, now: Now, service: usize) -> bool {
         self.retries[service].try_retry(now)
     }
 }
@@ -320,23 +334,23 @@
     fn new() -> Self {
         Self {
             threshold: LearnedThreshold::for_shedding_level(),
-            first_tries: RetryDetector::default(),
-            refusing: RefusalStreak::default(),
+            retry_detector: RetryDetector::default(),
+            refusal_streak: RefusalStreak::default(),
             is_call: false,
             was_answered: false,
         }
     }
 }
 
-/// An instance's name for the choice.
-pub(super) fn incarnation(service: usize, at: usize) -> Incarnation {
-    Incarnation((service as u64) << 32 | (at as u64 + 1))
+/// The incarnation that identifies an instance in the choice of instances.
+pub(super) fn incarnation(service: usize, index: usize) -> Incarnation {
+    Incarnation((service as u64) << 32 | (index as u64 + 1))
 }
 
-/// How many lower importances root requests have, and how many in all.
-pub(super) fn rank_of(importance: Importance, of_roots: &[Importance]) -> (usize, usize) {
+/// Among the importances of root requests: how many are lower than `importance`, and how many there are.
+pub(super) fn rank_of(importance: Importance, root_importances: &[Importance]) -> (usize, usize) {
     let mut known: HashMap<Importance, ()> = HashMap::new();
-    for root in of_roots {
+    for root in root_importances {
         known.insert(*root, ());
     }
     let lower = known.keys().filter(|other| **other < importance).count();
--- a/crates/sorrelturn-bench/src/experiment/play/faults.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/faults.rs
@@ -1,23 +1,24 @@
-//! What goes wrong, as the file says, and how much arrives.
+//! The faults and the load of the experiment file at the current time.
 
-use super::{Call, Play, seconds};
+use super::{Call, Simulation, seconds};
 use crate::experiment::file::FaultSpec;
 
-impl Play<'_> {
-    /// How much arrives now, as a multiple of the usual, and in clumps of how many.
-    pub(super) fn load(&self) -> (f64, u32) {
+impl Simulation<'_> {
+    /// The current load as a multiple of the normal load, and the number of requests that arrive at once.
+    pub(super) fn current_load(&self) -> (f64, u32) {
         let now = self.now.as_secs_f64();
         let mut load = (1.0, 1);
-        for stretch in &self.experiment.load {
-            if (stretch.from_s..stretch.to_s).contains(&now) {
-                load.0 *= stretch.times;
-                load.1 = load.1.max(stretch.clumps_of);
+        for interval in &self.experiment.load {
+            if (interval.from_s..interval.to_s).contains(&now) {
+                load.0 *= interval.times;
+                load.1 = load.1.max(interval.clumps_of);
             }
         }
         load
     }
 
-    pub(super) fn repeats(&self) -> Option<(f64, u32)> {
+    /// The current share of impatient callers and their additional attempts.
+    pub(super) fn impatience(&self) -> Option<(f64, u32)> {
         let now = self.now.as_secs_f64();
         self.experiment.faults.iter().find_map(|fault| match fault {
             FaultSpec::Repeats {
@@ -31,23 +32,23 @@
     }
 
     pub(super) fn is_lost(&self, daemon: usize) -> bool {
-        let service = self.service_of[daemon];
-        let at = daemon - self.first[service];
+        let service = self.service_by_daemon[daemon];
+        let index = daemon - self.first_daemons[service];
         let name = &self.outcome.services[service].service;
         let now = self.now.as_secs_f64();
         self.experiment.faults.iter().any(|fault| {
             matches!(fault, FaultSpec::Lost { service, instances, from_s, to_s }
-                if service == name && at < *instances && (*from_s..*to_s).contains(&now))
+                if service == name && index < *instances && (*from_s..*to_s).contains(&now))
         })
     }
 
-    /// How much slower an instance works, and which share it turns away.
-    pub(super) fn faults_of(&self, daemon: usize) -> (f64, f64) {
-        let service = self.service_of[daemon];
-        let at = daemon - self.first[service];
+    /// The slowdown factor of a backend server and the share of requests that it refuses.
+    pub(super) fn backend_faults(&self, daemon: usize) -> (f64, f64) {
+        let service = self.service_by_daemon[daemon];
+        let index = daemon - self.first_daemons[service];
         let name = &self.outcome.services[service].service;
         let now = self.now.as_secs_f64();
-        let (mut slower, mut turned_away) = (1.0, 0.0);
+        let (mut slowdown, mut refused_share) = (1.0, 0.0);
         for fault in &self.experiment.faults {
             match fault {
                 FaultSpec::Slow {
@@ -56,35 +57,35 @@
                     times,
                     from_s,
                     to_s,
-                } if service == name && at < *instances && (*from_s..*to_s).contains(&now) => {
-                    slower *= times;
+                } if service == name && index < *instances && (*from_s..*to_s).contains(&now) => {
+                    slowdown *= times;
                 }
                 FaultSpec::TurnsAway {
                     service,
                     share,
                     from_s,
                     to_s,
-                } if service == name && (*from_s..*to_s).contains(&now) => turned_away = *share,
+                } if service == name && (*from_s..*to_s).contains(&now) => refused_share = *share,
                 FaultSpec::RestartAll {
                     at_s,
                     for_s,
                     cold_s,
                     cold_times,
-                } if (*at_s..at_s + for_s + cold_s).contains(&now) => slower *= cold_times,
+                } if (*at_s..at_s + for_s + cold_s).contains(&now) => slowdown *= cold_times,
                 _ => {}
             }
         }
-        (slower, turned_away)
+        (slowdown, refused_share)
     }
 
-    /// All daemons end, with whatever they carry, and know nothing when they are back.
+    /// Restarts all daemons. Calls in flight fail and learned state is lost.
     pub(super) fn restart(&mut self) {
         let now = self.now.as_secs_f64();
         for fault in &self.experiment.faults {
             if let FaultSpec::RestartAll { at_s, for_s, .. } = fault
                 && *at_s <= now
             {
-                self.taken_from = self.taken_from.max(seconds(at_s + for_s));
+                self.accepts_from = self.accepts_from.max(seconds(at_s + for_s));
             }
         }
         self.runs.clear();
@@ -93,10 +94,10 @@
             .into_iter()
             .filter(|(_, call)| call.parent.is_none())
             .collect();
-        // A map's order isn't the same in every run.
+        // The iteration order of a map differs between executions.
         roots.sort_unstable_by_key(|(id, _)| *id);
         for (_, call) in roots {
-            self.failed(call.kind, call.caller);
+            self.retry_failed(call.kind, call.caller);
         }
         self.start_daemons();
     }
--- a/crates/sorrelturn-bench/src/summary.rs
+++ b/crates/sorrelturn-bench/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a run came to: goodput, wasted work, recovery, and the counters that must be zero.
+//! The results of a run: goodput, wasted work, recovery time, and error counts that must be zero.
 
 use crate::load::Record;
 use serde::{Deserialize, Serialize};
@@ -9,22 +9,22 @@
     time::Duration,
 };
 
-/// The width of the windows in which recovery is looked for.
-const WINDOW: Duration = Duration::from_millis(250);
-/// A window is well if this share of its requests got a good answer.
-const WELL: f64 = 0.95;
+/// The width of the windows in which recovery is measured.
+const WINDOW_DURATION: Duration = Duration::from_millis(250);
+/// A window counts as recovered if at least this fraction of its requests got a good answer.
+const RECOVERED_FRACTION: f64 = 0.95;
 
-/// Good answers of one importance in one stretch.
+/// Good answers of one importance in one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Goodput {
-    /// Root requests that were sent.
+    /// The number of root requests sent.
     pub offered: u64,
-    /// Those that got a whole, useful answer.
+    /// The number of root requests with a complete and correct answer in time.
     pub good: u64,
 }
 
 impl Goodput {
-    /// The share of good answers, in percent.
+    /// The good answers in percent of the requests.
     pub fn percent(self) -> f64 {
         self.good as f64 * 100.0 / self.offered.max(1) as f64
     }
@@ -33,103 +33,104 @@
 /// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// Which system carried the load.
+    /// The name of the system under load.
     pub system: String,
-    /// Before the pressure, by importance.
+    /// Results before the overload, by importance.
     pub before: BTreeMap<String, Goodput>,
-    /// Under pressure, by importance.
+    /// Results during the overload, by importance.
     pub under: BTreeMap<String, Goodput>,
-    /// Good answers a second before the pressure and under it.
+    /// Good answers per second before the overload.
     pub goodput_before: f64,
-    /// As above, under pressure.
+    /// Good answers per second during the overload.
     pub goodput_under: f64,
-    /// The most good answers a second under pressure that the slots allow, importance first.
+    /// The maximum good answers per second that the slots allow during the overload.
     pub best_under: f64,
-    /// Seconds from the end of a pressure until requests are well again, the worst.
+    /// The longest time from the end of an overload to recovery, in seconds.
     pub recovery_s: f64,
     /// Executions at backend servers.
     pub executions: u64,
-    /// Executions that no good answer came of, in percent.
+    /// Executions that didn't contribute to a good answer, in percent.
     pub wasted_percent: f64,
-    /// Sent requests for each root request.
+    /// The mean number of attempts of a root request.
     pub tries_per_request: f64,
     /// Keys of at-most-once kinds that ran more than once.
     pub double_runs: u64,
-    /// Answers that were another caller's or cut and given as whole.
+    /// Answers that belonged to another caller, or were truncated but presented as complete.
     pub wrong_answers: u64,
-    /// Failed requests by stretch, kind, last status and reason.
+    /// Failed requests by phase, kind, last status and reason.
     pub failures: BTreeMap<String, u64>,
-    /// Requests all of whose tries were answered "not run" though one ran.
+    /// Requests that ran although all their attempts were answered "not run".
     pub false_not_run: u64,
 }
 
-/// What the summary needs besides the records.
-pub struct Context<'a> {
+/// The input of the summary besides the records.
+pub struct SummaryInput<'a> {
     /// The name of the system.
     pub system: &'a str,
-    /// From when to when there was pressure, since the start of the load.
-    pub pressures: &'a [Range<Duration>],
-    /// The most good answers a second under pressure that the slots allow, importance first.
-    pub best: BTreeMap<Importance, f64>,
+    /// The time ranges of the overloads, since the start of the load.
+    pub overloads: &'a [Range<Duration>],
+    /// The maximum good answers per second that the slots allow during the overload, by importance, if more
+    /// important requests go first.
+    pub max_goodput: BTreeMap<Importance, f64>,
     /// Executions at all backend servers.
     pub executions: u64,
     /// Executions by key and kind.
-    pub ran: &'a HashMap<String, u32>,
-    /// The executions that a good answer of each kind needs.
-    pub need: &'a HashMap<String, u32>,
+    pub executions_by_key: &'a HashMap<String, u32>,
+    /// The minimum number of executions for a good answer, by kind.
+    pub min_executions: &'a HashMap<String, u32>,
     /// The kinds that run at most once.
-    pub once: &'a [String],
+    pub at_most_once_kinds: &'a [String],
 }
 
-impl Context<'_> {
-    fn is_under_pressure(&self, record: &Record) -> bool {
-        self.pressures
+impl SummaryInput<'_> {
+    fn is_during_overload(&self, record: &Record) -> bool {
+        self.overloads
             .iter()
-            .any(|pressure| pressure.contains(&record.sent))
+            .any(|overload| overload.contains(&record.sent))
     }
 }
 
 impl Summary {
-    /// Sums a run up.
-    pub fn of(records: &[Record], cx: &Context) -> Self {
-        let begin = cx
-            .pressures
+    /// Summarizes the records of a run.
+    pub fn from_records(records: &[Record], input: &SummaryInput) -> Self {
+        let begin = input
+            .overloads
             .first()
             .map_or(Duration::MAX, |first| first.start);
         let before = || records.iter().filter(|record| record.sent < begin);
         let under = || {
-            let is_under = |record: &&Record| cx.is_under_pressure(record);
-            records.iter().filter(is_under)
+            let is_during_overload = |record: &&Record| input.is_during_overload(record);
+            records.iter().filter(is_during_overload)
         };
-        let length = cx
-            .pressures
+        let length = input
+            .overloads
             .iter()
             .map(|range| range.end - range.start)
             .sum();
         let useful: u64 = records
             .iter()
             .filter(|record| record.good)
-            .map(|record| u64::from(cx.need.get(&record.kind).copied().unwrap_or(1)))
+            .map(|record| u64::from(input.min_executions.get(&record.kind).copied().unwrap_or(1)))
             .sum();
-        let wasted = cx.executions.saturating_sub(useful);
+        let wasted = input.executions.saturating_sub(useful);
         let tries: u64 = records.iter().map(|record| u64::from(record.tries)).sum();
         let per_second = |good: usize, length: Duration| good as f64 / length.as_secs_f64();
         let good = |record: &&Record| record.good;
         Self {
-            system: cx.system.to_owned(),
+            system: input.system.to_owned(),
             before: by_importance(before()),
             under: by_importance(under()),
             goodput_before: per_second(before().filter(good).count(), begin),
             goodput_under: per_second(under().filter(good).count(), length),
-            best_under: cx.best.values().sum(),
-            recovery_s: worst_recovery(records, cx).as_secs_f64(),
-            executions: cx.executions,
-            wasted_percent: wasted as f64 * 100.0 / cx.executions.max(1) as f64,
+            best_under: input.max_goodput.values().sum(),
+            recovery_s: worst_recovery(records, input).as_secs_f64(),
+            executions: input.executions,
+            wasted_percent: wasted as f64 * 100.0 / input.executions.max(1) as f64,
             tries_per_request: tries as f64 / records.len().max(1) as f64,
-            double_runs: double_runs(cx),
+            double_runs: double_runs(input),
             wrong_answers: records.iter().filter(|record| record.wrong).count() as u64,
-            failures: failures(records, cx),
-            false_not_run: false_not_run(records, cx),
+            failures: failures(records, input),
+            false_not_run: false_not_run(records, input),
         }
     }
 }
@@ -146,17 +147,17 @@
         .collect()
 }
 
-/// The longest recovery after a pressure.
-fn worst_recovery(records: &[Record], cx: &Context) -> Duration {
-    let recoveries = cx.pressures.iter().enumerate().map(|(at, pressure)| {
-        let next = cx.pressures.get(at + 1);
+/// The longest recovery time after an overload.
+fn worst_recovery(records: &[Record], input: &SummaryInput) -> Duration {
+    let recoveries = input.overloads.iter().enumerate().map(|(at, overload)| {
+        let next = input.overloads.get(at + 1);
         let until = next.map_or(Duration::MAX, |next| next.start);
-        recovery(records, pressure.end..until)
+        recovery(records, overload.end..until)
     });
     recoveries.max().unwrap_or(Duration::ZERO)
 }
 
-/// The time from the start of a normal time to the end of its last window that was not well.
+/// The time from the start of a normal phase to the end of its last window that hadn't recovered.
 fn recovery(records: &[Record], normal: Range<Duration>) -> Duration {
     let end = normal.start;
     let mut windows: BTreeMap<u32, Goodput> = BTreeMap::new();
@@ -164,22 +165,22 @@
         .iter()
         .filter(|record| normal.contains(&record.sent))
     {
-        let window = (record.sent - end).as_nanos() / WINDOW.as_nanos();
+        let window = (record.sent - end).as_nanos() / WINDOW_DURATION.as_nanos();
         let sum = windows.entry(window as u32).or_default();
         sum.offered += 1;
         sum.good += u64::from(record.good);
     }
     let last_bad = windows
         .iter()
-        .rfind(|(_, sum)| sum.percent() < WELL * 100.0)
+        .rfind(|(_, sum)| sum.percent() < RECOVERED_FRACTION * 100.0)
         .map(|(window, _)| *window);
-    last_bad.map_or(Duration::ZERO, |window| WINDOW * (window + 1))
+    last_bad.map_or(Duration::ZERO, |window| WINDOW_DURATION * (window + 1))
 }
 
-fn failures(records: &[Record], cx: &Context) -> BTreeMap<String, u64> {
+fn failures(records: &[Record], input: &SummaryInput) -> BTreeMap<String, u64> {
     let mut failures = BTreeMap::new();
     for record in records.iter().filter(|record| !record.good) {
-        let stretch = if cx.is_under_pressure(record) {
+        let stretch = if input.is_during_overload(record) {
             "under"
         } else {
             "normal"
@@ -196,23 +197,27 @@
     failures
 }
 
-fn double_runs(cx: &Context) -> u64 {
-    cx.ran
+fn double_runs(input: &SummaryInput) -> u64 {
+    input
+        .executions_by_key
         .iter()
         .filter(|(name, count)| {
             let kind = name.split(' ').next_back().unwrap_or_default();
-            **count > 1 && cx.once.iter().any(|once| once == kind)
+            **count > 1 && input.at_most_once_kinds.iter().any(|once| once == kind)
         })
         .count() as u64
 }
 
-fn false_not_run(records: &[Record], cx: &Context) -> u64 {
+fn false_not_run(records: &[Record], input: &SummaryInput) -> u64 {
     records
         .iter()
         .filter(|record| record.told_not_run == record.tries)
         .filter(|record| {
             let name = format!("{} {}", record.key, record.kind);
-            cx.ran.get(&name).is_some_and(|count| *count > 0)
+            input
+                .executions_by_key
+                .get(&name)
+                .is_some_and(|count| *count > 0)
         })
         .count() as u64
 }
