--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -43,7 +43,7 @@
     /// The calls that each kind of request makes.
     pub(crate) graph: Mutex<CallGraph>,
     /// When a call of the backend server failed last.
-    pub(crate) call_failed: LastTime,
+    pub(crate) last_nested_call_failure: LastTime,
     /// When an unknown credential was logged last.
     pub(crate) noted_unknown: LastTime,
     /// Where the requests for the backend server come from.
@@ -73,7 +73,7 @@
             presence: Mutex::default(),
             slots: AtomicU32::new(SLOTS_BEFORE_ANNOUNCEMENT),
             graph: Mutex::default(),
-            call_failed: LastTime::default(),
+            last_nested_call_failure: LastTime::default(),
             noted_unknown: LastTime::default(),
             origins: Mutex::default(),
             foreign_logged_at: LastTime::default(),
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether a kind must not run twice while root requests of the same importance may.
-    pub(crate) fn is_once_among_repeatable(&self, kind: &KindEntry) -> bool {
+    pub(crate) fn is_at_most_once_among_repeatable(&self, kind: &KindEntry) -> bool {
         let repeatable = self.repeatable_importances.load(Ordering::Relaxed);
         kind.at_most_once() && repeatable & (1 << kind.importance().rank()) != 0
     }
--- a/crates/sorrelturn-daemon/src/config/route_staleness.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns whether it is certain that no newer table existed at `at`.
-    pub(crate) fn covers(&self, at: Now) -> bool {
+    pub(crate) fn is_confirmed_since(&self, at: Now) -> bool {
         lock(&self.freshness).is_confirmed_since(at)
     }
 
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -301,7 +301,7 @@
         return status(StatusCode::BAD_REQUEST);
     };
     headers::strip_internal(req.headers_mut());
-    let req = req.map(|body| body::guarded(&node.timers, body, |_| {}));
+    let req = req.map(|body| body::with_stall_timeout(&node.timers, body, |_| {}));
     let Some(_guard) = AttemptGuard::begin(node, attempt_id(&context)) else {
         // Its sender was told that the attempt never arrived, or stopped waiting for that status:
         // it gets the status now, and may send another attempt.
--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -85,7 +85,7 @@
         let headers = res.headers_mut();
         headers::set(headers, VERDICT, self.context.verdict.name());
         headers::set(headers, REQUEST_ID, &request.to_string());
-        res.map(|body| body::watched(body, move |_| drop(carried)))
+        res.map(|body| body::with_end_callback(body, move |_| drop(carried)))
     }
 }
 
--- a/crates/sorrelturn-daemon/src/request/body.rs
+++ b/crates/sorrelturn-daemon/src/request/body.rs
@@ -40,13 +40,16 @@
 
 /// Passes on a body of this process and calls `on_end` once: with true after the last byte, with
 /// false if the body was interrupted or dropped before that.
-pub(crate) fn watched(body: Body, on_end: impl FnOnce(bool) + Send + Sync + 'static) -> Body {
+pub(crate) fn with_end_callback(
+    body: Body,
+    on_end: impl FnOnce(bool) + Send + Sync + 'static,
+) -> Body {
     watch(body, None, on_end)
 }
 
-/// Passes on a body from a connection as [`watched`] does, and ends it with an error if its sender
+/// Passes on a body from a connection as [`with_end_callback`] does, and ends it with an error if its sender
 /// stalls.
-pub(crate) fn guarded(
+pub(crate) fn with_stall_timeout(
     timers: &Timers,
     body: Incoming,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
@@ -54,9 +57,9 @@
     watch(body, Some(StallDetector::new(timers)), on_end)
 }
 
-/// Passes on an answer as [`guarded`] does, but allows any pause before `deadline`, the deadline of
+/// Passes on an answer as [`with_stall_timeout`] does, but allows any pause before `deadline`, the deadline of
 /// the request, and only short pauses after it.
-pub(crate) fn guarded_answer(
+pub(crate) fn response_with_stall_timeout(
     timers: &Timers,
     body: Incoming,
     deadline: Now,
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -128,7 +128,7 @@
         .and_then(|value| AnswerContext::decode(value.as_bytes()).ok())
         .ok_or(Failure::Interrupted)?;
     let res = res.map(|body| {
-        body::guarded_answer(&node.timers, body, call.deadline, |is_complete| {
+        body::response_with_stall_timeout(&node.timers, body, call.deadline, |is_complete| {
             if is_complete {
                 lease.give_back();
             }
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -346,7 +346,7 @@
     fn has_failed_call(&self, parent: &Parent) -> bool {
         match &self.node.routed {
             None => parent.nested_call_failed.load(Ordering::Relaxed),
-            Some(routed) => routed.call_failed.is_after(self.started),
+            Some(routed) => routed.last_nested_call_failure.is_after(self.started),
         }
     }
 
@@ -393,7 +393,7 @@
         let deadline = self.deadline;
         let hop = self;
         res.map(|incoming| {
-            body::guarded_answer(&timers, incoming, deadline, move |is_complete| {
+            body::response_with_stall_timeout(&timers, incoming, deadline, move |is_complete| {
                 if is_complete {
                     lease.give_back();
                     in_progress.mark_finished();
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -76,7 +76,7 @@
                 let may_read = node.route_staleness.may_read_for_unknown(node.now());
                 if !may_read
                     || !route_staleness::wait_until(node, || {
-                        node.route_staleness.covers(arrived_at)
+                        node.route_staleness.is_confirmed_since(arrived_at)
                     })
                     .await
                 {
@@ -89,7 +89,7 @@
 
 /// Whether it is certain that no table contains the credential of a request.
 fn is_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
-    let covers = node.route_staleness.covers(arrived_at);
+    let covers = node.route_staleness.is_confirmed_since(arrived_at);
     match presented {
         Some(credential) if covers => node.route_staleness.remember_unknown(credential),
         Some(credential) => {
--- a/crates/sorrelturn-daemon/src/request/payload.rs
+++ b/crates/sorrelturn-daemon/src/request/payload.rs
@@ -41,7 +41,7 @@
         }
         let upper = incoming.size_hint().upper();
         if upper.is_none_or(|len| len > MAX_BUFFERED_BODY_BYTES) {
-            let body = Some(body::guarded(timers, incoming, |_| {}));
+            let body = Some(body::with_stall_timeout(timers, incoming, |_| {}));
             return Ok(Self::Stream { body, len: upper });
         }
         let read = async {
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -193,7 +193,10 @@
             .in_force
             .rank_above_lowest(resolved.workspace.as_deref());
     let mut bucket = resolved.request.shedding_bucket();
-    if resolved.in_force.is_once_among_repeatable(&resolved.kind) {
+    if resolved
+        .in_force
+        .is_at_most_once_among_repeatable(&resolved.kind)
+    {
         bucket = bucket_for_at_most_once(bucket);
     }
     if is_retry {
@@ -280,7 +283,7 @@
     // If this daemon shuts down, another instance may succeed, so the backend server's failure may be retried.
     let shuts_down = reply.context.refusal == Some(Refusal::Leaving);
     if resolved.is_call && has_failed(&reply) && !shuts_down {
-        routed.call_failed.set(node.now());
+        routed.last_nested_call_failure.set(node.now());
     }
     reply
 }
@@ -364,7 +367,7 @@
             res
         }
     };
-    res.map(|body| body::watched(body, move |_| drop(carried)))
+    res.map(|body| body::with_end_callback(body, move |_| drop(carried)))
 }
 
 fn refusal_status(refusal: Refusal, verdict: Verdict) -> StatusCode {
