--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -16,16 +16,16 @@
 };
 use std::time::Duration;
 
-/// The result of a call: a backend server's answer, or a refusal without one.
+/// The result of a call: a response, or a refusal without one.
 pub(crate) struct Reply {
     /// The metadata that daemons exchange about the reply.
     pub(crate) context: AnswerContext,
-    /// The backend server's answer, or `None` for a refusal.
+    /// The response, or `None` for a refusal.
     pub(crate) res: Option<Box<Response<Body>>>,
 }
 
 impl Reply {
-    /// A backend server's answer, from this execution or an earlier one.
+    /// A reply with a response: from a backend server, from a recorded outcome, or with an issued token.
     pub(crate) fn answered(verdict: Verdict, res: Response<Body>) -> Self {
         Self {
             context: AnswerContext {
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -20,24 +20,27 @@
 };
 use std::sync::Arc;
 
-/// The reason why an exchange with an instance has no answer.
+/// The reason why an exchange with an instance has no reply.
 pub(crate) enum Failure {
     /// Nothing was sent, since the maximum number of connections is open.
     Full,
-    /// Nothing was sent.
+    /// Nothing was sent, since no connection could be used.
     NotSent,
     /// The exchange broke off after at least a part of the call was sent.
     Interrupted,
     /// The owner has not received the call and will refuse it if it arrives late.
     NeverArrived,
-    /// The owner received the call, but its answer was lost on an unresponsive connection.
+    /// The owner received the call, but its reply was lost on an unresponsive connection.
     AnswerLost,
-    /// The call's deadline passed, or this daemon stopped, before the answer arrived.
+    /// The call's deadline passed, or this daemon shut down, before the reply arrived.
     DeadlineExceeded,
 }
 
 impl Failure {
-    /// Returns the reply to the call. A call with a token is "not run" only if its owner says so.
+    /// Returns the reply to the call.
+    ///
+    /// No failure of a call with a token is reported as "not run", since an earlier attempt with the same
+    /// token may have run. Only a reply of its owner can say so.
     pub(crate) fn reply(&self, context: &CallContext) -> Reply {
         let has_token = context.token.is_some();
         match self {
@@ -59,8 +62,8 @@
     }
 }
 
-/// Sends one try to one instance and waits for its answer until the deadline, or until this
-/// incarnation of the daemon sends its last answers.
+/// Sends one attempt to one instance and waits for the reply until the deadline or the shutdown of this
+/// daemon.
 pub(crate) async fn exchange(
     node: &Arc<Node>,
     route: &Route,
@@ -161,15 +164,16 @@
 }
 
 /// Returns whether the backend server refused the call although its daemon had a free slot, or
-/// answered with an error that doesn't come from a service that it calls.
+/// answered with status 500 for a reason other than a failed nested call.
 fn is_backend_error(reply: &Reply) -> bool {
     let status = reply.res.as_ref().map(|res| res.status());
-    let is_server_error = status.is_some_and(|status| status == StatusCode::INTERNAL_SERVER_ERROR);
-    let is_own_error = is_server_error && !reply.context.already_retried;
+    let is_internal_error =
+        status.is_some_and(|status| status == StatusCode::INTERNAL_SERVER_ERROR);
+    let is_own_error = is_internal_error && !reply.context.already_retried;
     is_own_error || reply.context.refusal == Some(Refusal::BackendRefused)
 }
 
-/// Returns whether the failure lies with the instance and not with a service that it calls.
+/// Returns whether the call failed because of the instance and not because of a service that it calls.
 fn is_instance_failure(reply: &Reply) -> bool {
     matches!(
         reply.context.refusal,
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -1,4 +1,5 @@
-//! Runs one call at its owner: the exchange with the backend server and the handling of its result.
+//! The execution of one call at its owner: the exchange with the backend server and the handling of
+//! its result.
 
 use crate::{
     backend::crash::{self, BackendRequestGuard},
@@ -36,15 +37,15 @@
     time::Duration,
 };
 
-/// A response up to this size holds its slot until the last byte. A larger one mostly waits for its
-/// reader, so its slot is released after the head and only the connection stays in use. See
+/// Responses of at most this known length hold their slot until the last byte. The duration of others
+/// depends on the client's reading speed, so their slot is released after the head. See
 /// `docs/design/streaming.md`.
 const MAX_SLOT_HOLDING_BYTES: u64 = 64 << 10;
 
 /// Extra time after the deadline in which a backend server that stops at the deadline can report it.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
-/// One call at the daemon that owns it, with everything its execution needs.
+/// One execution of a call at its owner.
 pub(crate) struct Hop {
     pub(crate) node: Arc<Node>,
     pub(crate) in_force: Arc<InForce>,
@@ -52,31 +53,33 @@
     pub(crate) context: CallContext,
     pub(crate) span: SpanId,
     pub(crate) deadline: Now,
-    pub(crate) started_ns: u64,
-    pub(crate) started: Now,
+    pub(crate) started_unix_ns: u64,
+    pub(crate) started_at: Now,
     pub(crate) _carried: Carried,
-    /// The sender's id of this attempt, if kinds are determined by routes.
-    pub(crate) attempt_id: Option<HeaderValue>,
+    /// The caller's request id header, in routed mode.
+    pub(crate) caller_request_id: Option<HeaderValue>,
 }
 
 impl Hop {
-    /// Runs a call that may be repeated.
-    pub(crate) async fn run_repeatable(self, req: Request<Body>) -> Reply {
-        let share = self.context.attempts;
+    /// Runs a call that has no token.
+    pub(crate) async fn run_without_token(self, req: Request<Body>) -> Reply {
+        let attempts = self.context.attempts;
         if self.node.is_leaving() {
-            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), attempts);
         }
         if self.depends_on_missing_service() {
-            return refund_attempts(self.refusal_reply(Refusal::NoInstanceBelow), share);
+            return refund_attempts(self.refusal_reply(Refusal::NoInstanceBelow), attempts);
         }
         match self.acquire_slot().await {
             Ok(slot) => self.forward(slot, req).await,
-            Err(refusal) => refund_attempts(self.refusal_reply(refusal), share),
+            Err(refusal) => refund_attempts(self.refusal_reply(refusal), attempts),
         }
     }
 
-    /// Whether the call depends, directly or indirectly, on a service without any instance. Such a call can be
-    /// refused before it runs, so that its caller can retry it.
+    /// Returns whether the call depends, directly or indirectly, on a service without any instance.
+    ///
+    /// Such a call is refused before it runs, so that its caller can retry it. Always false outside
+    /// routed mode.
     fn depends_on_missing_service(&self) -> bool {
         let Some(routed) = &self.node.routed else {
             return false;
@@ -92,13 +95,14 @@
         })
     }
 
-    /// Whether the request is quarantined because it crashes backend servers.
+    /// Returns whether the request is quarantined because it crashes backend servers.
     fn is_quarantined(&self) -> bool {
         let suspects = &self.node.suspected_requests;
         let remaining = suspects.remaining_quarantine(self.node.now(), self.context.names);
         remaining.is_some()
     }
 
+    /// Waits for a slot at the backend server, or returns the refusal.
     pub(crate) async fn acquire_slot(&self) -> Result<Slot, Refusal> {
         let priority = self.context.priority();
         let is_nested = self.context.depth > 0;
@@ -118,7 +122,7 @@
         Ok(slot)
     }
 
-    /// Sends the call to the backend server. From here on the call may have run.
+    /// Sends the call to the backend server and waits for the head of its response.
     pub(crate) async fn forward(self, slot: Slot, req: Request<Body>) -> Reply {
         let guard = ParentGuard::register(
             &self.node.parents,
@@ -128,13 +132,13 @@
             self.kind.min_executions,
         );
         let req = match &self.node.routed {
-            None => Some(self.backend_request(req)),
-            Some(routed) => self.routed_request(routed, req),
+            None => Some(self.with_context_headers(req)),
+            Some(routed) => self.with_routed_headers(routed, req),
         };
         let Some(req) = req else {
             slot.release(Outcome::Cancelled);
-            let share = self.context.attempts;
-            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
+            let attempts = self.context.attempts;
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), attempts);
         };
         let node = Arc::clone(&self.node);
         let in_progress = BackendRequestGuard::new(&node, self.context.names);
@@ -150,22 +154,22 @@
             None
         };
         match exchange.or(timeout).await {
-            Some(Ok(answered)) => {
+            Some(Ok(response)) => {
                 node.backend_reached(true);
-                self.handle_response(slot, guard, answered, in_progress)
+                self.handle_response(slot, guard, response, in_progress)
             }
             Some(Err(SendError::Full)) => {
                 in_progress.mark_finished();
                 slot.release(Outcome::Cancelled);
-                let share = self.context.attempts;
-                refund_attempts(self.refusal_reply(Refusal::Overload), share)
+                let attempts = self.context.attempts;
+                refund_attempts(self.refusal_reply(Refusal::Overload), attempts)
             }
             Some(Err(SendError::NotSent)) => {
                 in_progress.mark_finished();
                 node.backend_reached(false);
                 slot.release(Outcome::Failed);
-                let share = self.context.attempts;
-                refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), share)
+                let attempts = self.context.attempts;
+                refund_attempts(self.refusal_reply(Refusal::BackendUnreachable), attempts)
             }
             Some(Err(SendError::Interrupted)) => {
                 in_progress.mark_finished();
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Copies a request that may run twice, so that it can be sent again if a connection doesn't respond.
+    /// Copies a repeatable request without a body, so that it can be sent again if a connection doesn't
+    /// respond. Returns `None` for other requests.
     fn copy_request(&self, req: &Request<Body>) -> Option<Request<Body>> {
         if self.kind.at_most_once() || !req.body().is_end_stream() {
             return None;
@@ -199,8 +204,10 @@
         Some(copy)
     }
 
-    /// Takes a second sending from the retry budget, since it may run as a retry does. A backend server that has
-    /// announced its shutdown gets none: it relies on receiving no new requests.
+    /// Takes one retry from the budget for sending the request a second time, since both copies may run.
+    ///
+    /// Returns false if the budget is used up, if the request is quarantined, or if no backend server
+    /// accepts requests now.
     fn take_retry_for_resend(&self) -> bool {
         let routed = self.node.routed.as_ref();
         let accepts_no_requests = routed.is_some_and(|routed| routed.serving_id().is_none());
@@ -208,8 +215,8 @@
             return false;
         }
         let state = self.in_force.kind_state(&self.kind);
-        let taken = lock(&state.retries).try_retry(self.node.now());
-        if taken {
+        let is_taken = lock(&state.retries).try_retry(self.node.now());
+        if is_taken {
             self.record_event(
                 &events::SENT_AGAIN,
                 vec![Field::new("kind", &self.kind.name)],
@@ -217,20 +224,26 @@
             let labels = [("kind", self.kind.name.as_str())];
             export::count(&self.node, &metrics::RETRIES, &labels);
         }
-        taken
+        is_taken
     }
 
-    /// The request for the backend server that accepts requests now; `None` if there is none.
-    fn routed_request(&self, routed: &Routed, mut req: Request<Body>) -> Option<Request<Body>> {
-        let names = &routed.dialect.headers;
+    /// Adds the headers of routed mode for the backend server that accepts requests now. Returns `None` if
+    /// there is none.
+    fn with_routed_headers(
+        &self,
+        routed: &Routed,
+        mut req: Request<Body>,
+    ) -> Option<Request<Body>> {
+        let header_names = &routed.dialect.headers;
         let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let headers = req.headers_mut();
-        headers.insert(names.expected_backend.clone(), routed.serving_id()?);
-        headers.insert(names.time_left_ms.clone(), (time_left as u64).into());
+        headers.insert(header_names.expected_backend.clone(), routed.serving_id()?);
+        headers.insert(header_names.time_left_ms.clone(), (time_left as u64).into());
         Some(req)
     }
 
-    fn backend_request(&self, mut req: Request<Body>) -> Request<Body> {
+    /// Adds the headers that describe the call's context, for a backend server outside routed mode.
+    fn with_context_headers(&self, mut req: Request<Body>) -> Request<Body> {
         let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let trace = TraceContext {
             trace: self.context.trace,
@@ -257,14 +270,14 @@
         self,
         slot: Slot,
         guard: ParentGuard,
-        answered: BackendResponse,
+        response: BackendResponse,
         in_progress: BackendRequestGuard,
     ) -> Reply {
         let BackendResponse {
             mut res,
             lease,
             sent_twice,
-        } = answered;
+        } = response;
         if let Some(keep_alive) = headers::text(res.headers(), "keep-alive") {
             self.node.backend.set_keep_alive(keep_alive);
         }
@@ -272,26 +285,29 @@
         headers::strip_internal(res.headers_mut());
         let status = res.status().as_u16();
         let service = self.in_force.bundle.service(&self.kind.service);
-        let response_class = self.node.routed.as_ref().map(|routed| {
-            let response_class =
-                routed.classify_response(self.attempt_id.as_ref(), res.status(), res.headers());
-            if response_class == ResponseKind::NotRun {
+        let response_kind = self.node.routed.as_ref().map(|routed| {
+            let response_kind = routed.classify_response(
+                self.caller_request_id.as_ref(),
+                res.status(),
+                res.headers(),
+            );
+            if response_kind == ResponseKind::NotRun {
                 state::record_answering_backend(&self.node, routed, res.headers());
             }
-            response_class
+            response_kind
         });
         if let Some(routed) = &self.node.routed {
             // The reported load is meant only for the backend server's own daemon.
             res.headers_mut().remove(&routed.dialect.headers.load);
         }
-        if response_class == Some(ResponseKind::Mismatched) {
+        if response_kind == Some(ResponseKind::Mismatched) {
             in_progress.mark_finished();
             slot.release(Outcome::Failed);
             return self.failure_reply(&guard, Refusal::BackendBroke);
         }
         let is_refused_status =
             service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = is_refused_status || response_class == Some(ResponseKind::NotRun);
+        let refused = is_refused_status || response_kind == Some(ResponseKind::NotRun);
         let is_draining = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
@@ -308,16 +324,16 @@
                 // The other copy may have run.
                 return self.failure_reply(&guard, Refusal::BackendBroke);
             }
-            let share = self.context.attempts;
-            return refund_attempts(self.refusal_reply(Refusal::BackendRefused), share);
+            let attempts = self.context.attempts;
+            return refund_attempts(self.refusal_reply(Refusal::BackendRefused), attempts);
         }
         let failed = res.status().is_server_error();
         let parent = guard.parent();
         let context = AnswerContext {
             verdict: Verdict::Ran,
             attempts_left: lock(&parent.attempts).close(),
-            already_retried: failed && self.has_failed_call(parent),
-            threshold: self.threshold_of_calls(),
+            already_retried: failed && self.has_failed_nested_call(parent),
+            threshold: self.record_end_and_threshold_of_calls(),
             ..AnswerContext::default()
         };
         self.record_event(
@@ -326,7 +342,7 @@
                 Field::new("kind", &self.kind.name),
                 Field::new("depth", self.context.depth),
                 Field::new("status", status),
-                Field::new("took_ms", (self.node.now() - self.started).as_millis()),
+                Field::new("took_ms", (self.node.now() - self.started_at).as_millis()),
             ],
         );
         self.record_span(failed, status);
@@ -341,23 +357,25 @@
         Reply { context, res }
     }
 
-    /// Whether a nested call failed, so that this failure was already retried there. If calls don't name
-    /// their parent, any call that failed since the request started counts.
-    fn has_failed_call(&self, parent: &Parent) -> bool {
+    /// Returns whether a nested call failed, so that this failure was already retried there. In routed
+    /// mode, calls don't name their parent, so any nested call that failed since the request started
+    /// counts.
+    fn has_failed_nested_call(&self, parent: &Parent) -> bool {
         match &self.node.routed {
             None => parent.nested_call_failed.load(Ordering::Relaxed),
-            Some(routed) => routed.last_nested_call_failure.is_after(self.started),
+            Some(routed) => routed.last_nested_call_failure.is_after(self.started_at),
         }
     }
 
-    /// The highest known threshold of the kinds that this kind calls.
-    fn threshold_of_calls(&self) -> Priority {
+    /// Returns the highest known threshold of the kinds that this kind calls. In routed mode, also records
+    /// the end of the request in the call graph, and an event if this changed the learned calls.
+    fn record_end_and_threshold_of_calls(&self) -> Priority {
         let now = self.node.now();
         let Some(routed) = &self.node.routed else {
             return self.in_force.threshold_below(&self.kind, now);
         };
         let mut graph = lock(&routed.graph);
-        if let Some(calls) = graph.record_end(&self.kind.name, now - self.started) {
+        if let Some(calls) = graph.record_end(&self.kind.name, now - self.started_at) {
             let fields = vec![
                 Field::new("kind", &self.kind.name),
                 Field::new("calls", calls.join(",")),
@@ -369,7 +387,8 @@
             .max_threshold(calls.iter().map(String::as_str), now)
     }
 
-    /// Streams the body to the caller; releases slot, connection and registration when it ends.
+    /// Streams the body to the caller. The connection and the registration of the parent are released when
+    /// the body ends, and so is the slot if the body is small.
     fn stream(
         self,
         slot: Slot,
@@ -411,7 +430,7 @@
         })
     }
 
-    /// The reply to a call that may have begun before the exchange with the backend server failed.
+    /// Returns the reply to a call that may have begun before the exchange with the backend server failed.
     fn failure_reply(&self, guard: &ParentGuard, refusal: Refusal) -> Reply {
         let parent = guard.parent();
         let mut reply = self.refusal_reply(refusal);
@@ -466,7 +485,7 @@
             parent: Some(self.context.parent),
             name: self.kind.name.clone(),
             kind: SpanKind::Server,
-            start_ns: self.started_ns,
+            start_ns: self.started_unix_ns,
             end_ns: unix_ns(),
             failed,
             attributes: vec![Field::new("http.response.status_code", status)],
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a call: early refusals, and the choice between repeatable and at-most-once execution.
+//! The owner's side of a call: early refusals, and the choice between execution with and without a token.
 
 use crate::{
     backend::state::Routed,
@@ -30,9 +30,10 @@
     };
     let answer = &mut reply.context;
     if let Some((routed, kind)) = routed_kind {
-        answer.is_call = is_call(node, routed, &kind);
+        answer.is_call = is_nested_kind(node, routed, &kind);
     }
-    // Read before the version, which can only increase in between.
+    // Read before the version: a version that increases in between is still covered by this age. In the
+    // other order, the age of a newer version could be reported with an older one.
     answer.knowledge_age_ms = node.knowledge_age_ms();
     answer.bundle_version = node.bundle_version();
     answer.incarnation = node.incarnation;
@@ -50,13 +51,13 @@
     reply
 }
 
-/// Waits until this incarnation of the daemon shuts down, then refuses a request that can't be forwarded any more.
+/// Waits for the shutdown of this daemon, then refuses a request that can't be forwarded any more.
 pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
     node.ending.over().await;
     Reply::not_run(Refusal::Leaving).with_retry_after(retry_after(node))
 }
 
-/// The Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
+/// Returns the Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
 pub(crate) fn retry_after(node: &Node) -> Duration {
     let overload_duration = node
         .admission
@@ -65,25 +66,25 @@
 }
 
 async fn admit(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
-    let share = context.attempts;
+    let attempts = context.attempts;
     if context.service != node.settings.service {
-        return refund_attempts(refuse_token(node, &context, Refusal::OtherService), share);
+        return refund_attempts(refuse_call(node, &context, Refusal::OtherService), attempts);
     }
     let Some(in_force) = node.in_force.load_full() else {
-        return refund_attempts(refuse_token(node, &context, Refusal::NoBundle), share);
+        return refund_attempts(refuse_call(node, &context, Refusal::NoBundle), attempts);
     };
     let local_kind = in_force.bundle.kind(&context.kind).cloned();
     let Some(kind) = local_kind.or_else(|| kind_from_context(node, &context)) else {
-        return refund_attempts(refuse_token(node, &context, Refusal::UnknownKind), share);
+        return refund_attempts(refuse_call(node, &context, Refusal::UnknownKind), attempts);
     };
     let mut context = context;
-    let mut attempt_id = None;
+    let mut caller_request_id = None;
     if let Some(routed) = &node.routed {
-        let names = &routed.dialect.headers;
-        attempt_id = req.headers().get(&names.request_id).cloned();
-        let caller_service = headers::text(req.headers(), names.caller_service.as_str());
+        let header_names = &routed.dialect.headers;
+        caller_request_id = req.headers().get(&header_names.request_id).cloned();
+        let caller_service = headers::text(req.headers(), header_names.caller_service.as_str());
         lock(&routed.origins).record(&context.kind, caller_service.unwrap_or_default());
-        context.depth = u8::from(is_call(node, routed, &context.kind));
+        context.depth = u8::from(is_nested_kind(node, routed, &context.kind));
     }
     let deadline = node.now() + Duration::from_millis(context.deadline_ms.into());
     let deadline = node.ending.bound(deadline);
@@ -95,25 +96,26 @@
         kind,
         context,
         deadline,
-        started_ns: unix_ns(),
-        started: node.now(),
-        attempt_id,
+        started_unix_ns: unix_ns(),
+        started_at: node.now(),
+        caller_request_id,
     };
     match hop.context.token {
-        Some(token) => hop.run_at_most_once(token, req).await,
-        None => hop.run_repeatable(req).await,
+        Some(token) => hop.run_with_token(token, req).await,
+        None => hop.run_without_token(req).await,
     }
 }
 
-/// Whether requests of a kind are calls from backend servers.
-fn is_call(node: &Node, routed: &Routed, kind: &str) -> bool {
+/// Returns whether requests of a kind are nested calls, judging by the services that they come from.
+fn is_nested_kind(node: &Node, routed: &Routed, kind: &str) -> bool {
     let routes = node.routes.load();
     let share_of = |service: &str| routes.share_of(service);
     lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
 /// Builds an entry for a kind that this daemon's route table lacks. The daemon where the request entered
-/// decides which routes are in force, and the call's context has everything that is needed of the route.
+/// decides which routes are in force. The call's context contains what is needed of the route, except the
+/// execution mode, so the strictest one is assumed.
 fn kind_from_context(node: &Node, context: &CallContext) -> Option<Arc<KindEntry>> {
     node.routed.as_ref()?;
     let kind = Kind {
@@ -136,16 +138,17 @@
 }
 
 /// Returns all attempts of a call that wasn't executed to its caller.
-pub(crate) fn refund_attempts(mut reply: Reply, share: u32) -> Reply {
-    reply.context.attempts_left = share;
+pub(crate) fn refund_attempts(mut reply: Reply, attempts: u32) -> Reply {
+    reply.context.attempts_left = attempts;
     reply
 }
 
 /// Refuses a call before it runs. Its token, if it has one, is used up first, so that it can't run later.
-fn refuse_token(node: &Node, context: &CallContext, refusal: Refusal) -> Reply {
+/// If the token may have run or can't be checked, the reply says that the outcome is unknown.
+fn refuse_call(node: &Node, context: &CallContext, refusal: Refusal) -> Reply {
     if let Some(token) = context.token {
         let mut ledger = lock(&node.ledger);
-        let fingerprint = fingerprint(context, "");
+        let fingerprint = token_fingerprint(context, "");
         match ledger.begin(node.now(), &token, fingerprint) {
             BeginResult::MayRun => ledger.refuse(&token),
             BeginResult::Closed | BeginResult::Refused => {}
@@ -155,8 +158,8 @@
     Reply::not_run(refusal)
 }
 
-/// The fingerprint that a token is bound to: a hash of the caller, the kind and the target.
-pub(crate) fn fingerprint(context: &CallContext, target: &str) -> Fingerprint {
+/// Returns the fingerprint that a token is bound to: a hash of the caller, the kind and the target.
+pub(crate) fn token_fingerprint(context: &CallContext, target: &str) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&context.caller.0.to_be_bytes());
     hasher.update(context.kind.as_bytes());
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a call that runs at most once. See `docs/design/at-most-once.md`.
+//! The owner's side of a call with a token, which runs at most once. See `docs/design/at-most-once.md`.
 
 use crate::{
     node::{Node, lock},
@@ -6,7 +6,7 @@
     request::body::{self, Body},
     request::headers,
     request::hop::Hop,
-    request::owner::{fingerprint, refund_attempts},
+    request::owner::{refund_attempts, token_fingerprint},
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -17,31 +17,33 @@
 use sorrelturn_telemetry::events;
 use std::sync::Arc;
 
-/// The largest response body of an at-most-once request that is recorded for repeats.
+/// The maximum size of a response body of an at-most-once request that is recorded for repeats.
 const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
 impl Hop {
-    /// Runs a call at most once. The call continues if its caller disconnects, so that its outcome
+    /// Runs the call of a token at most once. The call continues if its caller disconnects, so that its outcome
     /// is recorded.
-    pub(crate) async fn run_at_most_once(self, token: ExecutionToken, req: Request<Body>) -> Reply {
+    pub(crate) async fn run_with_token(self, token: ExecutionToken, req: Request<Body>) -> Reply {
         let target = req
             .uri()
             .path_and_query()
             .map_or("", |target| target.as_str());
-        let fingerprint = fingerprint(&self.context, target);
+        let fingerprint = token_fingerprint(&self.context, target);
         let node = Arc::clone(&self.node);
-        let share = self.context.attempts;
+        let attempts = self.context.attempts;
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
             BeginResult::MayRun => {}
-            BeginResult::Recorded(outcome) => return refund_attempts(self.replay(outcome), share),
-            other => return refund_attempts(self.not_begun_reply(&other), share),
+            BeginResult::Recorded(outcome) => {
+                return refund_attempts(self.replay(outcome), attempts);
+            }
+            other => return refund_attempts(self.not_begun_reply(&other), attempts),
         }
         let execution = TokenExecution {
             node: Arc::clone(&node),
             token,
-            forwarded: false,
-            ended: false,
+            is_forwarded: false,
+            is_recorded: false,
         };
         let (tx, rx) = channel::bounded(1);
         let task = async move {
@@ -55,26 +57,26 @@
     }
 
     async fn execute(self, mut execution: TokenExecution, req: Request<Body>) -> Reply {
-        let share = self.context.attempts;
+        let attempts = self.context.attempts;
         if self.node.is_leaving() {
-            execution.refuse();
-            return refund_attempts(self.refusal_reply(Refusal::Leaving), share);
+            execution.record_not_run();
+            return refund_attempts(self.refusal_reply(Refusal::Leaving), attempts);
         }
         let slot = match self.acquire_slot().await {
             Ok(slot) => slot,
             Err(refusal) => {
-                execution.refuse();
-                return refund_attempts(self.refusal_reply(refusal), share);
+                execution.record_not_run();
+                return refund_attempts(self.refusal_reply(refusal), attempts);
             }
         };
-        execution.forwarded = true;
+        execution.is_forwarded = true;
         let mut reply = self.forward(slot, req).await;
         if reply.context.verdict == Verdict::NotRun {
-            execution.refuse();
+            execution.record_not_run();
             return reply;
         }
         let Some(res) = reply.res.take() else {
-            execution.end(reply.context.verdict, 502, None, None);
+            execution.record_outcome(reply.context.verdict, 502, None, None);
             return reply;
         };
         let (head, body) = res.into_parts();
@@ -82,15 +84,15 @@
         let status = head.status.as_u16();
         let body = match collect(body).await {
             Collected::Whole(bytes) => {
-                execution.end(Verdict::Ran, status, content_type, Some(bytes.to_vec()));
+                execution.record_outcome(Verdict::Ran, status, content_type, Some(bytes.to_vec()));
                 body::full(bytes)
             }
             Collected::TooLarge(body) => {
-                execution.end(Verdict::Ran, status, content_type, None);
+                execution.record_outcome(Verdict::Ran, status, content_type, None);
                 body
             }
             Collected::Failed => {
-                execution.end(Verdict::MayHaveRun, 502, None, None);
+                execution.record_outcome(Verdict::MayHaveRun, 502, None, None);
                 let mut failure = Reply::refused(Refusal::BackendBroke, Verdict::MayHaveRun);
                 failure.context.attempts_left = reply.context.attempts_left;
                 return failure;
@@ -129,28 +131,29 @@
     }
 }
 
-/// A token whose only execution is in progress. Its outcome is recorded when it ends or is dropped.
+/// The only execution of a token. Its outcome is recorded when it ends, or at the latest when this is
+/// dropped.
 struct TokenExecution {
     node: Arc<Node>,
     token: ExecutionToken,
-    forwarded: bool,
-    ended: bool,
+    is_forwarded: bool,
+    is_recorded: bool,
 }
 
 impl TokenExecution {
-    fn refuse(&mut self) {
-        self.ended = true;
+    fn record_not_run(&mut self) {
+        self.is_recorded = true;
         lock(&self.node.ledger).refuse(&self.token);
     }
 
-    fn end(
+    fn record_outcome(
         &mut self,
         verdict: Verdict,
         status: u16,
         content_type: Option<String>,
         body: Option<Vec<u8>>,
     ) {
-        self.ended = true;
+        self.is_recorded = true;
         let outcome = OnceOutcome {
             verdict,
             status,
@@ -163,13 +166,13 @@
 
 impl Drop for TokenExecution {
     fn drop(&mut self) {
-        if self.ended {
+        if self.is_recorded {
             return;
         }
-        if self.forwarded {
-            self.end(Verdict::MayHaveRun, 502, None, None);
+        if self.is_forwarded {
+            self.record_outcome(Verdict::MayHaveRun, 502, None, None);
         } else {
-            self.refuse();
+            self.record_not_run();
         }
     }
 }
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -20,10 +20,10 @@
 use sorrelturn_protocol::{CallContext, ExecutionToken, Refusal, Verdict};
 use std::sync::Arc;
 
-/// The path on the peers' listener at which an owner issues tokens.
+/// The path on the listener for peers at which a daemon issues tokens.
 pub(crate) const ISSUE_PATH: &str = "/.sorrelturn/issue";
 
-/// Issues a token of this process to a peer.
+/// Issues a token of this incarnation of the daemon, which is then the owner of the token.
 pub(crate) fn issue(node: &Node) -> Reply {
     if node.is_leaving() {
         return Reply::not_run(Refusal::Leaving);
@@ -115,7 +115,7 @@
     let token = obtain(node, call).await?;
     let binding = Binding {
         token: token.to_string(),
-        fingerprint: fingerprint(call).0,
+        fingerprint: call_fingerprint(call).0,
         write_nonce: fastrand::u64(..),
     };
     let value = serde_json::to_string(&binding).unwrap_or_default();
@@ -135,7 +135,7 @@
         || Reply::not_run(Refusal::StoreUnavailable).with_retry_after(owner::retry_after(node));
     let found = found.ok_or_else(unavailable)?;
     let binding: Binding = serde_json::from_str(&found.value).map_err(|_| unavailable())?;
-    match binding.token_for(fingerprint(call)) {
+    match binding.token_for(call_fingerprint(call)) {
         Ok(token) => Ok(BoundToken {
             token,
             version: found.version,
@@ -150,8 +150,8 @@
     keys::binding(call.context.caller, hash.as_str())
 }
 
-fn fingerprint(call: &Call) -> Fingerprint {
-    owner::fingerprint(&call.context, &call.target.to_string())
+fn call_fingerprint(call: &Call) -> Fingerprint {
+    owner::token_fingerprint(&call.context, &call.target.to_string())
 }
 
 /// Returns the reply for a token whose owner is lost, from the outcomes that the owner saved.
