--- a/crates/sorrelturn-daemon/src/request/admission.rs
+++ b/crates/sorrelturn-daemon/src/request/admission.rs
@@ -14,6 +14,7 @@
     time::Duration,
 };
 
+/// The tuning sample of an admitted request, or the refusal.
 type AdmissionResult = Result<TuningSample, Refusal>;
 
 /// The gate's decision about an arrival. Only a queued request receives a later result.
@@ -43,7 +44,7 @@
     started: Now,
     sample: TuningSample,
     /// The hash of the request's kind, if requests of this kind make no calls.
-    leaf: Option<u64>,
+    leaf_kind_hash: Option<u64>,
     outcome: Outcome,
 }
 
@@ -52,7 +53,7 @@
     pub(crate) fn set_leaf_kind(&mut self, kind: &str) {
         let mut hasher = DefaultHasher::new();
         kind.hash(&mut hasher);
-        self.leaf = Some(hasher.finish());
+        self.leaf_kind_hash = Some(hasher.finish());
     }
 
     /// Releases the slot and reports the outcome to the gate.
@@ -63,9 +64,12 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let took = self.admission.clock.now().saturating_sub(self.started);
-        let leaf = self.leaf.filter(|_| self.outcome == Outcome::Answered);
-        self.admission.finish(self.sample, leaf, self.outcome, took);
+        let duration = self.admission.clock.now().saturating_sub(self.started);
+        let leaf_kind_hash = self
+            .leaf_kind_hash
+            .filter(|_| self.outcome == Outcome::Answered);
+        self.admission
+            .finish(self.sample, leaf_kind_hash, self.outcome, duration);
     }
 }
 
@@ -102,7 +106,7 @@
                     admission: self,
                     arrival,
                     rx,
-                    done: false,
+                    is_done: false,
                 };
                 queued.result(until).await
             }
@@ -153,16 +157,22 @@
             admission: Arc::clone(self),
             started: self.clock.now(),
             sample,
-            leaf: None,
+            leaf_kind_hash: None,
             outcome: Outcome::Cancelled,
         }
     }
 
-    fn finish(&self, sample: TuningSample, leaf: Option<u64>, outcome: Outcome, took: Duration) {
+    fn finish(
+        &self,
+        sample: TuningSample,
+        leaf_kind_hash: Option<u64>,
+        outcome: Outcome,
+        duration: Duration,
+    ) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        inner.gate.end_sample(now, sample, leaf, took);
-        let mut released = inner.gate.finish(now, outcome, took);
+        inner.gate.end_sample(now, sample, leaf_kind_hash, duration);
+        let mut released = inner.gate.finish(now, outcome, duration);
         while let Some(unclaimed) = inner.notify_waiters(&released) {
             released = Released::default();
             for sample in unclaimed {
@@ -205,7 +215,7 @@
     admission: &'a Arc<Admission>,
     arrival: Arrival,
     rx: Receiver<AdmissionResult>,
-    done: bool,
+    is_done: bool,
 }
 
 impl QueuedRequest<'_> {
@@ -217,11 +227,11 @@
         let result = async { self.rx.recv().await.ok() };
         match result.or(timer).await {
             Some(Ok(sample)) => {
-                self.done = true;
+                self.is_done = true;
                 Ok(self.admission.slot(sample))
             }
             Some(Err(refusal)) => {
-                self.done = true;
+                self.is_done = true;
                 Err(refusal)
             }
             None => self.handle_timeout(until),
@@ -230,7 +240,7 @@
 
     /// Leaves the queue after the timeout. A result that arrived in the meantime still counts.
     fn handle_timeout(&mut self, until: Now) -> Result<Slot, Refusal> {
-        self.done = true;
+        self.is_done = true;
         let mut inner = self.admission.lock();
         inner.waiters.remove(&self.arrival.id);
         if inner.gate.remove_queued(&self.arrival, true) {
@@ -250,7 +260,7 @@
 
 impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
-        if self.done {
+        if self.is_done {
             return;
         }
         let mut inner = self.admission.lock();
--- a/crates/sorrelturn-daemon/src/request/body.rs
+++ b/crates/sorrelturn-daemon/src/request/body.rs
@@ -15,7 +15,7 @@
 
 /// The maximum time without progress from the sender of a body.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
-/// The maximum time without progress of an answer after the deadline of its request.
+/// The maximum time without progress of a response after the deadline of its request.
 const STALL_TIMEOUT_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 
 /// A body of any origin.
@@ -38,26 +38,26 @@
         .boxed()
 }
 
-/// Passes on a body of this process and calls `on_end` once: with true after the last byte, with
+/// Wraps a body that needs no stall detection, and calls `on_end` once: with true after the last byte, with
 /// false if the body was interrupted or dropped before that.
 pub(crate) fn with_end_callback(
     body: Body,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body {
-    watch(body, None, on_end)
+    wrap(body, None, on_end)
 }
 
-/// Passes on a body from a connection as [`with_end_callback`] does, and ends it with an error if its sender
+/// Wraps a body from a connection as [`with_end_callback`] does, and ends it with an error if its sender
 /// stalls.
 pub(crate) fn with_stall_timeout(
     timers: &Timers,
     body: Incoming,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body {
-    watch(body, Some(StallDetector::new(timers)), on_end)
+    wrap(body, Some(StallDetector::new(timers)), on_end)
 }
 
-/// Passes on an answer as [`with_stall_timeout`] does, but allows any pause before `deadline`, the deadline of
+/// Wraps a response body as [`with_stall_timeout`] does, but allows any pause before `deadline`, the deadline of
 /// the request, and only short pauses after it.
 pub(crate) fn response_with_stall_timeout(
     timers: &Timers,
@@ -65,16 +65,16 @@
     deadline: Now,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body {
-    watch(
+    wrap(
         body,
         Some(StallDetector::after_deadline(timers, deadline)),
         on_end,
     )
 }
 
-fn watch<B>(
+fn wrap<B>(
     body: B,
-    stall: Option<StallDetector>,
+    stall_detector: Option<StallDetector>,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
 ) -> Body
 where
@@ -85,12 +85,12 @@
         on_end(true);
         return body.map_err(BodyError::from).boxed();
     }
-    let watched = Watched {
+    let wrapped = WrappedBody {
         body,
-        stall,
+        stall_detector,
         on_end: Some(Box::new(on_end)),
     };
-    watched.boxed()
+    wrapped.boxed()
 }
 
 /// Prepends bytes that have already been read to the rest of a body.
@@ -129,8 +129,8 @@
 struct StallDetector {
     timers: Timers,
     has_progressed: bool,
-    deadline: Deadline,
-    /// The maximum time without progress after the first deadline.
+    timer: Deadline,
+    /// The period of the timer after it first expires.
     timeout: Duration,
 }
 
@@ -139,7 +139,7 @@
         Self {
             timers: timers.clone(),
             has_progressed: false,
-            deadline: timers.after(STALL_TIMEOUT),
+            timer: timers.after(STALL_TIMEOUT),
             timeout: STALL_TIMEOUT,
         }
     }
@@ -149,7 +149,7 @@
             timers: timers.clone(),
             // Grants one timeout after the deadline, even if the body has made no progress before it.
             has_progressed: true,
-            deadline: timers.at(deadline),
+            timer: timers.at(deadline),
             timeout: STALL_TIMEOUT_AFTER_DEADLINE,
         }
     }
@@ -160,23 +160,23 @@
 
     /// Returns whether there was no progress for a whole timeout. Detection takes up to two timeouts.
     fn is_stalled(&mut self, cx: &mut Context<'_>) -> bool {
-        while Pin::new(&mut self.deadline).poll(cx).is_ready() {
+        while Pin::new(&mut self.timer).poll(cx).is_ready() {
             if !std::mem::take(&mut self.has_progressed) {
                 return true;
             }
-            self.deadline = self.timers.after(self.timeout);
+            self.timer = self.timers.after(self.timeout);
         }
         false
     }
 }
 
-struct Watched<B> {
+struct WrappedBody<B> {
     body: B,
-    stall: Option<StallDetector>,
+    stall_detector: Option<StallDetector>,
     on_end: Option<Box<dyn FnOnce(bool) + Send + Sync>>,
 }
 
-impl<B> Watched<B> {
+impl<B> WrappedBody<B> {
     fn end(&mut self, is_complete: bool) {
         if let Some(on_end) = self.on_end.take() {
             on_end(is_complete);
@@ -184,7 +184,7 @@
     }
 }
 
-impl<B> HttpBody for Watched<B>
+impl<B> HttpBody for WrappedBody<B>
 where
     B: HttpBody<Data = Bytes> + Unpin,
     BodyError: From<B::Error>,
@@ -199,8 +199,8 @@
         let this = &mut *self;
         match Pin::new(&mut this.body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                if let Some(stall) = &mut this.stall {
-                    stall.record_progress();
+                if let Some(stall_detector) = &mut this.stall_detector {
+                    stall_detector.record_progress();
                 }
                 if this.body.is_end_stream() {
                     this.end(true);
@@ -216,8 +216,8 @@
                 Poll::Ready(None)
             }
             Poll::Pending => {
-                let stall = this.stall.as_mut();
-                if stall.is_some_and(|stall| stall.is_stalled(cx)) {
+                let stall_detector = this.stall_detector.as_mut();
+                if stall_detector.is_some_and(|stall_detector| stall_detector.is_stalled(cx)) {
                     this.end(false);
                     return Poll::Ready(Some(Err(BodyError::Stalled)));
                 }
@@ -235,7 +235,7 @@
     }
 }
 
-impl<B> Drop for Watched<B> {
+impl<B> Drop for WrappedBody<B> {
     fn drop(&mut self) {
         self.end(false);
     }
--- a/crates/sorrelturn-daemon/src/request/dialect.rs
+++ b/crates/sorrelturn-daemon/src/request/dialect.rs
@@ -1,15 +1,15 @@
-//! The headers that callers, daemons and backend servers use where the kind of a request is
-//! determined by its route. See `docs/design/running-on-the-platform.md`.
+//! The headers that callers, daemons and backend servers use in routed mode. See
+//! `docs/design/running-on-the-platform.md`.
 
 use hyper::header::HeaderName;
 use sorrelturn_bundle::RouteTable;
 
-/// The names of the headers that describe a request and its answer.
+/// The names of the headers that describe a request and its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// Identifies one attempt of a caller. Backend servers return it with the answer.
+    /// The caller's id of one attempt. Backend servers return it with the response.
     pub request_id: HeaderName,
-    /// The time in milliseconds until the sender stops waiting for an answer.
+    /// The time in milliseconds until the sender stops waiting for a response.
     pub time_left_ms: HeaderName,
     /// To a backend server: the id of the only backend server that may run the request.
     pub expected_backend: HeaderName,
@@ -28,7 +28,7 @@
     pub workspace: HeaderName,
 }
 
-/// The header names and the route table format of an interface that determines kinds by routes.
+/// The header names and the route table format of routed mode.
 #[derive(Clone, Debug)]
 pub struct Dialect {
     /// The names of headers.
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -28,8 +28,9 @@
 
 /// The path at which callers request tokens.
 const TOKENS_PATH: &str = "/.sorrelturn/tokens";
-/// An authorized root request before it is forwarded.
-struct Root {
+
+/// An authorized root request.
+struct RootRequest {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
     caller: Arc<CallerEntry>,
@@ -51,12 +52,12 @@
     req: Request<Incoming>,
 ) -> Response<Body> {
     let carried = Carried::new(node);
-    let request = RequestId::random(&mut fastrand::Rng::new());
+    let request_id = RequestId::random(&mut fastrand::Rng::new());
     let started = node.now();
     let may_be_repeat = may_be_repeat(node, &req);
     let reply = match (req.method(), req.uri().path()) {
-        (&Method::POST, TOKENS_PATH) => issue_token(node, caller_ip, request, req).await,
-        _ => serve_call(node, caller_ip, request, req).await,
+        (&Method::POST, TOKENS_PATH) => issue_token(node, caller_ip, request_id, req).await,
+        _ => serve_call(node, caller_ip, request_id, req).await,
     };
     let (importance, reply) = match reply {
         Ok((root, reply)) => (root.kind.importance().name(), reply),
@@ -69,7 +70,7 @@
         reply.context.verdict,
         node.now() - started,
     );
-    reply.into_response(request, carried)
+    reply.into_response(request_id, carried)
 }
 
 /// Returns whether the request may repeat an at-most-once request that has already run.
@@ -101,11 +102,11 @@
 async fn serve_call(
     node: &Arc<Node>,
     caller_ip: IpAddr,
-    request: RequestId,
+    request_id: RequestId,
     req: Request<Incoming>,
-) -> Result<(Root, Reply), Reply> {
+) -> Result<(RootRequest, Reply), Reply> {
     let (method, path) = (req.method().as_str(), req.uri().path());
-    let root = authorize(node, caller_ip, request, method, path, req.headers())?;
+    let root = authorize(node, caller_ip, request_id, method, path, req.headers())?;
     let token = headers::text(req.headers(), TOKEN).map(str::parse::<ExecutionToken>);
     let key = headers::text(req.headers(), IDEMPOTENCY_KEY).map(str::to_owned);
     shed_early(node, &root, token.is_some())?;
@@ -115,12 +116,13 @@
     headers::strip_for_peer(&mut parts.headers);
     let target = target(&parts.uri);
     let caller = root.context.caller;
-    let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
+    let fingerprints =
+        fingerprint::fingerprints_of(&parts.method, &target, &parts.headers, caller, &payload);
     let mut call = Call {
         in_force: Arc::clone(&root.in_force),
         kind: Arc::clone(&root.kind),
         context: CallContext {
-            names,
+            names: fingerprints,
             ..root.context.clone()
         },
         deadline,
@@ -166,11 +168,11 @@
 fn authorize(
     node: &Arc<Node>,
     caller_ip: IpAddr,
-    request: RequestId,
+    request_id: RequestId,
     method: &str,
     path: &str,
     req_headers: &HeaderMap,
-) -> Result<Root, Reply> {
+) -> Result<RootRequest, Reply> {
     let retry_after = || owner::retry_after(node);
     let in_force = node
         .in_force
@@ -199,8 +201,8 @@
     let trace = headers::text(req_headers, TRACEPARENT)
         .and_then(|value| value.parse::<TraceContext>().ok());
     let context = CallContext {
-        request,
-        trace: trace.map_or(request.0, |trace| trace.trace),
+        request: request_id,
+        trace: trace.map_or(request_id.0, |trace| trace.trace),
         parent: trace.map_or(SpanId::default(), |trace| trace.parent),
         kind: kind.name.clone(),
         service: kind.service.clone(),
@@ -214,7 +216,7 @@
         repeated: false,
         names: RequestFingerprints::default(),
     };
-    Ok(Root {
+    Ok(RootRequest {
         kind: Arc::clone(kind),
         caller: Arc::clone(caller),
         context,
@@ -225,7 +227,7 @@
 /// Refuses a request that a service further down the call tree would shed.
 ///
 /// Requests with a token are always admitted, since the owner may already have the outcome.
-fn shed_early(node: &Node, root: &Root, has_token: bool) -> Result<(), Reply> {
+fn shed_early(node: &Node, root: &RootRequest, has_token: bool) -> Result<(), Reply> {
     let state = root.in_force.kind_state(&root.kind);
     let threshold = state.threshold.current(node.now());
     let priority = root.context.priority();
@@ -258,9 +260,9 @@
 async fn issue_token(
     node: &Arc<Node>,
     caller_ip: IpAddr,
-    request: RequestId,
+    request_id: RequestId,
     req: Request<Incoming>,
-) -> Result<(Root, Reply), Reply> {
+) -> Result<(RootRequest, Reply), Reply> {
     let (parts, incoming) = req.into_parts();
     let malformed = || Reply::not_run(Refusal::Malformed);
     let Payload::Buffered(body) = Payload::read(&node.timers, incoming).await? else {
@@ -271,7 +273,7 @@
     let root = authorize(
         node,
         caller_ip,
-        request,
+        request_id,
         &token_request.method,
         path,
         &parts.headers,
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -33,7 +33,8 @@
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(5);
 /// The expected duration of a call whose kind has no latency target.
 const DEFAULT_EXPECTED_DURATION: Duration = Duration::from_secs(1);
-/// How often a call with a token is sent to its owner again after an interrupted exchange.
+/// The maximum number of times a call with a token is sent to its owner again after an interrupted
+/// exchange.
 const MAX_OUTCOME_QUERIES: u32 = 2;
 
 /// A call to be forwarded.
@@ -48,11 +49,11 @@
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) payload: Payload,
-    /// The fraction of the requests that may have made this call that may be repeats.
+    /// Of the requests that may have made this call, the fraction that are retries.
     pub(crate) repeated_fraction: f64,
 }
 
-/// The progress of one call over all its tries.
+/// The progress of one call over all its attempts.
 struct CallProgress {
     /// The number of executions that the whole call may use.
     total_attempts: u32,
@@ -60,9 +61,9 @@
     verdict: Verdict,
     tried: Vec<Incarnation>,
     reroutes: u32,
-    /// The number of tries that a backend server refused.
+    /// The number of attempts that a backend server refused.
     backend_refusals: u32,
-    /// The instance that refused the last such try. The next try goes to another one.
+    /// The instance that refused the last such attempt. The next attempt goes to another one.
     last_refused_by: Option<Incarnation>,
     outcome_queries: u32,
     /// The number of backend servers that crashed while they ran the call.
@@ -83,7 +84,7 @@
     let span = SpanId::random(&mut fastrand::Rng::new());
     let total_attempts = call.context.attempts;
     let parent_span = std::mem::replace(&mut call.context.parent, span);
-    let start_ns = unix_ns();
+    let start_unix_ns = unix_ns();
     let mut progress = CallProgress {
         total_attempts,
         attempts_left: total_attempts,
@@ -111,7 +112,7 @@
     let span = std::mem::replace(&mut call.context.parent, parent_span);
     if node.spans.is_enabled() {
         node.spans
-            .add(client_span(call, span, parent_span, start_ns, &reply));
+            .add(call_span(call, span, parent_span, start_unix_ns, &reply));
     }
     reply
 }
@@ -150,7 +151,7 @@
     Some(remaining)
 }
 
-/// Sends one try to one instance. Returns `None` if no instance is left or the body is used up.
+/// Sends one attempt to one instance. Returns `None` if no instance is left or the body is used up.
 async fn send_attempt(
     node: &Arc<Node>,
     call: &mut Call,
@@ -160,7 +161,7 @@
     let route = pick_route(node, call, progress)?;
     let req = build_request(node, call, progress)?;
     let attempts = call.context.attempts;
-    let sent = node.now();
+    let sent_at = node.now();
     let in_flight = InFlightCall::start(node, &route, call, kind_state);
     let result = exchange(node, &route, call, req).await;
     if matches!(result, Err(Failure::DeadlineExceeded)) {
@@ -178,7 +179,7 @@
         Ok(reply) => reply,
         Err(failure) => failure.reply(&call.context),
     };
-    record_answer_context(node, call, &route, kind_state, sent, &reply.context);
+    apply_answer_context(node, call, &route, kind_state, sent_at, &reply.context);
     if call.context.depth == 0 && is_success(&reply) {
         call.in_force.caller_succeeded(call.context.caller);
     }
@@ -190,7 +191,7 @@
         // The instance refuses this attempt id from now on, but accepts another one.
         call.context.parent = SpanId::random(&mut fastrand::Rng::new());
     } else if is_routed_backend_refusal(node, &reply) {
-        // The daemon had a free slot, so the instance may accept the call on a later try.
+        // The daemon had a free slot, so the instance may accept a later attempt.
         progress.backend_refusals += 1;
         progress.last_refused_by = Some(route.record.incarnation);
     } else if call.context.token.is_none() {
@@ -221,8 +222,8 @@
     route: &'a Route,
     kind_state: &'a KindState,
     request: RequestId,
-    /// The time at which half of the call's time is over.
-    half_time: Now,
+    /// The time halfway between the start of the attempt and the deadline of the call.
+    halfway_at: Now,
     is_finished: bool,
 }
 
@@ -235,7 +236,7 @@
             route,
             kind_state,
             request: call.context.request,
-            half_time: now + call.deadline.saturating_sub(now) / 2,
+            halfway_at: now + call.deadline.saturating_sub(now) / 2,
             is_finished: false,
         }
     }
@@ -254,7 +255,7 @@
         }
         let now = self.node.now();
         self.route.stats.finished(now, InstanceReport::Cancelled);
-        if now >= self.half_time {
+        if now >= self.halfway_at {
             // A caller that cancels this late has probably reached its own timeout.
             self.kind_state.threshold.observe_no_response(now);
         }
@@ -266,7 +267,7 @@
     }
 }
 
-/// Chooses the instance for the next try.
+/// Chooses the instance for the next attempt.
 ///
 /// A call with a token goes to the owner of the token only, any other call to the better of two
 /// instances.
@@ -288,8 +289,7 @@
 
 /// Returns whether the backend server refused the call although its daemon had a free slot.
 ///
-/// Such a refusal uses up retry budget if the kind of a request is determined by its route;
-/// otherwise the result is always false.
+/// In routed mode, such a refusal uses up retry budget. Outside it, the result is always false.
 fn is_routed_backend_refusal(node: &Node, reply: &Reply) -> bool {
     node.routed.is_some() && reply.context.refusal == Some(Refusal::BackendRefused)
 }
@@ -303,7 +303,7 @@
     let deadline = node.ending.bound(call.deadline);
     let remaining = deadline.saturating_sub(node.now());
     call.context.deadline_ms = remaining.as_millis().min(u128::from(u32::MAX)) as u32;
-    call.context.attempts = attempts_for_try(call, progress);
+    call.context.attempts = execution_budget(call, progress);
     progress.attempts_left = progress.attempts_left.saturating_sub(call.context.attempts);
     let mut req = Request::new(body);
     *req.method_mut() = call.method.clone();
@@ -312,24 +312,26 @@
     Some(req)
 }
 
-/// Returns the number of executions that the next try may use.
+/// Returns the number of executions that the next attempt may use.
 ///
-/// A token runs only once however often it is sent, so each of its tries may use all attempts.
-fn attempts_for_try(call: &Call, progress: &CallProgress) -> u32 {
+/// A token runs only once however often it is sent, so each attempt may use all executions.
+fn execution_budget(call: &Call, progress: &CallProgress) -> u32 {
     match call.context.token {
         Some(_) => progress.total_attempts,
         None => first_attempt_share(progress.attempts_left, call.kind.min_executions),
     }
 }
 
-/// Applies the metadata of an answer: the overload threshold, whether the kind is called by other
-/// services, and the bundle version with its staleness.
-fn record_answer_context(
+/// Applies the metadata of a reply: the overload threshold, whether the kind is called by other services,
+/// and the bundle version with its staleness.
+///
+/// A reply of another incarnation than the one addressed only triggers a query for the new incarnation.
+fn apply_answer_context(
     node: &Arc<Node>,
     call: &Call,
     route: &Arc<Route>,
     kind_state: &KindState,
-    sent: Now,
+    sent_at: Now,
     answer: &AnswerContext,
 ) {
     if answer.incarnation != route.record.incarnation {
@@ -350,10 +352,15 @@
         answer.bundle_version,
         Source::Peer(route.record.instance.clone()),
     );
-    route_staleness::confirm_from_peer(node, sent, answer.bundle_version, answer.knowledge_age_ms);
+    route_staleness::confirm_from_peer(
+        node,
+        sent_at,
+        answer.bundle_version,
+        answer.knowledge_age_ms,
+    );
 }
 
-/// Decides whether another try follows, and records the decision.
+/// Decides whether another attempt follows, and records the decision.
 fn should_retry(
     node: &Node,
     call: &mut Call,
@@ -367,9 +374,9 @@
     if call.context.token.is_some() {
         return should_query_owner_again(progress, reply)
             && has_time_left
-            && call.payload.is_replayable();
+            && call.payload.can_be_sent();
     }
-    if is_success(reply) || !call.payload.is_replayable() {
+    if is_success(reply) || !call.payload.can_be_sent() {
         return false;
     }
     let attempt = Attempt {
@@ -383,7 +390,7 @@
         has_time_left,
     };
     progress.crashes += usize::from(reply.context.refusal == Some(Refusal::BackendCrashed));
-    // Two tries may crash backend servers before the first crash report has reached all daemons.
+    // Two attempts may crash backend servers before the first crash report has reached all daemons.
     let crashes_backends =
         progress.crashes >= CRASHES_TO_QUARANTINE || remaining_quarantine(node, call).is_some();
     let is_backend_refusal = !crashes_backends && is_routed_backend_refusal(node, reply);
@@ -394,15 +401,15 @@
     } else {
         next_step(&attempt)
     };
-    let paid =
+    let is_affordable =
         (step != Step::Retry && !is_backend_refusal) || take_retry_budget(node, call, kind_state);
-    let kind = match step {
-        Step::Reroute if paid => &events::REROUTED,
-        Step::Retry if paid => &events::RETRIED,
+    let event_kind = match step {
+        Step::Reroute if is_affordable => &events::REROUTED,
+        Step::Retry if is_affordable => &events::RETRIED,
         _ => &events::NOT_RETRIED,
     };
     node.events.record(
-        kind,
+        event_kind,
         Some(call.context.request),
         vec![
             Field::new("kind", &call.kind.name),
@@ -410,12 +417,12 @@
             Field::new("verdict", reply.context.verdict),
             Field::new("already_retried", reply.context.already_retried),
             Field::new("attempts_left", progress.attempts_left),
-            Field::new("paid", paid),
+            Field::new("paid", is_affordable),
         ],
     );
     match step {
-        Step::Reroute if paid => progress.reroutes += 1,
-        Step::Retry if paid => {
+        Step::Reroute if is_affordable => progress.reroutes += 1,
+        Step::Retry if is_affordable => {
             call.context.repeated = true;
             export::count(node, &metrics::RETRIES, &[("kind", &call.kind.name)]);
         }
@@ -429,8 +436,8 @@
 /// Returns false if either budget is used up.
 fn take_retry_budget(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
-    let caller_pays = !is_root || call.in_force.take_caller_retry(call.context.caller);
-    caller_pays && lock(&kind_state.retries).try_retry(node.now())
+    let is_within_caller_budget = !is_root || call.in_force.take_caller_retry(call.context.caller);
+    is_within_caller_budget && lock(&kind_state.retries).try_retry(node.now())
 }
 
 /// Returns whether to send a token to its owner again, to query the outcome.
@@ -457,11 +464,11 @@
     }
 }
 
-fn client_span(
+fn call_span(
     call: &Call,
     span: SpanId,
     parent_span: SpanId,
-    start_ns: u64,
+    start_unix_ns: u64,
     reply: &Reply,
 ) -> Span {
     let is_root = call.context.depth == 0;
@@ -475,7 +482,7 @@
         } else {
             SpanKind::Client
         },
-        start_ns,
+        start_ns: start_unix_ns,
         end_ns: unix_ns(),
         failed: !is_success(reply),
         attributes: vec![
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -11,9 +11,9 @@
 use sorrelturn_telemetry::{Field, events};
 use std::{sync::Arc, time::Duration};
 
-/// The Retry-After time if a credential can't be checked now; longer than the interval between reads of the table.
+/// The Retry-After time if a credential can't be checked now.
 const CREDENTIAL_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// The shortest time between two events about unknown credentials.
+/// The minimum time between two events about unknown credentials.
 const UNKNOWN_CREDENTIAL_EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The route of a request and the workspace that sent it.
@@ -26,8 +26,8 @@
 
 /// Finds the route and the workspace of a request.
 ///
-/// A caller doesn't retry after `UnknownCaller`, so this refusal is sent only if the table without the credential
-/// was the newest one when the request arrived. Until that is known, the caller is told to retry later.
+/// A caller doesn't retry after `UnknownCaller`, so this refusal is sent only if the route table without the
+/// credential was the newest one when the request arrived. Until that is known, the reply has a Retry-After time.
 pub(crate) async fn identify(
     node: &Arc<Node>,
     routed: &Routed,
@@ -68,7 +68,7 @@
                     return Err(retry_later());
                 }
             }
-            None if is_unknown(node, presented, arrived_at) => {
+            None if check_unknown(node, presented, arrived_at) => {
                 record_unknown_credential(node, routed, presented.as_ref());
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
@@ -87,21 +87,25 @@
     }
 }
 
-/// Whether it is certain that no table contains the credential of a request.
-fn is_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
-    let covers = node.route_staleness.is_confirmed_since(arrived_at);
+/// Returns whether it is certain that the newest route table doesn't contain the credential of a request, and
+/// remembers such a credential. A remembered one counts as unknown as long as the table is valid.
+fn check_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
+    let is_confirmed = node.route_staleness.is_confirmed_since(arrived_at);
     match presented {
-        Some(credential) if covers => node.route_staleness.remember_unknown(credential),
+        Some(credential) if is_confirmed => node.route_staleness.remember_unknown(credential),
         Some(credential) => {
             let is_valid = route_staleness::is_valid(node, node.now());
             return is_valid && node.route_staleness.is_unknown(credential);
         }
         None => {}
     }
-    covers
+    is_confirmed
 }
 
-/// The workspace that sent a request, if it needs one; `None` if the request has no valid credential.
+/// Returns the workspace that sent a request.
+///
+/// The outer `None` means that the credential is unknown, or missing although the route requires one. The
+/// inner `None` means that the request needs no workspace.
 fn requesting_workspace(
     bundle: &Bundle,
     route: &RouteEntry,
@@ -116,7 +120,8 @@
     }
 }
 
-/// The hash of a request's credential. A request with two credentials is malformed, since its sender is ambiguous.
+/// Returns the hash of a request's credential. A request with two credentials is malformed, since its sender
+/// is ambiguous.
 fn presented_credential(
     headers: &HeaderMap,
     routed: &Routed,
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -1,4 +1,4 @@
-//! Calls that this daemon's backend server makes while it processes a request.
+//! Nested calls: calls that this daemon's backend server makes while it processes a request.
 
 use crate::{
     config::in_force::InForce,
@@ -30,7 +30,7 @@
 pub(crate) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let carried = Carried::new(node);
     let parent = find_parent(node, &req);
-    let request = parent.as_ref().map_or_else(
+    let request_id = parent.as_ref().map_or_else(
         || RequestId::random(&mut fastrand::Rng::new()),
         |parent| parent.context.request,
     );
@@ -40,13 +40,13 @@
                 parent.ended().await;
                 Reply::refused(Refusal::Deadline, Verdict::MayHaveRun)
             };
-            answer(node, Some(parent), request, req)
+            handle_call(node, Some(parent), request_id, req)
                 .or(parent_ended)
                 .await
         }
-        None => answer(node, None, request, req).await,
+        None => handle_call(node, None, request_id, req).await,
     };
-    reply.into_response(request, carried)
+    reply.into_response(request_id, carried)
 }
 
 fn find_parent(node: &Node, req: &Request<Incoming>) -> Option<Arc<Parent>> {
@@ -59,10 +59,10 @@
     node.parents.find(span, trace.map(|trace| trace.trace))
 }
 
-async fn answer(
+async fn handle_call(
     node: &Arc<Node>,
     parent: Option<&Arc<Parent>>,
-    request: RequestId,
+    request_id: RequestId,
     req: Request<Incoming>,
 ) -> Reply {
     let Some(in_force) = node.in_force.load_full() else {
@@ -75,11 +75,11 @@
     let Some(kind) = kind else {
         return Reply::not_run(Refusal::UnknownKind);
     };
-    let share = match parent {
+    let attempts = match parent {
         Some(parent) => lock(&parent.attempts).take(kind.min_executions),
         None => Some(kind.kind.attempts),
     };
-    let Some(share) = share else {
+    let Some(attempts) = attempts else {
         // An earlier call with the same token may have run; only its owner knows.
         let verdict = if kind.at_most_once() {
             Verdict::MayHaveRun
@@ -89,7 +89,7 @@
         return Reply::refused(Refusal::AttemptsSpent, verdict)
             .with_retry_after(owner::retry_after(node));
     };
-    let context = context(node, parent.map(Arc::as_ref), request, &kind, share);
+    let context = nested_context(node, parent.map(Arc::as_ref), request_id, &kind, attempts);
     let reply = forward_call(node, parent, &in_force, kind, context, req).await;
     if let Some(parent) = parent {
         lock(&parent.attempts).give_back(reply.context.attempts_left);
@@ -100,11 +100,14 @@
     reply
 }
 
-/// A nested call inherits the root's importance, deadline and identity.
-fn context(
+/// Builds the context of a nested call.
+///
+/// It inherits request id, trace, importance and caller of its parent, and its deadline is at most the
+/// parent's. Without a known parent it is a root call without a caller.
+fn nested_context(
     node: &Node,
     parent: Option<&Parent>,
-    request: RequestId,
+    request_id: RequestId,
     kind: &KindEntry,
     attempts: u32,
 ) -> CallContext {
@@ -112,8 +115,8 @@
     let deadline = parent.map_or(own_deadline, |parent| parent.deadline.min(own_deadline));
     let time_left = deadline.saturating_sub(node.now());
     CallContext {
-        request,
-        trace: parent.map_or(request.0, |parent| parent.context.trace),
+        request: request_id,
+        trace: parent.map_or(request_id.0, |parent| parent.context.trace),
         parent: parent.map_or(SpanId::default(), |parent| parent.span),
         kind: kind.name.clone(),
         service: kind.service.clone(),
@@ -137,7 +140,7 @@
     context: CallContext,
     req: Request<Incoming>,
 ) -> Reply {
-    let share = context.attempts;
+    let attempts = context.attempts;
     let deadline = node.now() + Duration::from_millis(context.deadline_ms.into());
     let key = call_key(&req);
     let (mut parts, incoming) = req.into_parts();
@@ -146,26 +149,30 @@
         Err(refused) => return refused,
     };
     headers::strip_for_peer(&mut parts.headers);
-    let for_repeat = f64::from(u8::from(context.repeated));
+    let repeated_fraction = f64::from(u8::from(context.repeated));
     let target = entry::target(&parts.uri);
     let caller = context.caller;
-    let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
+    let fingerprints =
+        fingerprint::fingerprints_of(&parts.method, &target, &parts.headers, caller, &payload);
     let mut call = Call {
         in_force: Arc::clone(in_force),
         kind,
-        context: CallContext { names, ..context },
+        context: CallContext {
+            names: fingerprints,
+            ..context
+        },
         deadline,
         method: parts.method,
         target,
         headers: parts.headers,
         payload,
-        repeated_fraction: for_repeat,
+        repeated_fraction,
     };
     if call.kind.at_most_once() {
-        match token(node, parent, &call, &key).await {
+        match token_for_call(node, parent, &call, &key).await {
             Ok(token) => call.context.token = Some(token),
             Err(mut refused) => {
-                refused.context.attempts_left = share;
+                refused.context.attempts_left = attempts;
                 return refused;
             }
         }
@@ -179,8 +186,9 @@
     reply
 }
 
-/// The token of a nested call. If the backend server repeats a call, it keeps the token of the first one.
-async fn token(
+/// Returns the token of a nested call. A call with the same key and parent as an earlier one gets the token
+/// of that one.
+async fn token_for_call(
     node: &Arc<Node>,
     parent: Option<&Arc<Parent>>,
     call: &Call,
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -21,8 +21,8 @@
 const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
 impl Hop {
-    /// Runs the call of a token at most once. The call continues if its caller disconnects, so that its outcome
-    /// is recorded.
+    /// Runs the call of a token at most once. The call continues if its caller disconnects, so that its
+    /// outcome is recorded.
     pub(crate) async fn run_with_token(self, token: ExecutionToken, req: Request<Body>) -> Reply {
         let target = req
             .uri()
@@ -34,9 +34,7 @@
         let begin = lock(&node.ledger).begin(node.now(), &token, fingerprint);
         match begin {
             BeginResult::MayRun => {}
-            BeginResult::Recorded(outcome) => {
-                return refund_attempts(self.replay(outcome), attempts);
-            }
+            BeginResult::Recorded(saved) => return refund_attempts(self.replay(saved), attempts),
             other => return refund_attempts(self.not_begun_reply(&other), attempts),
         }
         let execution = TokenExecution {
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -19,11 +19,11 @@
 
 /// One request in progress at the backend server.
 pub(crate) struct Parent {
-    /// The context of the call that carried the request.
+    /// The context of the request.
     pub(crate) context: CallContext,
-    /// The span of this hop.
+    /// The span of this execution.
     pub(crate) span: SpanId,
-    /// After this time nobody waits for the response.
+    /// The time after which nobody waits for the response.
     pub(crate) deadline: Now,
     /// The attempts that remain for its nested calls.
     pub(crate) attempts: Mutex<AttemptPool>,
@@ -71,12 +71,12 @@
         let context = &parent.context;
         self.totals.begin(context.level, context.repeated);
         let entry = (parent.span, parent.deadline);
-        let group = self
+        let kind_deadlines = self
             .by_kind
             .iter_mut()
-            .find(|group| group.kind == context.kind);
-        match group {
-            Some(group) => group.deadlines.push(entry),
+            .find(|kind_deadlines| kind_deadlines.kind == context.kind);
+        match kind_deadlines {
+            Some(kind_deadlines) => kind_deadlines.deadlines.push(entry),
             None => self.by_kind.push(KindDeadlines {
                 kind: context.kind.clone(),
                 deadlines: vec![entry],
@@ -88,18 +88,18 @@
     fn end(&mut self, parent: &Parent) {
         let context = &parent.context;
         self.totals.end(context.level, context.repeated);
-        let group_index = self
+        let kind_index = self
             .by_kind
             .iter()
-            .position(|group| group.kind == context.kind);
-        if let Some(group_index) = group_index {
-            let deadlines = &mut self.by_kind[group_index].deadlines;
+            .position(|kind_deadlines| kind_deadlines.kind == context.kind);
+        if let Some(kind_index) = kind_index {
+            let deadlines = &mut self.by_kind[kind_index].deadlines;
             let index = deadlines.iter().position(|(span, _)| *span == parent.span);
-            if let Some(at) = index {
-                deadlines.swap_remove(at);
+            if let Some(index) = index {
+                deadlines.swap_remove(index);
             }
             if deadlines.is_empty() {
-                self.by_kind.swap_remove(group_index);
+                self.by_kind.swap_remove(kind_index);
             }
         }
         self.by_span.remove(&parent.span);
@@ -107,16 +107,17 @@
 }
 
 impl KindDeadlines {
-    /// The requests that may have made a call with this deadline: those with the same deadline and those with a later one.
+    /// Counts the requests that may have made a call with this deadline: those with the same deadline and
+    /// those with a later one.
     fn candidate_parents(&self, call_deadline: Now) -> impl Iterator<Item = Candidate> {
         let (mut same_deadline, mut later) = (0, 0);
         for (_, deadline) in &self.deadlines {
             same_deadline += u32::from(deadline.abs_diff(call_deadline) <= DEADLINE_TOLERANCE);
             later += u32::from(*deadline > call_deadline + DEADLINE_TOLERANCE);
         }
-        let groups = [(true, same_deadline), (false, later)].into_iter();
-        let groups = groups.filter(|(_, count)| *count > 0);
-        groups.map(|(is_same, count)| Candidate {
+        let counts = [(true, same_deadline), (false, later)].into_iter();
+        let counts = counts.filter(|(_, count)| *count > 0);
+        counts.map(|(is_same, count)| Candidate {
             kind: self.kind.clone(),
             has_same_deadline: is_same,
             count,
@@ -188,18 +189,18 @@
         of_trace.next().is_none().then(|| Arc::clone(only))
     }
 
-    /// Counts over all requests in progress.
+    /// Returns the totals over all requests in progress.
     pub(crate) fn totals(&self) -> InProgressRequests {
         lock(&self.inner).totals
     }
 
-    /// The requests that may have made a call with this deadline, grouped by kind.
+    /// Counts the requests that may have made a call with this deadline, by kind.
     pub(crate) fn candidate_parents(&self, call_deadline: Now) -> Vec<Candidate> {
         let inner = lock(&self.inner);
-        let groups = inner
+        let candidates = inner
             .by_kind
             .iter()
-            .flat_map(|group| group.candidate_parents(call_deadline));
-        groups.collect()
+            .flat_map(|kind_deadlines| kind_deadlines.candidate_parents(call_deadline));
+        candidates.collect()
     }
 }
--- a/crates/sorrelturn-daemon/src/request/payload.rs
+++ b/crates/sorrelturn-daemon/src/request/payload.rs
@@ -58,7 +58,7 @@
             .ok_or_else(|| Reply::not_run(Refusal::Malformed))
     }
 
-    /// Returns the body for one try, or `None` if an earlier try used up the stream.
+    /// Returns the body for one attempt, or `None` if an earlier attempt used up the stream.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
             Self::Buffered(bytes) => Some(body::full(bytes.clone())),
@@ -66,7 +66,8 @@
         }
     }
 
-    pub(crate) fn is_replayable(&self) -> bool {
+    /// Returns whether the body can still be sent.
+    pub(crate) fn can_be_sent(&self) -> bool {
         match self {
             Self::Buffered(_) => true,
             Self::Stream { body, .. } => body.is_some(),
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -1,5 +1,4 @@
-//! The entry for requests whose kind is determined by host and path prefix, from callers on this VM
-//! and from this daemon's backend server.
+//! The entry in routed mode, for requests from callers on this VM and from this daemon's backend server.
 
 use crate::{
     backend::state::Routed,
@@ -36,10 +35,9 @@
 /// Whether the connection of a request was opened before or after the daemon started to shut down.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionPhase {
-    /// The daemon accepts requests from callers.
+    /// Opened before the shutdown. Its requests are subject to normal admission.
     Accepting,
-    /// The daemon shuts down and accepts only calls from its own backend server. Callers are notified by the
-    /// readiness check and by the closing of their open connections.
+    /// Opened during the shutdown. Only nested calls of this daemon's backend server are admitted.
     Draining,
 }
 
@@ -47,15 +45,15 @@
 struct ResolvedRequest {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
-    /// The workspace that the credential belongs to, if the request has one.
+    /// The workspace that the credential belongs to, if there is one.
     workspace: Option<Arc<WorkspaceEntry>>,
-    request: RequestId,
-    /// The shedding level learned from the responses to requests of this kind; it covers everything that
-    /// they call.
+    request_id: RequestId,
+    /// The shedding level, learned from the replies to requests of this kind. It covers everything that they
+    /// call. In routed mode, the learned threshold is a shedding level.
     level: u16,
-    /// Whether the request is a call from this daemon's backend server.
-    is_call: bool,
-    /// The remaining time that the caller sent.
+    /// Whether the request is a nested call of this daemon's backend server.
+    is_nested_call: bool,
+    /// The remaining time that the caller sent, in milliseconds.
     remaining_ms: Option<u32>,
     deadline: Now,
 }
@@ -71,10 +69,10 @@
     };
     let carried = Carried::new(node);
     let arrived_at = node.now();
-    let id = req.headers().get(&routed.dialect.headers.request_id);
-    let id = id.cloned();
-    let request = request_id(id.as_ref());
-    let resolved = resolve(node, routed, &req, request, arrived_at, phase).await;
+    let caller_request_id = req.headers().get(&routed.dialect.headers.request_id);
+    let caller_request_id = caller_request_id.cloned();
+    let request_id = parse_or_hash_id(caller_request_id.as_ref());
+    let resolved = resolve(node, routed, &req, request_id, arrived_at, phase).await;
     let (importance, kind, reply) = match resolved {
         Ok(resolved) => {
             let (importance, kind) = (resolved.kind.importance(), Arc::clone(&resolved.kind));
@@ -92,7 +90,7 @@
     }
     // Unknown credentials are recorded at most once per second, not once per request.
     if reply.context.refusal != Some(Refusal::UnknownCaller) {
-        record_request_done(node, request, kind.as_deref(), arrived_at, &reply);
+        record_request_done(node, request_id, kind.as_deref(), arrived_at, &reply);
     }
     export::request_done(
         node,
@@ -100,11 +98,11 @@
         reply.context.verdict,
         node.now() - arrived_at,
     );
-    into_response(routed, id, reply, carried)
+    into_response(routed, caller_request_id, reply, carried)
 }
 
-/// The id for events: the caller's id if it is a hexadecimal number, else its hash.
-fn request_id(id: Option<&HeaderValue>) -> RequestId {
+/// Returns the id for events: the caller's id if it is a hexadecimal number, else its hash.
+fn parse_or_hash_id(id: Option<&HeaderValue>) -> RequestId {
     let text = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
     text.parse().unwrap_or_else(|_| {
         let hash = blake3::hash(text.as_bytes());
@@ -119,7 +117,7 @@
     node: &Arc<Node>,
     routed: &Routed,
     req: &Request<Incoming>,
-    request: RequestId,
+    request_id: RequestId,
     arrived_at: Now,
     phase: ConnectionPhase,
 ) -> Result<ResolvedRequest, Reply> {
@@ -152,8 +150,8 @@
         level: state.threshold.current(node.now()).0,
         in_force,
         kind,
-        request,
-        is_call: workspace.is_none() && state.is_call.load(Ordering::Relaxed),
+        request_id,
+        is_nested_call: workspace.is_none() && state.is_call.load(Ordering::Relaxed),
         remaining_ms,
         deadline: arrived_at + Duration::from_millis(deadline_ms.into()),
         workspace,
@@ -161,13 +159,13 @@
     admit(node, routed, &resolved, &state, phase)?;
     // The quota comes last, so that requests refused by load shedding don't count against it.
     if let Some(workspace) = &resolved.workspace {
-        quota::consume(node, workspace, request).await?;
+        quota::consume(node, workspace, request_id).await?;
     }
     Ok(resolved)
 }
 
-/// Refuses a request that would be refused further down after work was done for it. A call from this daemon's
-/// backend server belongs to work in progress and is always admitted.
+/// Refuses requests during the shutdown, and requests that a service further down the call tree would shed.
+/// Nested calls belong to requests in progress and are always admitted.
 fn admit(
     node: &Node,
     routed: &Routed,
@@ -175,9 +173,9 @@
     state: &KindState,
     phase: ConnectionPhase,
 ) -> Result<(), Reply> {
-    if resolved.is_call {
-        let groups = node.parents.candidate_parents(resolved.deadline);
-        lock(&routed.graph).record_call(&resolved.kind.name, &groups);
+    if resolved.is_nested_call {
+        let candidates = node.parents.candidate_parents(resolved.deadline);
+        lock(&routed.graph).record_call(&resolved.kind.name, &candidates);
         return Ok(());
     }
     if phase == ConnectionPhase::Draining {
@@ -186,13 +184,13 @@
     let is_retry = resolved
         .remaining_ms
         .is_some_and(|remaining_ms| lock(&state.retry_detector).observe(remaining_ms));
-    let (kind_rank, ranks) = resolved.in_force.root_rank(resolved.kind.importance());
+    let (kind_rank, rank_count) = resolved.in_force.root_rank(resolved.kind.importance());
     // A workspace of higher importance raises the rank of its requests.
     let rank = kind_rank
         + resolved
             .in_force
             .rank_above_lowest(resolved.workspace.as_deref());
-    let mut bucket = resolved.request.shedding_bucket();
+    let mut bucket = resolved.request_id.shedding_bucket();
     if resolved
         .in_force
         .is_at_most_once_among_repeatable(&resolved.kind)
@@ -202,12 +200,12 @@
     if is_retry {
         bucket = bucket_for_retry(bucket, rank);
     }
-    if !refuses(resolved.level, rank, ranks, bucket) {
+    if !refuses(resolved.level, rank, rank_count, bucket) {
         return Ok(());
     }
     node.events.record(
         &events::REFUSED,
-        Some(resolved.request),
+        Some(resolved.request_id),
         vec![
             Field::new("kind", &resolved.kind.name),
             Field::new("reason", Refusal::Overload.name()),
@@ -246,15 +244,16 @@
         .workspace
         .as_ref()
         .map_or(CallerId::default(), |workspace| workspace.id);
-    let names = fingerprint::names_of(&parts.method, &target, &parts.headers, caller, &payload);
+    let fingerprints =
+        fingerprint::fingerprints_of(&parts.method, &target, &parts.headers, caller, &payload);
     let in_progress = node.parents.totals();
-    let (level, for_repeat) = match resolved.is_call {
+    let (level, repeated_fraction) = match resolved.is_nested_call {
         true => (in_progress.mean_level(), in_progress.repeated_fraction()),
         false => (resolved.level, 0.0),
     };
     let context = CallContext {
-        request: resolved.request,
-        trace: resolved.request.0,
+        request: resolved.request_id,
+        trace: resolved.request_id.0,
         parent: SpanId::default(),
         kind: resolved.kind.name.clone(),
         service: resolved.kind.service.clone(),
@@ -265,8 +264,8 @@
         token: None,
         caller,
         level,
-        repeated: for_repeat > 0.5,
-        names,
+        repeated: repeated_fraction > 0.5,
+        names: fingerprints,
     };
     let mut call = Call {
         in_force: resolved.in_force,
@@ -277,12 +276,13 @@
         target,
         headers: parts.headers,
         payload,
-        repeated_fraction: for_repeat,
+        repeated_fraction,
     };
     let reply = forward::call(node, &mut call).await;
-    // If this daemon shuts down, another instance may succeed, so the backend server's failure may be retried.
+    // A refusal because of a shutdown isn't recorded: another instance may succeed, so the failure of the
+    // request that made the call may be retried.
     let shuts_down = reply.context.refusal == Some(Refusal::Leaving);
-    if resolved.is_call && has_failed(&reply) && !shuts_down {
+    if resolved.is_nested_call && has_failed(&reply) && !shuts_down {
         routed.last_nested_call_failure.set(node.now());
     }
     reply
@@ -302,25 +302,25 @@
 ) {
     headers::strip_hop_by_hop(headers);
     headers::strip_internal(headers);
-    let names = &routed.dialect.headers;
+    let header_names = &routed.dialect.headers;
     // The owner sets the remaining time anew, from the deadline in the context.
-    headers.remove(&names.time_left_ms);
+    headers.remove(&header_names.time_left_ms);
     // Credentials aren't forwarded, and callers must not set the workspace themselves.
-    headers.remove(&names.credential);
-    headers.remove(&names.workspace);
+    headers.remove(&header_names.credential);
+    headers.remove(&header_names.workspace);
     if let Some(name) = workspace.and_then(|workspace| HeaderValue::from_str(&workspace.name).ok())
     {
-        headers.insert(names.workspace.clone(), name);
+        headers.insert(header_names.workspace.clone(), name);
     }
     if let Ok(service) = HeaderValue::from_str(&node.settings.service) {
-        headers.insert(names.caller_service.clone(), service);
+        headers.insert(header_names.caller_service.clone(), service);
     }
 }
 
 /// Records the event for a request that entered here.
 fn record_request_done(
     node: &Node,
-    request: RequestId,
+    request_id: RequestId,
     kind: Option<&KindEntry>,
     arrived_at: Now,
     reply: &Reply,
@@ -339,13 +339,13 @@
         fields.push(Field::new("retry_after_ms", reply.context.retry_after_ms));
     }
     node.events
-        .record(&events::REQUEST_DONE, Some(request), fields);
+        .record(&events::REQUEST_DONE, Some(request_id), fields);
 }
 
-/// The response to the caller. The status of a refusal depends on whether the request may have run.
+/// Returns the response to the caller. The status of a refusal depends on whether the request may have run.
 fn into_response(
     routed: &Routed,
-    id: Option<HeaderValue>,
+    caller_request_id: Option<HeaderValue>,
     reply: Reply,
     carried: Carried,
 ) -> Response<Body> {
@@ -363,7 +363,11 @@
             if context.retry_after_ms > 0 {
                 insert_retry_after(res.headers_mut(), context.retry_after_ms);
             }
-            insert_id(res.headers_mut(), &routed.dialect.headers.request_id, id);
+            insert_id(
+                res.headers_mut(),
+                &routed.dialect.headers.request_id,
+                caller_request_id,
+            );
             res
         }
     };
