--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -45,7 +45,7 @@
     /// When a call of the backend server failed last.
     pub(crate) last_nested_call_failure: LastTime,
     /// When an unknown credential was logged last.
-    pub(crate) noted_unknown: LastTime,
+    pub(crate) last_unknown_credential_event: LastTime,
     /// Where the requests for the backend server come from.
     pub(crate) origins: Mutex<RequestOrigins>,
     /// When a report that names no backend server was logged last.
@@ -74,7 +74,7 @@
             slots: AtomicU32::new(SLOTS_BEFORE_ANNOUNCEMENT),
             graph: Mutex::default(),
             last_nested_call_failure: LastTime::default(),
-            noted_unknown: LastTime::default(),
+            last_unknown_credential_event: LastTime::default(),
             origins: Mutex::default(),
             foreign_logged_at: LastTime::default(),
             is_saved: AtomicBool::new(false),
--- a/crates/sorrelturn-daemon/src/config/route_staleness.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether an unknown credential may cause a read now.
-    pub(crate) fn may_read_for_unknown(&self, now: Now) -> bool {
+    pub(crate) fn try_take_read_for_unknown(&self, now: Now) -> bool {
         lock(&self.unknown_reads).take(now)
     }
 
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -144,10 +144,10 @@
         let in_progress = BackendRequestGuard::new(&node, self.context.names);
         let copy_request = |req: &Request<Body>| self.copy_request(req);
         let take_retry = || self.take_retry_for_resend();
-        let sent = node
+        let send = node
             .backend
             .send(&node.ex, &node.timers, req, copy_request, take_retry);
-        let exchange = async { Some(sent.await) };
+        let exchange = async { Some(send.await) };
         let timeout = async {
             let deadline = node.timers.at(self.deadline + DEADLINE_GRACE);
             deadline.or(node.ending.over()).await;
@@ -207,7 +207,8 @@
     /// Takes one retry from the budget for sending the request a second time, since both copies may run.
     ///
     /// Returns false if the budget is used up, if the request is quarantined, or if no backend server
-    /// accepts requests now.
+    /// accepts requests now. A backend server that has announced its shutdown relies on receiving no new
+    /// requests.
     fn take_retry_for_resend(&self) -> bool {
         let routed = self.node.routed.as_ref();
         let accepts_no_requests = routed.is_some_and(|routed| routed.serving_id().is_none());
@@ -307,14 +308,14 @@
         }
         let is_refused_status =
             service.is_some_and(|service| service.refused_statuses.contains(&status));
-        let refused = is_refused_status || response_kind == Some(ResponseKind::NotRun);
+        let is_refused = is_refused_status || response_kind == Some(ResponseKind::NotRun);
         let is_draining = service
             .and_then(|service| service.drain_header.as_deref())
             .is_some_and(|name| res.headers().contains_key(name));
         if is_draining {
             gossip::leave(&self.node, LeavingCause::Backend);
         }
-        if refused {
+        if is_refused {
             in_progress.mark_finished();
             if res.body().is_end_stream() {
                 lease.give_back();
@@ -327,12 +328,12 @@
             let attempts = self.context.attempts;
             return refund_attempts(self.refusal_reply(Refusal::BackendRefused), attempts);
         }
-        let failed = res.status().is_server_error();
+        let is_server_error = res.status().is_server_error();
         let parent = guard.parent();
         let context = AnswerContext {
             verdict: Verdict::Ran,
             attempts_left: lock(&parent.attempts).close(),
-            already_retried: failed && self.has_failed_nested_call(parent),
+            already_retried: is_server_error && self.has_failed_nested_call(parent),
             threshold: self.record_end_and_threshold_of_calls(),
             ..AnswerContext::default()
         };
@@ -345,7 +346,7 @@
                 Field::new("took_ms", (self.node.now() - self.started_at).as_millis()),
             ],
         );
-        self.record_span(failed, status);
+        self.record_span(is_server_error, status);
         // The duration of a request that was sent twice is mostly that of an unresponsive connection.
         let outcome = if sent_twice {
             Outcome::Cancelled
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -73,7 +73,7 @@
                 return Err(Reply::not_run(Refusal::UnknownCaller));
             }
             None => {
-                let may_read = node.route_staleness.may_read_for_unknown(node.now());
+                let may_read = node.route_staleness.try_take_read_for_unknown(node.now());
                 if !may_read
                     || !route_staleness::wait_until(node, || {
                         node.route_staleness.is_confirmed_since(arrived_at)
@@ -136,10 +136,10 @@
 
 fn record_unknown_credential(node: &Node, routed: &Routed, presented: Option<&CredentialHash>) {
     let now = node.now();
-    if routed.noted_unknown.elapsed_since(now) < UNKNOWN_CREDENTIAL_EVENT_INTERVAL {
+    if routed.last_unknown_credential_event.elapsed_since(now) < UNKNOWN_CREDENTIAL_EVENT_INTERVAL {
         return;
     }
-    routed.noted_unknown.set(now);
+    routed.last_unknown_credential_event.set(now);
     let credential = presented.map_or_else(|| "none".to_owned(), CredentialHash::short);
     node.note(
         &events::CREDENTIAL_UNKNOWN,
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -100,6 +100,7 @@
         reply
     }
 
+    /// Returns the recorded outcome of the earlier execution.
     fn replay(&self, outcome: OnceOutcome) -> Reply {
         self.record_event(&events::RECORDED_ANSWER, Vec::new());
         let Some(body) = outcome.body else {
@@ -115,6 +116,7 @@
         Reply::answered(outcome.verdict, res)
     }
 
+    /// Returns the reply to a call whose token can't begin an execution.
     fn not_begun_reply(&self, begin: &BeginResult) -> Reply {
         let (refusal, verdict) = match begin {
             BeginResult::InProgress => (Refusal::StillRunning, Verdict::MayHaveRun),
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -281,8 +281,8 @@
     let reply = forward::call(node, &mut call).await;
     // A refusal because of a shutdown isn't recorded: another instance may succeed, so the failure of the
     // request that made the call may be retried.
-    let shuts_down = reply.context.refusal == Some(Refusal::Leaving);
-    if resolved.is_nested_call && has_failed(&reply) && !shuts_down {
+    let is_shutdown = reply.context.refusal == Some(Refusal::Leaving);
+    if resolved.is_nested_call && has_failed(&reply) && !is_shutdown {
         routed.last_nested_call_failure.set(node.now());
     }
     reply
