--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -183,7 +183,7 @@
     if call.context.depth == 0 && is_success(&reply) {
         call.in_force.caller_succeeded(call.context.caller);
     }
-    // After an interrupted exchange, the reply may be the outcome of an execution that used the attempts.
+    // After an interrupted exchange, the reply may be the outcome of an earlier attempt that used the executions.
     if progress.outcome_queries == 0 {
         progress.attempts_left += reply.context.attempts_left.min(attempts);
     }
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -137,7 +137,7 @@
     )))
 }
 
-/// Returns all attempts of a call that wasn't executed to its caller.
+/// Gives all executions that a call may use back to its caller, since the call did not run.
 pub(crate) fn refund_attempts(mut reply: Reply, attempts: u32) -> Reply {
     reply.context.attempts_left = attempts;
     reply
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -183,7 +183,7 @@
     Failed,
 }
 
-/// Reads a body up to `MAX_RECORDED_BODY_BYTES`. A larger one continues as a stream after the bytes already read.
+/// Reads a body up to `MAX_RECORDED_BODY_BYTES`. A larger one continues as a stream.
 async fn collect(mut body: Body) -> Collected {
     let mut read = Vec::new();
     while let Some(frame) = body.frame().await {
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -25,7 +25,7 @@
     pub(crate) span: SpanId,
     /// The time after which nobody waits for the response.
     pub(crate) deadline: Now,
-    /// The attempts that remain for its nested calls.
+    /// The executions that remain for its nested calls.
     pub(crate) attempts: Mutex<AttemptPool>,
     /// The tokens of its nested calls.
     pub(crate) tokens: Mutex<NestedTokens>,
