--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -43,9 +43,9 @@
     /// The calls that each kind of request makes.
     pub(crate) graph: Mutex<CallGraph>,
     /// When a call of the backend server failed last.
-    pub(crate) call_failed: LastTime,
+    pub(crate) last_nested_call_failure: LastTime,
     /// When an unknown credential was logged last.
-    pub(crate) noted_unknown: LastTime,
+    pub(crate) last_unknown_credential_event: LastTime,
     /// Where the requests for the backend server come from.
     pub(crate) origins: Mutex<RequestOrigins>,
     /// When a report that names no backend server was logged last.
@@ -73,8 +73,8 @@
             presence: Mutex::default(),
             slots: AtomicU32::new(SLOTS_BEFORE_ANNOUNCEMENT),
             graph: Mutex::default(),
-            call_failed: LastTime::default(),
-            noted_unknown: LastTime::default(),
+            last_nested_call_failure: LastTime::default(),
+            last_unknown_credential_event: LastTime::default(),
             origins: Mutex::default(),
             foreign_logged_at: LastTime::default(),
             is_saved: AtomicBool::new(false),
--- a/crates/sorrelturn-daemon/src/config/route_staleness.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -98,12 +98,12 @@
     }
 
     /// Returns whether an unknown credential may cause a read now.
-    pub(crate) fn may_read_for_unknown(&self, now: Now) -> bool {
+    pub(crate) fn try_take_read_for_unknown(&self, now: Now) -> bool {
         lock(&self.unknown_reads).take(now)
     }
 
     /// Returns whether it is certain that no newer table existed at `at`.
-    pub(crate) fn covers(&self, at: Now) -> bool {
+    pub(crate) fn is_confirmed_since(&self, at: Now) -> bool {
         lock(&self.freshness).is_confirmed_since(at)
     }
 
