--- a/crates/sorrelturn-bench/src/commands/soak.rs
+++ b/crates/sorrelturn-bench/src/commands/soak.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     run_on,
-    soak::{SoakPlan, SoakReport, SoakWords, soak},
+    soak::{SoakPlan, SoakReport, SoakTarget, soak},
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::{path::PathBuf, process::ExitCode};
@@ -69,10 +69,10 @@
 }
 
 /// Runs it on daemons that speak like this.
-pub fn run(args: &ArgMatches, words: &SoakWords) -> ExitCode {
+pub fn run(args: &ArgMatches, words: &SoakTarget) -> ExitCode {
     let number = |name| *args.get_one::<u64>(name).expect("clap has it");
     let instances = *args.get_one::<u32>("instances").expect("clap fills it in");
-    let plan = SoakPlan::of(number("seed"), number("seconds"), instances as usize);
+    let plan = SoakPlan::from_seed(number("seed"), number("seconds"), instances as usize);
     let plan = match args.get_flag("crashes") {
         true => plan.with_crashes(),
         false => plan,
@@ -104,8 +104,8 @@
             f,
             "asked {}, good {}, refused {}, failed {}, lost with a reason {}, ran {}, stops {}, unsure tables {}, \
              late by {} ms at most, breaches {}",
-            counts.asked,
-            counts.good,
+            counts.sent,
+            counts.succeeded,
             counts.refused,
             counts.failed,
             counts.lost,
--- a/crates/sorrelturn-bench/src/lib.rs
+++ b/crates/sorrelturn-bench/src/lib.rs
@@ -12,11 +12,11 @@
 pub mod experiment;
 mod fleet;
 mod idle_fleet;
-mod kept_ports;
 mod load;
 mod plan;
 mod processes;
 mod relay;
+mod reserved_ports;
 mod returns;
 mod routed_backend;
 mod routed_fleet;
@@ -33,17 +33,17 @@
 pub use exchanges::{ExchangeCounts, Exchanges, exchange_many};
 pub use exec::run_on;
 pub use fleet::{FleetPlan, InstancePlan, LocalFleet, operator_key, publish_bundle};
-pub use kept_ports::KeptPorts;
 pub use load::{Load, OnceWay, Record, Retries, Stretch};
 pub use plan::{Fault, KindPlan, Plan, PlannedCall, plan_for};
 pub use processes::{DaemonProcess, Process, ProcessFleet, binary, cpu_time, memory};
 pub use relay::Relay;
+pub use reserved_ports::ReservedPorts;
 pub use returns::{
     PRESSINGS, PRODUCT, Pressing, RETURNING_KINDS, Refused, ReturnRule, ReturnWay, Returned,
     ReturningKind, play_returns,
 };
 pub use routed_backend::{
-    BODY, CALL_PATH, Cancelled, IDLE_S, Reached, RoutedBackend, SIGNATURE, Script,
+    BODY, CALL_PATH, Cancelled, IDLE_TIMEOUT_S, ReceivedRequest, RoutedBackend, SIGNATURE, Script,
 };
 pub use routed_fleet::{Paths, RoutedFleet, RoutedInstance, until};
 pub use scenario::{Lengths, SCENARIOS, Scenario, System, run_scenario};
--- a/crates/sorrelturn-bench/src/processes.rs
+++ b/crates/sorrelturn-bench/src/processes.rs
@@ -87,7 +87,7 @@
     }
 
     /// Its end, if it has ended.
-    pub(crate) fn has_ended(&mut self) -> Option<ExitStatus> {
+    pub(crate) fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         let until = Instant::now() + WAIT;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
@@ -213,7 +213,7 @@
             let daemon = fleet.start_daemon(number).await;
             fleet.daemons.push(daemon);
         }
-        fleet.until_all_know_all().await;
+        fleet.wait_for_all_members().await;
         fleet
     }
 
@@ -272,7 +272,7 @@
     }
 
     /// Waits until every daemon has the bundle and knows every other one.
-    pub async fn until_all_know_all(&self) {
+    pub async fn wait_for_all_members(&self) {
         let all = self.daemons.len();
         for daemon in &self.daemons {
             daemon
@@ -340,7 +340,7 @@
     }
 
     /// How often each request that carried `x-execution-key` was begun at the backend server.
-    pub async fn ran(&self) -> std::collections::HashMap<String, u32> {
+    pub async fn execution_counts(&self) -> std::collections::HashMap<String, u32> {
         let req = Request::get("/fake/ran")
             .body(Bytes::new())
             .expect("a request");
--- a/crates/sorrelturn-bench/src/relay.rs
+++ b/crates/sorrelturn-bench/src/relay.rs
@@ -53,7 +53,7 @@
     }
 
     /// Says where the path leads.
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.state.target() = Some(target);
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Lets what was held up go on.
-    pub fn join(&self) {
+    pub fn heal(&self) {
         self.state.cut.store(false, Ordering::Relaxed);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// How many connections were opened so far.
-    pub fn opened(&self) -> usize {
+    pub fn opened_count(&self) -> usize {
         self.state.opened.load(Ordering::Relaxed)
     }
 }
--- a/crates/sorrelturn-bench/src/kept_ports.rs
+++ b/crates/sorrelturn-bench/src/reserved_ports.rs
@@ -14,33 +14,33 @@
 /// listen keeps a port, and leaves it to listeners with `SO_REUSEADDR`, which daemons set; while none listens,
 /// connections are refused as if nobody had the port.
 #[derive(Debug, Default)]
-pub struct KeptPorts {
+pub struct ReservedPorts {
     sockets: Vec<Socket>,
 }
 
-impl KeptPorts {
+impl ReservedPorts {
     /// Keeps a port for each listener of a daemon whose kinds are told by routes; says where they are.
     ///
     /// # Errors
     ///
     /// If the kernel has no port left.
-    pub fn of_routed_daemon() -> io::Result<(Self, ListenSettings)> {
+    pub fn for_routed_daemon() -> io::Result<(Self, ListenSettings)> {
         let mut ports = Self::default();
         let listen = ListenSettings {
-            callers: ports.keep_one()?,
-            local: ports.keep_one()?,
-            peers: ports.keep_one()?,
-            control: ports.keep_one()?,
-            admin: ports.keep_one()?,
-            routed: Some(ports.keep_one()?),
-            announce: Some(ports.keep_one()?),
-            ready: Some(ports.keep_one()?),
+            callers: ports.reserve()?,
+            local: ports.reserve()?,
+            peers: ports.reserve()?,
+            control: ports.reserve()?,
+            admin: ports.reserve()?,
+            routed: Some(ports.reserve()?),
+            announce: Some(ports.reserve()?),
+            ready: Some(ports.reserve()?),
         };
         Ok((ports, listen))
     }
 
     /// Keeps one port on loopback; says where it is.
-    pub(crate) fn keep_one(&mut self) -> io::Result<SocketAddr> {
+    pub(crate) fn reserve(&mut self) -> io::Result<SocketAddr> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
--- a/crates/sorrelturn-bench/src/routed_backend.rs
+++ b/crates/sorrelturn-bench/src/routed_backend.rs
@@ -3,7 +3,7 @@
 //! It writes its answers byte by byte, because most of what it has to play can't be said through a
 //! library that keeps to the protocol.
 
-use crate::{KeptPorts, client::answer_body};
+use crate::{ReservedPorts, client::answer_body};
 use smol::{
     Executor, Task,
     channel::{self, Sender},
@@ -78,7 +78,7 @@
 
 /// A request as it reached the backend server.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct ReceivedRequest {
     /// Method, target and protocol.
     pub line: String,
     /// Headers by lower-case name.
@@ -89,7 +89,7 @@
 
 /// Is told of each request that is meant for this run of the backend server, and what is done with it, before
 /// it is answered.
-pub(crate) type Watcher = Arc<dyn Fn(&Reached, Script) + Send + Sync>;
+pub(crate) type Watcher = Arc<dyn Fn(&ReceivedRequest, Script) + Send + Sync>;
 
 /// The fake.
 #[derive(Clone)]
@@ -102,7 +102,7 @@
 struct State {
     id: String,
     /// Its port, which stays its own while it is down.
-    ports: KeptPorts,
+    ports: ReservedPorts,
     addr: Option<SocketAddr>,
     /// Dropped when it crashes: its listener and its connections end.
     running: Option<Sender<()>>,
@@ -113,8 +113,8 @@
     crashes_after: Duration,
     crashes: usize,
     script: Script,
-    reached: Vec<Reached>,
-    ran: Vec<Reached>,
+    reached: Vec<ReceivedRequest>,
+    ran: Vec<ReceivedRequest>,
     cancelled: Vec<Cancelled>,
     connections: usize,
     daemon: Option<SocketAddr>,
@@ -123,7 +123,7 @@
 /// The body of each answer.
 pub const BODY: &str = "the whole answer of the backend server";
 /// How long it says that connections may rest, in seconds.
-pub const IDLE_S: u64 = 1;
+pub const IDLE_TIMEOUT_S: u64 = 1;
 /// How long it works where a test makes calls for it meanwhile.
 const SOON: Duration = Duration::from_millis(100);
 /// What it asks of its daemon while it works on a request.
@@ -146,7 +146,7 @@
     pub fn new(names: &HeaderNames, id: &str) -> Self {
         let state = State {
             id: id.to_owned(),
-            ports: KeptPorts::default(),
+            ports: ReservedPorts::default(),
             addr: None,
             running: None,
             listens: None,
@@ -177,16 +177,20 @@
 
     /// Serves on a free port until the executor ends or it crashes.
     pub async fn serve(&self, ex: &Arc<Executor<'static>>) -> io::Result<SocketAddr> {
-        let addr = self.lock().ports.keep_one()?;
+        let addr = self.lock().ports.reserve()?;
         self.lock().addr = Some(addr);
         self.listen(ex, addr).await?;
         Ok(addr)
     }
 
     /// Is there again after a crash, as another run under this id.
-    pub async fn rise(&self, ex: &Arc<Executor<'static>>, id: &str) -> io::Result<()> {
+    pub async fn restart_after_crash(
+        &self,
+        ex: &Arc<Executor<'static>>,
+        id: &str,
+    ) -> io::Result<()> {
         let addr = self.lock().addr.ok_or(io::ErrorKind::NotConnected)?;
-        self.restart_as(id);
+        self.restart_with_id(id);
         let crashed = self.lock().listens.take();
         if let Some(crashed) = crashed {
             crashed.await;
@@ -232,12 +236,12 @@
     }
 
     /// From now on it crashes whenever it has run a request whose first line or body holds `mark`.
-    pub fn crash_by(&self, mark: &str) {
+    pub fn crash_on(&self, mark: &str) {
         self.lock().crashes_by = Some(mark.to_owned());
     }
 
     /// It runs such a request for so long before it crashes, whether anybody waits for it or not.
-    pub fn crash_after(&self, time: Duration) {
+    pub fn set_crash_delay(&self, time: Duration) {
         self.lock().crashes_after = time;
     }
 
@@ -251,7 +255,7 @@
         self.lock().running.is_some()
     }
 
-    fn crashes_by(&self, req: &Reached) -> bool {
+    fn crashes_by(&self, req: &ReceivedRequest) -> bool {
         let state = self.lock();
         let mark = state.crashes_by.as_deref();
         mark.is_some_and(|mark| {
@@ -265,12 +269,12 @@
     }
 
     /// Its own calls go through this daemon from now on.
-    pub fn call_through(&self, daemon: SocketAddr) {
+    pub fn call_via(&self, daemon: SocketAddr) {
         self.lock().daemon = Some(daemon);
     }
 
     /// The backend server is another run from now on.
-    pub fn restart_as(&self, id: &str) {
+    pub fn restart_with_id(&self, id: &str) {
         self.lock().id = id.to_owned();
     }
 
@@ -280,7 +284,7 @@
     }
 
     /// All requests that reached it.
-    pub fn reached(&self) -> Vec<Reached> {
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.lock().reached.clone()
     }
 
@@ -290,7 +294,7 @@
     }
 
     /// The requests that it began to run.
-    pub fn ran(&self) -> Vec<Reached> {
+    pub fn executed_requests(&self) -> Vec<ReceivedRequest> {
         self.lock().ran.clone()
     }
 
@@ -351,13 +355,14 @@
     async fn answer(
         &self,
         tcp: &mut BufReader<TcpStream>,
-        req: &Reached,
+        req: &ReceivedRequest,
         script: Script,
     ) -> io::Result<bool> {
         let name = &self.names.request_id;
         let asked = req.headers.get(name.as_str()).cloned().unwrap_or_default();
-        let back =
-            format!("{name}: {asked}\r\n{SIGNATURE}: {asked}\r\nkeep-alive: timeout={IDLE_S}\r\n");
+        let back = format!(
+            "{name}: {asked}\r\n{SIGNATURE}: {asked}\r\nkeep-alive: timeout={IDLE_TIMEOUT_S}\r\n"
+        );
         let whole = match &self.watcher {
             Some(_) => {
                 let body = answer_body(&asked, 0);
@@ -467,7 +472,7 @@
     text + "\r\n"
 }
 
-async fn read(tcp: &mut BufReader<TcpStream>) -> io::Result<Option<Reached>> {
+async fn read(tcp: &mut BufReader<TcpStream>) -> io::Result<Option<ReceivedRequest>> {
     let mut line = String::new();
     if tcp.read_line(&mut line).await? == 0 {
         return Ok(None);
@@ -485,7 +490,7 @@
     let length = length.and_then(|text| text.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     tcp.read_exact(&mut body).await?;
-    Ok(Some(Reached {
+    Ok(Some(ReceivedRequest {
         line: line.trim().to_owned(),
         headers,
         body,
--- a/crates/sorrelturn-bench/src/routed_fleet.rs
+++ b/crates/sorrelturn-bench/src/routed_fleet.rs
@@ -1,7 +1,7 @@
 //! A small fleet on loopback whose kinds are told by routes, beside scripted backend servers.
 
 use crate::{
-    KeptPorts, Relay, RoutedBackend,
+    Relay, ReservedPorts, RoutedBackend,
     processes::{Process, play_faults},
 };
 use bytes::Bytes;
@@ -39,7 +39,7 @@
     /// Where the daemon listens.
     pub addresses: ListenSettings,
     /// Those ports, for the daemon's next run.
-    _ports: KeptPorts,
+    _ports: ReservedPorts,
     /// The daemon's settings, to start it anew.
     pub settings: Settings,
     /// The daemon, until it is stopped.
@@ -77,8 +77,8 @@
 
     /// Has a daemon and its peers take these paths.
     fn lead(&self, settings: &mut Settings) {
-        self.backend.lead_to(settings.backend.address);
-        self.platform.lead_to(settings.platform.address);
+        self.backend.set_target(settings.backend.address);
+        self.platform.set_target(settings.platform.address);
         settings.backend.address = self.backend.addr;
         settings.platform.address = self.platform.addr;
         settings.advertise = AdvertiseSettings {
@@ -151,7 +151,7 @@
     }
 
     /// As [`RoutedFleet::start_with_paths`], with daemons that read the time like this; their timers don't.
-    pub async fn start_by_time(
+    pub async fn start_with_clock(
         ex: Arc<Executor<'static>>,
         dialect: Dialect,
         services: &[&str],
@@ -190,7 +190,7 @@
     async fn start_instance(&self, number: usize, service: &str) -> RoutedInstance {
         let backend = RoutedBackend::new(&self.dialect.headers, &format!("b-{number}"));
         let backend_addr = backend.serve(&self.ex).await.expect("a free port");
-        let (ports, listen) = KeptPorts::of_routed_daemon().expect("free ports");
+        let (ports, listen) = ReservedPorts::for_routed_daemon().expect("free ports");
         let mut settings = self.settings(number, service, &listen, backend_addr);
         let mut paths = None;
         if self.has_paths {
@@ -200,8 +200,8 @@
         }
         let daemon = self.start_daemon(settings.clone()).await;
         if let Some(paths) = &paths {
-            paths.peers.lead_to(daemon.addresses.peers);
-            paths.control.lead_to(daemon.addresses.control);
+            paths.peers.set_target(daemon.addresses.peers);
+            paths.control.set_target(daemon.addresses.control);
         }
         RoutedInstance {
             backend,
@@ -290,7 +290,7 @@
     }
 
     /// Starts the next run of a daemon that has stopped, which listens where the last one did.
-    pub async fn start_anew(&mut self, at: usize) {
+    pub async fn restart_daemon(&mut self, at: usize) {
         let settings = self.instances[at].settings.clone();
         let end = Instant::now() + WAIT;
         // The tasks that listened for the last run end a little later than it.
@@ -307,7 +307,7 @@
 
     /// Puts a process in the place of one instance's daemon, with the same settings, and waits until it is ready;
     /// `folder` takes the settings file.
-    pub async fn hand_to_process(&mut self, at: usize, folder: &Path) {
+    pub async fn replace_with_process(&mut self, at: usize, folder: &Path) {
         if let Some(daemon) = self.instances[at].daemon.take() {
             daemon.stop().await;
         }
@@ -350,7 +350,7 @@
         instance.sequence += 1;
         let sequence = instance.sequence;
         let body = instance.heartbeat(state, sequence, 8);
-        instance.call_announce("heartbeat", body).await
+        instance.post_backend_call("heartbeat", body).await
     }
 }
 
@@ -364,13 +364,13 @@
     }
 
     /// The same of a run that tells when it started.
-    pub fn heartbeat_of_run(&self, born: u64, state: &str, sequence: u64) -> String {
+    pub fn heartbeat_of_incarnation(&self, born: u64, state: &str, sequence: u64) -> String {
         let text = self.heartbeat(state, sequence, 8);
         format!(r#"{{"born":{born},{}"#, &text[1..])
     }
 
     /// Makes a call of the backend server to its daemon.
-    pub async fn call_announce(&self, call: &str, body: String) -> u16 {
+    pub async fn post_backend_call(&self, call: &str, body: String) -> u16 {
         let path = format!("/backend/{}/{call}", self.backend.id());
         let req = Request::post(path).body(Bytes::from(body));
         let addr = self.addresses.announce.expect("it listens");
--- a/crates/sorrelturn-bench/src/soak/acts.rs
+++ b/crates/sorrelturn-bench/src/soak/actions.rs
@@ -2,9 +2,9 @@
 
 use super::{
     checker::Checker,
+    harness::{FOREIGN, Harness, LOOK, PATIENCE, TABLE, WORKS, lock},
     member::{BackendRun, Member},
-    plan::{Act, Trouble},
-    site::{FOREIGN, LOOK, PATIENCE, Site, TABLE, WORKS, lock},
+    plan::{Action, StoreFault},
 };
 use crate::{Script, processes::play_faults};
 use smol::Timer;
@@ -22,47 +22,47 @@
     bytes: 40_000,
 };
 
-impl Site {
+impl Harness {
     /// Writes the next route table into the store, or the one before the newest.
     pub(super) async fn publish(&self, older: bool) {
         let version = if older {
             let before = self.version.load(Ordering::Relaxed).max(2) - 1;
-            self.checker().goes_back(before);
+            self.checker().reverting_to(before);
             before
         } else {
             let next = self.version.fetch_add(1, Ordering::Relaxed) + 1;
-            self.checker().published(next);
+            self.checker().table_published(next);
             next
         };
         let platform = Platform::new(self.platform, PATIENCE);
         let table = (self.words.table)(version);
         let written = platform.put(TABLE, &table, Expected::Anything).await;
         if written.is_ok() {
-            self.checker().confirmed(self.now(), version);
+            self.checker().table_confirmed(self.now(), version);
         }
         let unsure = u64::from(written.is_err());
         self.unsure_tables.fetch_add(unsure, Ordering::Relaxed);
     }
 
-    pub(super) async fn play(&self, act: Act) {
-        match act {
-            Act::Stop {
+    pub(super) async fn play(&self, action: Action) {
+        match action {
+            Action::Stop {
                 daemon,
                 again_ms,
                 kill_ms,
             } => self.stop(daemon, again_ms, kill_ms).await,
-            Act::Kill { daemon } => self.kill(daemon, None),
-            Act::Pause { daemon, ms } => self.pause(daemon, ms).await,
-            Act::Reread { daemon } => self.signal(daemon, "HUP", |_, _| ()),
-            Act::Publish { older } => self.publish(older).await,
-            Act::Store { trouble, ms } => self.trouble(trouble, ms).await,
-            Act::Path { daemon, harm, ms } => {
+            Action::Kill { daemon } => self.kill(daemon, None),
+            Action::Pause { daemon, ms } => self.pause(daemon, ms).await,
+            Action::Reread { daemon } => self.signal(daemon, "HUP", |_, _| ()),
+            Action::Publish { older } => self.publish(older).await,
+            Action::Store { trouble, ms } => self.trouble(trouble, ms).await,
+            Action::Path { daemon, harm, ms } => {
                 let (now, lasts) = (self.now(), Duration::from_millis(ms));
-                self.checker().harmed(now, now + lasts, daemon);
+                self.checker().path_faulted(now, now + lasts, daemon);
                 self.daemons[daemon].way.harm(harm, lasts).await;
             }
-            Act::Leave { daemon, ms } => self.leave(daemon, ms).await,
-            Act::Misbehave { daemon, script, ms } => {
+            Action::Leave { daemon, ms } => self.leave(daemon, ms).await,
+            Action::Misbehave { daemon, script, ms } => {
                 let backend = &self.daemons[daemon].backend;
                 backend.play(script);
                 Timer::after(Duration::from_millis(ms)).await;
@@ -77,7 +77,7 @@
     fn signal(&self, daemon: usize, signal: &str, note: impl FnOnce(&mut Checker, Duration)) {
         let mut slot = lock(&self.daemons[daemon].process);
         if let Some(process) = slot.as_mut()
-            && process.has_ended().is_none()
+            && process.try_exit_status().is_none()
         {
             note(&mut self.checker(), self.now());
             process.signal(signal);
@@ -85,8 +85,12 @@
     }
 
     async fn stop(&self, daemon: usize, again_ms: Option<u64>, kill_ms: Option<u64>) {
-        let run = self.checker().run_of(daemon);
-        let tell = || self.signal(daemon, "TERM", |checker, now| checker.told(now, daemon));
+        let run = self.checker().current_incarnation(daemon);
+        let tell = || {
+            self.signal(daemon, "TERM", |checker, now| {
+                checker.stop_requested(now, daemon)
+            })
+        };
         tell();
         let again = async {
             if let Some(ms) = again_ms {
@@ -105,7 +109,7 @@
 
     /// Kills a daemon; where a run is given, only that one.
     fn kill(&self, daemon: usize, run: Option<usize>) {
-        if run.is_none_or(|run| run == self.checker().run_of(daemon)) {
+        if run.is_none_or(|run| run == self.checker().current_incarnation(daemon)) {
             self.signal(daemon, "KILL", |checker, now| checker.killed(now, daemon));
         }
     }
@@ -116,18 +120,18 @@
         self.signal(daemon, "CONT", |checker, now| checker.resumed(now, daemon));
     }
 
-    async fn trouble(&self, trouble: Trouble, ms: u64) {
+    async fn trouble(&self, trouble: StoreFault, ms: u64) {
         let mut faults = Faults::default();
         match trouble {
-            Trouble::Down => faults.down = true,
-            Trouble::Busy => faults.busy = true,
-            Trouble::Silent => faults.silent = true,
-            Trouble::Slow => faults.slow_ms = SLOW_MS,
-            Trouble::LosesAnswers => faults.lose_write_answers = u32::MAX,
-            Trouble::Deaf => faults.silent_watches = true,
+            StoreFault::Down => faults.down = true,
+            StoreFault::Busy => faults.busy = true,
+            StoreFault::Silent => faults.silent = true,
+            StoreFault::Slow => faults.slow_ms = SLOW_MS,
+            StoreFault::LosesAnswers => faults.lose_write_answers = u32::MAX,
+            StoreFault::Deaf => faults.silent_watches = true,
         }
         let (now, lasts) = (self.now(), Duration::from_millis(ms));
-        self.checker().store_troubled(now, now + lasts);
+        self.checker().store_faulted(now, now + lasts);
         play_faults(self.platform, &faults).await;
         Timer::after(lasts).await;
         // Of troubles that overlap the first to end ends all.
@@ -146,7 +150,7 @@
         }
         self.checker().leave_acknowledged(self.now(), daemon);
         Timer::at(away).await;
-        self.checker().joins(daemon);
+        self.checker().backend_joining(daemon);
         let before = member.start_next_run(daemon);
         self.held_up_news(member, &before).await;
     }
--- a/crates/sorrelturn-bench/src/soak/checker.rs
+++ b/crates/sorrelturn-bench/src/soak/checker.rs
@@ -1,7 +1,7 @@
 //! What is promised, checked by what callers and backend servers saw. It takes the time as an argument and
 //! opens no socket, so that a test can feed it a breach of each promise.
 
-use super::workspaces::{Shows, WorkspacesSeen};
+use super::workspaces::{CredentialKind, WorkspacesSeen};
 use std::{collections::HashMap, time::Duration};
 
 /// What happened to a daemon counts for so long: the time after which the platform's rules take a machine
@@ -117,9 +117,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests that were sent whole.
-    pub asked: u64,
+    pub sent: u64,
     /// Successes.
-    pub good: u64,
+    pub succeeded: u64,
     /// Refusals.
     pub refused: u64,
     /// Other answers.
@@ -134,7 +134,7 @@
 
 struct Request {
     kind: Kind,
-    shows: Shows,
+    shows: CredentialKind,
     daemon: usize,
     run: usize,
     asked: Duration,
@@ -147,7 +147,7 @@
 struct Run {
     /// When it was up.
     up: Duration,
-    told: Option<Duration>,
+    stop_requested: Option<Duration>,
     killed: bool,
     ended: bool,
     /// Times at which it stood still; the last may not be over.
@@ -166,7 +166,7 @@
 struct DaemonSeen {
     runs: Vec<Run>,
     /// Times at which the path to it was harmed.
-    harmed: Vec<(Duration, Duration)>,
+    path_faulted: Vec<(Duration, Duration)>,
     /// When its backend server's leave was acknowledged.
     left: Option<Duration>,
     /// Its ends that were no exit of its own.
@@ -184,9 +184,9 @@
     lag: Duration,
     daemons: Vec<DaemonSeen>,
     requests: HashMap<String, Request>,
-    published: u64,
+    table_published: u64,
     /// Times at which the store was in trouble.
-    store_troubled: Vec<(Duration, Duration)>,
+    store_faulted: Vec<(Duration, Duration)>,
     /// When backend servers ran the request that crashes them.
     crashes: Vec<Duration>,
     /// How many of them that daemons in touch could have kept it from.
@@ -204,8 +204,8 @@
             lag: Duration::ZERO,
             daemons: (0..daemons).map(|_| DaemonSeen::default()).collect(),
             requests: HashMap::new(),
-            published: 0,
-            store_troubled: Vec::new(),
+            table_published: 0,
+            store_faulted: Vec::new(),
             crashes: Vec::new(),
             crashes_late: 0,
             workspaces: WorkspacesSeen::default(),
@@ -225,7 +225,7 @@
     }
 
     /// The soak itself was late by so much.
-    pub fn lags(&mut self, by: Duration) {
+    pub fn record_lag(&mut self, by: Duration) {
         self.lag = self.lag.max(by);
     }
 
@@ -245,13 +245,13 @@
     }
 
     /// Which run of the daemon is the last.
-    pub fn run_of(&self, daemon: usize) -> usize {
+    pub fn current_incarnation(&self, daemon: usize) -> usize {
         self.daemons[daemon].runs.len().saturating_sub(1)
     }
 
     /// A daemon is told to stop.
-    pub fn told(&mut self, at: Duration, daemon: usize) {
-        self.last(daemon).told.get_or_insert(at);
+    pub fn stop_requested(&mut self, at: Duration, daemon: usize) {
+        self.last(daemon).stop_requested.get_or_insert(at);
     }
 
     /// A daemon is killed.
@@ -274,17 +274,17 @@
     }
 
     /// The path to a daemon is harmed.
-    pub fn harmed(&mut self, from: Duration, until: Duration, daemon: usize) {
-        self.daemons[daemon].harmed.push((from, until));
+    pub fn path_faulted(&mut self, from: Duration, until: Duration, daemon: usize) {
+        self.daemons[daemon].path_faulted.push((from, until));
     }
 
     /// The store is in trouble.
-    pub fn store_troubled(&mut self, from: Duration, until: Duration) {
-        self.store_troubled.push((from, until));
+    pub fn store_faulted(&mut self, from: Duration, until: Duration) {
+        self.store_faulted.push((from, until));
     }
 
     /// A backend server begins to run the request that crashes it.
-    pub fn runs_what_crashes(&mut self, at: Duration, id: &str, daemon: usize) {
+    pub fn running_crashing_request(&mut self, at: Duration, id: &str, daemon: usize) {
         let since = at.saturating_sub(CONTACT);
         let third = self.crashes.get(CRASHES_BORNE - 1).copied();
         self.crashes.push(at);
@@ -294,7 +294,7 @@
             .get(id)
             .map_or(daemon, |request| request.daemon);
         let troubled = |(from, until): &(Duration, Duration)| *from <= at && *until >= since;
-        let in_touch = !self.store_troubled.iter().any(troubled)
+        let in_touch = !self.store_faulted.iter().any(troubled)
             && self.was_in_touch(entry, at)
             && self.was_in_touch(daemon, at);
         let is_late = third.is_some_and(|third| third + CONTACT + self.lag < at);
@@ -314,23 +314,23 @@
         let seen = &self.daemons[daemon];
         let since = at.saturating_sub(CONTACT);
         let run = seen.runs.last();
-        let runs = run.is_some_and(|run| run.told.is_none() && run.up <= since);
+        let runs = run.is_some_and(|run| run.stop_requested.is_none() && run.up <= since);
         runs && !seen.was_disturbed(since, at)
     }
 
     /// A route table may be in force from now on.
-    pub fn published(&mut self, version: u64) {
-        self.published = self.published.max(version);
+    pub fn table_published(&mut self, version: u64) {
+        self.table_published = self.table_published.max(version);
     }
 
     /// The store has confirmed the route table of a version.
-    pub fn confirmed(&mut self, at: Duration, version: u64) {
-        self.workspaces.confirmed(at, version);
+    pub fn table_confirmed(&mut self, at: Duration, version: u64) {
+        self.workspaces.table_confirmed(at, version);
     }
 
     /// An earlier route table is about to be written again.
-    pub fn goes_back(&mut self, version: u64) {
-        self.workspaces.goes_back(version);
+    pub fn reverting_to(&mut self, version: u64) {
+        self.workspaces.reverting_to(version);
     }
 
     /// The leave of a backend server was acknowledged.
@@ -339,22 +339,22 @@
     }
 
     /// A new run of a backend server is about to announce itself.
-    pub fn joins(&mut self, daemon: usize) {
+    pub fn backend_joining(&mut self, daemon: usize) {
         self.daemons[daemon].left = None;
     }
 
     /// A daemon's process has ended.
     pub fn exited(&mut self, at: Duration, daemon: usize, code: Option<i32>) {
-        self.check_time(at, daemon);
+        self.check_exit_time(at, daemon);
         let run = self.last(daemon);
         run.ended = true;
-        let (told, killed, late) = (run.told, run.killed, run.late);
-        let from = told.unwrap_or_default().saturating_sub(CONTACT);
+        let (stop_requested, killed, late) = (run.stop_requested, run.killed, run.late);
+        let from = stop_requested.unwrap_or_default().saturating_sub(CONTACT);
         let disturbed = run.was_disturbed(from, at);
         if killed {
             return;
         }
-        if told.is_none() {
+        if stop_requested.is_none() {
             let what = format!("daemon {daemon} ended by itself with {code:?}");
             return self.breach(at, Promise::GoesOn, what);
         }
@@ -369,63 +369,70 @@
         let mut cuts = Vec::new();
         for (daemon, seen) in self.daemons.iter().enumerate() {
             let runs = seen.runs.iter().filter(|run| !run.had_to_cut);
-            cuts.extend(runs.filter_map(|run| Some((daemon, run.told?, run.cut?))));
+            cuts.extend(runs.filter_map(|run| Some((daemon, run.stop_requested?, run.cut?))));
         }
-        for (daemon, told, (at, code)) in cuts {
-            let what = format!("daemon {daemon}, told at {told:?}, exits with {code:?}");
+        for (daemon, stop_requested, (at, code)) in cuts {
+            let what = format!("daemon {daemon}, told at {stop_requested:?}, exits with {code:?}");
             self.breach(at, Promise::ExitsInTime, what);
         }
     }
 
     /// Checks whether a daemon that was told to stop runs too long; it may then be killed.
-    pub fn check_time(&mut self, at: Duration, daemon: usize) -> bool {
+    pub fn check_exit_time(&mut self, at: Duration, daemon: usize) -> bool {
         let most = self.most + EXIT_SLACK + self.lag;
         let run = self.last(daemon);
-        let Some(told) = run.told.filter(|_| !run.killed && !run.ended && !run.late) else {
+        let Some(stop_requested) = run
+            .stop_requested
+            .filter(|_| !run.killed && !run.ended && !run.late)
+        else {
             return false;
         };
-        if at <= told + most + run.stood_still(told, at) {
+        if at <= stop_requested + most + run.stood_still(stop_requested, at) {
             return false;
         }
         run.late = true;
-        let what = format!("daemon {daemon}, told at {told:?}, still runs");
+        let what = format!("daemon {daemon}, told at {stop_requested:?}, still runs");
         self.breach(at, Promise::ExitsInTime, what);
         true
     }
 
     /// A daemon was asked whether it is ready.
-    pub fn said_ready(&mut self, asked: Duration, daemon: usize, run: usize, ready: bool) {
+    pub fn readiness_reported(&mut self, asked: Duration, daemon: usize, run: usize, ready: bool) {
         let within = NOT_READY_WITHIN + self.lag;
         let Some(seen) = self.daemons[daemon].runs.get_mut(run) else {
             return;
         };
-        let Some(told) = seen.told.filter(|told| asked > *told) else {
+        let Some(stop_requested) = seen
+            .stop_requested
+            .filter(|stop_requested| asked > *stop_requested)
+        else {
             return;
         };
-        let late = asked > told + within + seen.stood_still(told, asked);
+        let late = asked > stop_requested + within + seen.stood_still(stop_requested, asked);
         let again = seen.said_not_ready;
         seen.said_not_ready |= !ready;
         if ready && (late || again) {
-            let what = format!("daemon {daemon}, told at {told:?}, says that it is ready");
+            let what =
+                format!("daemon {daemon}, told at {stop_requested:?}, says that it is ready");
             self.breach(asked, Promise::NotReady, what);
         }
     }
 
     /// A request is about to be sent to a run of a daemon.
-    pub fn asked(&mut self, at: Duration, id: &str, kind: Kind, daemon: usize, run: usize) {
-        self.asked_by(at, id, kind, (daemon, run), Shows::Steady);
+    pub fn sending(&mut self, at: Duration, id: &str, kind: Kind, daemon: usize, run: usize) {
+        self.sending_with_credential(at, id, kind, (daemon, run), CredentialKind::Steady);
     }
 
-    /// As [`Checker::asked`], by somebody who shows another credential.
-    pub fn asked_by(
+    /// As [`Checker::sending`], by somebody who shows another credential.
+    pub fn sending_with_credential(
         &mut self,
         at: Duration,
         id: &str,
         kind: Kind,
         (daemon, run): (usize, usize),
-        shows: Shows,
+        shows: CredentialKind,
     ) {
-        self.counts.asked += 1;
+        self.counts.sent += 1;
         let request = Request {
             kind,
             shows,
@@ -439,7 +446,7 @@
     }
 
     /// A request reaches a backend server.
-    pub fn reached(&mut self, at: Duration, id: &str, place: Place) {
+    pub fn reached_backend(&mut self, at: Duration, id: &str, place: Place) {
         let Some(request) = self.requests.get_mut(id) else {
             let what = format!("nobody asked for {id}");
             return self.breach(at, Promise::Asked, what);
@@ -464,7 +471,7 @@
         self.counts.ran += 1;
         if let Some(wrong) = self.workspaces.ran(at, asked, shows, self.lag) {
             let promise = match shows {
-                Shows::Limited => Promise::Quota,
+                CredentialKind::Limited => Promise::Quota,
                 _ => Promise::Revoked,
             };
             self.breach(
@@ -498,7 +505,7 @@
     }
 
     /// Something isn't served again after the faults.
-    pub fn never_recovers(&mut self, at: Duration, what: String) {
+    pub fn did_not_recover(&mut self, at: Duration, what: String) {
         self.breach(at, Promise::Recovers, what);
     }
 
@@ -511,7 +518,7 @@
         request.refused = refused;
         let (kind, shows, ran) = (request.kind, request.shows, request.ran_at());
         match (good, refused) {
-            (true, _) => self.counts.good += 1,
+            (true, _) => self.counts.succeeded += 1,
             (_, true) => self.counts.refused += 1,
             _ => self.counts.failed += 1,
         }
@@ -535,7 +542,7 @@
     fn saw_version(&mut self, at: Duration, id: &str, version: u64, status: u16) {
         let request = &self.requests[id];
         let (daemon, run, asked) = (request.daemon, request.run, request.asked);
-        let published = self.published;
+        let table_published = self.table_published;
         let Some(seen) = self.daemons[daemon].runs.get_mut(run) else {
             return;
         };
@@ -545,7 +552,7 @@
         let went_back = match status {
             200 => version < before,
             // Only a newer table may have dropped the route.
-            404 => version == before && version == published,
+            404 => version == before && version == table_published,
             _ => false,
         };
         if status == 200 && seen.newest.is_none_or(|(newest, _)| version > newest) {
@@ -578,7 +585,7 @@
             Ending::Cut => broken,
             _ => false,
         };
-        let told = run.and_then(|run| run.told);
+        let stop_requested = run.and_then(|run| run.stop_requested);
         if entry_disturbed || excepted {
             let broken_head = !entry_disturbed && !crosses && ending == Ending::Closed;
             self.daemons[daemon].broken_heads += u32::from(broken_head);
@@ -591,7 +598,7 @@
         }
         let what = format!(
             "{id} {:?} sent to daemon {daemon} at {asked:?} ends with {ending:?}; told to stop: \
-             {told:?}; reached {:?}",
+             {stop_requested:?}; reached {:?}",
             request.kind, request.places
         );
         self.breach(at, Promise::Answered, what);
@@ -648,7 +655,7 @@
         self.runs.iter().any(|run| run.was_disturbed(from, until))
             || self.killed.iter().any(|at| within(*at, *at))
             || self
-                .harmed
+                .path_faulted
                 .iter()
                 .any(|(begun, over)| within(*begun, *over))
     }
--- a/crates/sorrelturn-bench/src/soak/site.rs
+++ b/crates/sorrelturn-bench/src/soak/harness.rs
@@ -7,7 +7,7 @@
     plan::SoakPlan,
     workspaces::{BURST, LEASE_MS, OVERAGE, RATE, REVOCATION_MS, SLACK, WINDOW_S},
 };
-use crate::{Reached, RoutedBackend, Script};
+use crate::{ReceivedRequest, RoutedBackend, Script};
 use bytes::Bytes;
 use hyper::{Request, header::HeaderName};
 use smol::{Executor, Task, Timer, net::TcpListener};
@@ -30,7 +30,7 @@
 const LINGER_MS: u64 = 800;
 /// The longest time that a caller waits: the routes' deadline and several seconds, in which the daemon has
 /// to say that it is over.
-pub(super) const PATIENCE: Duration = Duration::from_millis(SoakWords::DEADLINE_MS + 5_000);
+pub(super) const PATIENCE: Duration = Duration::from_millis(SoakTarget::DEADLINE_MS + 5_000);
 /// Callers of each daemon that keep their connection as long as it lasts, and those that open one for
 /// each request.
 const KEEPERS: usize = 3;
@@ -62,7 +62,7 @@
 
 /// How the daemons under test speak. The soak knows none of it.
 #[derive(Clone)]
-pub struct SoakWords {
+pub struct SoakTarget {
     /// The program of a daemon.
     pub program: &'static str,
     /// The names of its headers.
@@ -71,12 +71,12 @@
     pub host: &'static str,
     /// The route table of a version: `/safe/` leads to service `a` and may be repeated, `/once/` leads to `b` and
     /// runs once at most, `/version/N/`, with the own version for N, is as `/safe/`. All have
-    /// [`SoakWords::DEADLINE_MS`]. Three workspaces hold the credentials of [`Shows`]; the last one has the quota of
-    /// [`SoakWords::RATE`] and [`SoakWords::BURST`].
+    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of [`CredentialKind`]; the last one has the quota of
+    /// [`SoakTarget::RATE`] and [`SoakTarget::BURST`].
     pub table: fn(u64) -> String,
 }
 
-impl SoakWords {
+impl SoakTarget {
     /// The deadline of all routes, in milliseconds.
     pub const DEADLINE_MS: u64 = 3_000;
     /// The rate of the workspace with a quota, in requests a second.
@@ -98,9 +98,9 @@
     pub unsure_tables: u64,
 }
 
-pub(super) struct Site {
+pub(super) struct Harness {
     pub(super) ex: Arc<Executor<'static>>,
-    pub(super) words: SoakWords,
+    pub(super) words: SoakTarget,
     pub(super) begun: Instant,
     pub(super) checker: Arc<Mutex<Checker>>,
     pub(super) platform: SocketAddr,
@@ -117,37 +117,42 @@
 /// Plays a plan; `folder` takes the settings and logs of daemons.
 pub async fn soak(
     ex: Arc<Executor<'static>>,
-    words: &SoakWords,
+    words: &SoakTarget,
     plan: &SoakPlan,
     folder: &Path,
 ) -> SoakReport {
-    let site = Arc::new(Site::start(ex, words, plan, folder).await);
-    let running = site.run_all();
-    site.until_served().await;
-    let mut acts = Vec::new();
+    let harness = Arc::new(Harness::start(ex, words, plan, folder).await);
+    let running = harness.run_all();
+    harness.until_served().await;
+    let mut actions = Vec::new();
     let begun = Instant::now();
-    for timed in &plan.acts {
+    for timed in &plan.actions {
         Timer::at(begun + Duration::from_millis(timed.at_ms)).await;
-        let site = Arc::clone(&site);
-        let act = timed.act;
-        acts.push(site.ex.clone().spawn(async move { site.play(act).await }));
+        let harness = Arc::clone(&harness);
+        let action = timed.action;
+        actions.push(
+            harness
+                .ex
+                .clone()
+                .spawn(async move { harness.play(action).await }),
+        );
     }
-    for act in acts {
-        act.await;
+    for action in actions {
+        action.await;
     }
-    site.publish(false).await;
-    site.until_served().await;
-    site.over.store(true, Ordering::Relaxed);
+    harness.publish(false).await;
+    harness.until_served().await;
+    harness.over.store(true, Ordering::Relaxed);
     for task in running {
         task.await;
     }
-    site.report()
+    harness.report()
 }
 
-impl Site {
+impl Harness {
     async fn start(
         ex: Arc<Executor<'static>>,
-        words: &SoakWords,
+        words: &SoakTarget,
         plan: &SoakPlan,
         folder: &Path,
     ) -> Self {
@@ -155,27 +160,29 @@
         let platform = listener.local_addr().expect("an address");
         ex.spawn(serve(Arc::clone(&ex), listener, StandIn::default()))
             .detach();
-        let most = Duration::from_millis(plan.most_ms);
-        let mut site = Self {
+        let most = Duration::from_millis(plan.stop_timeout_ms);
+        let mut harness = Self {
             words: words.clone(),
             begun: Instant::now(),
             checker: Arc::new(Mutex::new(Checker::new(plan.instances, most))),
             platform,
             daemons: Vec::new(),
-            crashes: plan.crashes,
+            crashes: plan.has_crashing_request,
             version: AtomicU64::new(0),
             next_id: AtomicU64::new(1),
             unsure_tables: AtomicU64::new(0),
             over: AtomicBool::new(false),
             ex,
         };
-        site.publish(false).await;
-        site.write_foreign_records().await;
+        harness.publish(false).await;
+        harness.write_foreign_records().await;
         for number in 0..plan.instances {
-            let member = site.start_member(number, plan.most_ms, folder).await;
-            site.daemons.push(member);
+            let member = harness
+                .start_member(number, plan.stop_timeout_ms, folder)
+                .await;
+            harness.daemons.push(member);
         }
-        site
+        harness
     }
 
     /// Others write to the store as well; what can't be read names no member.
@@ -189,11 +196,11 @@
         }
     }
 
-    async fn start_member(&self, number: usize, most_ms: u64, folder: &Path) -> Member {
+    async fn start_member(&self, number: usize, stop_timeout_ms: u64, folder: &Path) -> Member {
         let checker = Arc::clone(&self.checker);
         let begun = self.begun;
         let id_header = self.words.dialect.headers.request_id.clone();
-        let watcher = move |req: &Reached, script: Script| {
+        let watcher = move |req: &ReceivedRequest, script: Script| {
             note_reached(&checker, begun.elapsed(), &id_header, number, req, script);
         };
         let id = format!("b-{number}-0");
@@ -201,11 +208,11 @@
         let backend = RoutedBackend::watched(names, &id, Arc::new(watcher));
         backend.play(WORKS);
         if self.crashes {
-            backend.crash_by(DEADLY);
+            backend.crash_on(DEADLY);
         }
         let backend_addr = backend.serve(&self.ex).await.expect("a free port");
         let way = Way::open(&self.ex).await.expect("a free port on loopback");
-        let settings = self.settings(number, most_ms, backend_addr, way.addr);
+        let settings = self.settings(number, stop_timeout_ms, backend_addr, way.addr);
         let mut member = Member {
             number,
             addresses: settings.listen,
@@ -226,14 +233,14 @@
         member.process = Mutex::new(Some(process));
         member.addresses = addresses;
         member.settings.listen = addresses;
-        member.way.lead_to(addresses.peers);
+        member.way.set_target(addresses.peers);
         member
     }
 
     fn settings(
         &self,
         number: usize,
-        most_ms: u64,
+        stop_timeout_ms: u64,
         backend: SocketAddr,
         peers: SocketAddr,
     ) -> Settings {
@@ -250,7 +257,7 @@
                 "routes": {{ "object": "{TABLE}", "retry_slack": 1000, "revocation_ms": {REVOCATION_MS},
                     "quota_window_s": {WINDOW_S}, "quota_overage": {OVERAGE}, "quota_slack": {SLACK}, "quota_lease_ms": {LEASE_MS} }},
                 "threads": 1,
-                "stop": {{ "linger_ms": {LINGER_MS}, "most_ms": {most_ms} }}
+                "stop": {{ "linger_ms": {LINGER_MS}, "most_ms": {stop_timeout_ms} }}
             }}"#,
             self.platform
         );
@@ -271,18 +278,18 @@
 
     /// Starts whatever goes on until the end.
     fn run_all(self: &Arc<Self>) -> Vec<Task<()>> {
-        let mut tasks = vec![self.spawn(async |site| site.watch_lag().await)];
+        let mut tasks = vec![self.spawn(async |harness| harness.watch_lag().await)];
         for number in 0..self.daemons.len() {
-            tasks.push(self.spawn(async move |site| site.keep_up(number).await));
-            tasks.push(self.spawn(async move |site| site.ask_ready(number).await));
-            tasks.push(self.spawn(async move |site| site.announce_often(number).await));
+            tasks.push(self.spawn(async move |harness| harness.keep_up(number).await));
+            tasks.push(self.spawn(async move |harness| harness.ask_ready(number).await));
+            tasks.push(self.spawn(async move |harness| harness.announce_often(number).await));
             if self.crashes {
-                tasks.push(self.spawn(async move |site| site.keep_backend_up(number).await));
-                tasks.push(self.spawn(async move |site| site.send_deadly(number).await));
+                tasks.push(self.spawn(async move |harness| harness.keep_backend_up(number).await));
+                tasks.push(self.spawn(async move |harness| harness.send_deadly(number).await));
             }
             for caller in 0..KEEPERS + OPENERS {
                 let keeps = caller < KEEPERS;
-                tasks.push(self.spawn(async move |site| site.call(number, keeps).await));
+                tasks.push(self.spawn(async move |harness| harness.call(number, keeps).await));
             }
         }
         tasks
@@ -300,7 +307,7 @@
         while !self.is_over() {
             let due = Instant::now() + LAG_EVERY;
             Timer::at(due).await;
-            self.checker().lags(due.elapsed());
+            self.checker().record_lag(due.elapsed());
         }
     }
 
@@ -326,7 +333,7 @@
                 runs += 1;
                 if begun.elapsed() > WAIT {
                     let what = format!("daemon {number} doesn't start again");
-                    return self.checker().never_recovers(self.now(), what);
+                    return self.checker().did_not_recover(self.now(), what);
                 }
             }
             runs += 1;
@@ -339,7 +346,7 @@
         let Some(process) = slot.as_mut() else {
             return true;
         };
-        if let Some(status) = process.has_ended() {
+        if let Some(status) = process.try_exit_status() {
             let now = self.now();
             self.checker().exited(now, member.number, status.code());
             *slot = None;
@@ -347,7 +354,7 @@
         }
         let now = self.now();
         let mut checker = self.checker();
-        if checker.check_time(now, member.number) {
+        if checker.check_exit_time(now, member.number) {
             checker.killed(now, member.number);
             process.signal("KILL");
         }
@@ -358,15 +365,15 @@
         let addr = self.daemons[number].addresses.ready.expect("it listens");
         while !self.is_over() {
             Timer::after(READY_EVERY).await;
-            let (asked, run) = (self.now(), self.checker().run_of(number));
+            let (asked, run) = (self.now(), self.checker().current_incarnation(number));
             let req = Request::get("/ready").body(Bytes::new());
             // A daemon that is down says nothing.
             let Ok(res) = exchange(addr, req.expect("a request"), PATIENCE).await else {
                 continue;
             };
             let mut checker = self.checker();
-            if checker.run_of(number) == run {
-                checker.said_ready(asked, number, run, res.status().is_success());
+            if checker.current_incarnation(number) == run {
+                checker.readiness_reported(asked, number, run, res.status().is_success());
             }
         }
     }
@@ -391,11 +398,11 @@
             Timer::after(BACKEND_DOWN).await;
             // One that leaves goes on leaving.
             if !member.leaves.load(Ordering::Relaxed) {
-                self.checker().joins(number);
+                self.checker().backend_joining(number);
                 member.start_next_run(number);
             }
             let id = member.backend.id();
-            if let Err(error) = member.backend.rise(&self.ex, &id).await {
+            if let Err(error) = member.backend.restart_after_crash(&self.ex, &id).await {
                 log::error!("backend server {number} can't be started: {error}");
             }
         }
@@ -418,7 +425,7 @@
     at: Duration,
     id_header: &HeaderName,
     daemon: usize,
-    req: &Reached,
+    req: &ReceivedRequest,
     script: Script,
 ) {
     // A probe has none.
@@ -431,9 +438,9 @@
         misbehaves: !matches!(script, Script::Works { .. }),
     };
     let mut checker = lock(checker);
-    checker.reached(at, id, place);
+    checker.reached_backend(at, id, place);
     if req.line.contains(DEADLY) {
-        checker.runs_what_crashes(at, id, daemon);
+        checker.running_crashing_request(at, id, daemon);
     }
 }
 
--- a/crates/sorrelturn-bench/src/soak/member.rs
+++ b/crates/sorrelturn-bench/src/soak/member.rs
@@ -1,8 +1,8 @@
 //! A daemon under test, as a process, with its backend server.
 
 use super::{
+    harness::{LOOK, PATIENCE, WAIT, lock},
     path::Path as Way,
-    site::{LOOK, PATIENCE, WAIT, lock},
 };
 use crate::{RoutedBackend, processes::Process};
 use bytes::Bytes;
@@ -76,7 +76,7 @@
             }
         };
         let begun = Instant::now();
-        while begun.elapsed() < WAIT && process.has_ended().is_none() {
+        while begun.elapsed() < WAIT && process.try_exit_status().is_none() {
             let from = log.clone();
             if let Some(addresses) = smol::unblock(move || addresses_in(&from)).await {
                 return Some((process, addresses));
@@ -92,7 +92,7 @@
         let before = self.run();
         let restarts = self.backend_runs.fetch_add(1, Ordering::Relaxed) + 1;
         let id = format!("b-{daemon}-{}", restarts / NEW_ID_EVERY);
-        self.backend.restart_as(&id);
+        self.backend.restart_with_id(&id);
         self.sequence.store(0, Ordering::Relaxed);
         self.leaves.store(false, Ordering::Relaxed);
         before
--- a/crates/sorrelturn-bench/src/soak/mod.rs
+++ b/crates/sorrelturn-bench/src/soak/mod.rs
@@ -1,17 +1,17 @@
 //! A fault soak: daemons as processes of their own under faults from outside, and a check of what is promised
 //! by what callers and backend servers see.
 
-mod acts;
-mod asking;
+mod actions;
 mod caller;
 mod checker;
+mod harness;
 mod member;
 mod path;
 mod plan;
-mod site;
+mod traffic;
 mod workspaces;
 
 pub use checker::{Breach, Checker, Counts, Ending, Kind, Place, Promise};
-pub use plan::{Act, Harm, SoakPlan, TimedAct, Trouble};
-pub use site::{SoakReport, SoakWords, soak};
-pub use workspaces::Shows;
+pub use harness::{SoakReport, SoakTarget, soak};
+pub use plan::{Action, PathFault, SoakPlan, StoreFault, TimedAction};
+pub use workspaces::CredentialKind;
--- a/crates/sorrelturn-bench/src/soak/path.rs
+++ b/crates/sorrelturn-bench/src/soak/path.rs
@@ -1,6 +1,6 @@
 //! A path to one daemon that delays, holds up one way, resets, and lets open connections fall silent.
 
-use super::plan::Harm;
+use super::plan::PathFault;
 use smol::{
     Executor, Timer,
     channel::{self, Receiver, Sender},
@@ -69,28 +69,30 @@
     }
 
     /// Says where the path leads.
-    pub(super) fn lead_to(&self, target: SocketAddr) {
+    pub(super) fn set_target(&self, target: SocketAddr) {
         *lock(&self.state.target) = Some(target);
     }
 
     /// Harms the path for a while.
-    pub(super) async fn harm(&self, harm: Harm, lasts: Duration) {
+    pub(super) async fn harm(&self, harm: PathFault, lasts: Duration) {
         let state = &self.state;
         match harm {
             // What fell silent is never reset either.
-            Harm::Reset => lock(&state.open).retain(|open| open.silent.load(Ordering::Relaxed)),
-            Harm::Silence => {
+            PathFault::Reset => {
+                lock(&state.open).retain(|open| open.silent.load(Ordering::Relaxed))
+            }
+            PathFault::Silence => {
                 for open in lock(&state.open).iter() {
                     open.silent.store(true, Ordering::Relaxed);
                 }
             }
-            Harm::Delay => {
+            PathFault::Delay => {
                 state.delay_ms.store(DELAY_MS, Ordering::Relaxed);
                 Timer::after(lasts).await;
                 state.delay_ms.store(0, Ordering::Relaxed);
             }
-            Harm::CutThere => hold(&state.held_there, lasts).await,
-            Harm::CutBack => hold(&state.held_back, lasts).await,
+            PathFault::CutThere => hold(&state.held_there, lasts).await,
+            PathFault::CutBack => hold(&state.held_back, lasts).await,
         }
     }
 }
--- a/crates/sorrelturn-bench/src/soak/plan.rs
+++ b/crates/sorrelturn-bench/src/soak/plan.rs
@@ -19,7 +19,7 @@
 
 /// A trouble of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StoreFault {
     /// Every call fails.
     Down,
     /// Every call is refused.
@@ -34,18 +34,18 @@
     Deaf,
 }
 
-const TROUBLES: [Trouble; 6] = [
-    Trouble::Down,
-    Trouble::Busy,
-    Trouble::Silent,
-    Trouble::Slow,
-    Trouble::LosesAnswers,
-    Trouble::Deaf,
+const TROUBLES: [StoreFault; 6] = [
+    StoreFault::Down,
+    StoreFault::Busy,
+    StoreFault::Silent,
+    StoreFault::Slow,
+    StoreFault::LosesAnswers,
+    StoreFault::Deaf,
 ];
 
 /// What is done to the path on which the others reach a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum PathFault {
     /// Bytes take longer.
     Delay,
     /// Bytes to the daemon are held up.
@@ -58,12 +58,12 @@
     Silence,
 }
 
-const HARMS: [Harm; 5] = [
-    Harm::Delay,
-    Harm::CutThere,
-    Harm::CutBack,
-    Harm::Reset,
-    Harm::Silence,
+const HARMS: [PathFault; 5] = [
+    PathFault::Delay,
+    PathFault::CutThere,
+    PathFault::CutBack,
+    PathFault::Reset,
+    PathFault::Silence,
 ];
 /// How backend servers misbehave.
 const SCRIPTS: [Script; 7] = [
@@ -78,7 +78,7 @@
 
 /// One act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// A daemon is told to stop, and started anew when it has ended.
     Stop {
         /// Which one.
@@ -113,7 +113,7 @@
     /// The store is in trouble.
     Store {
         /// Which trouble.
-        trouble: Trouble,
+        trouble: StoreFault,
         /// How long.
         ms: u64,
     },
@@ -122,7 +122,7 @@
         /// To which one.
         daemon: usize,
         /// How.
-        harm: Harm,
+        harm: PathFault,
         /// How long.
         ms: u64,
     },
@@ -146,11 +146,11 @@
 
 /// An act and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TimedAct {
+pub struct TimedAction {
     /// The time from the beginning.
     pub at_ms: u64,
     /// What is done.
-    pub act: Act,
+    pub action: Action,
 }
 
 /// A whole soak.
@@ -163,85 +163,85 @@
     /// How many daemons there are.
     pub instances: usize,
     /// The longest time of a stop.
-    pub most_ms: u64,
+    pub stop_timeout_ms: u64,
     /// What is done, in the order of time.
-    pub acts: Vec<TimedAct>,
+    pub actions: Vec<TimedAction>,
     /// Whether a request that crashes backend servers is sent again and again.
-    pub crashes: bool,
+    pub has_crashing_request: bool,
 }
 
 impl SoakPlan {
     /// The plan of a seed.
-    pub fn of(seed: u64, seconds: u64, instances: usize) -> Self {
+    pub fn from_seed(seed: u64, seconds: u64, instances: usize) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let most_ms = one_of(&mut rng, &STOP_MOST_MS);
-        let mut acts = Vec::new();
+        let stop_timeout_ms = one_of(&mut rng, &STOP_MOST_MS);
+        let mut actions = Vec::new();
         let mut at_ms = FIRST_MS;
         while at_ms < seconds * 1_000 {
-            burst(&mut rng, at_ms, instances, &mut acts);
+            burst(&mut rng, at_ms, instances, &mut actions);
             at_ms += rng.u64(50..LONGEST_PAUSE_MS);
         }
-        acts.sort_by_key(|timed| timed.at_ms);
+        actions.sort_by_key(|timed| timed.at_ms);
         Self {
             seed,
             seconds,
             instances,
-            most_ms,
-            acts,
-            crashes: false,
+            stop_timeout_ms,
+            actions,
+            has_crashing_request: false,
         }
     }
 
     /// The same, with a request that crashes backend servers.
     pub fn with_crashes(self) -> Self {
         Self {
-            crashes: true,
+            has_crashing_request: true,
             ..self
         }
     }
 }
 
 /// One act, one that several daemons meet in series, or two that overlap.
-fn burst(rng: &mut Rng, at_ms: u64, instances: usize, acts: &mut Vec<TimedAct>) {
+fn burst(rng: &mut Rng, at_ms: u64, instances: usize, actions: &mut Vec<TimedAction>) {
     let series = rng.u8(..10) == 0;
     if !series {
         let overlapping = 1 + usize::from(rng.u8(..3) == 0);
         for _ in 0..overlapping {
-            let act = act(rng, instances);
-            acts.push(TimedAct { at_ms, act });
+            let action = action(rng, instances);
+            actions.push(TimedAction { at_ms, action });
         }
         return;
     }
     let gap_ms = rng.u64(0..1_500);
     for daemon in 0..instances {
         let at_ms = at_ms + gap_ms * daemon as u64;
-        let act = stop(rng, daemon);
-        acts.push(TimedAct { at_ms, act });
+        let action = stop(rng, daemon);
+        actions.push(TimedAction { at_ms, action });
     }
 }
 
-fn act(rng: &mut Rng, instances: usize) -> Act {
+fn action(rng: &mut Rng, instances: usize) -> Action {
     let daemon = rng.usize(..instances);
     let ms = rng.u64(100..LONGEST_MS);
     match rng.u8(..20) {
         0..5 => stop(rng, daemon),
-        5..7 => Act::Kill { daemon },
-        7..9 => Act::Pause { daemon, ms },
-        9 => Act::Reread { daemon },
-        10..13 => Act::Publish {
+        5..7 => Action::Kill { daemon },
+        7..9 => Action::Pause { daemon, ms },
+        9 => Action::Reread { daemon },
+        10..13 => Action::Publish {
             older: rng.u8(..4) == 0,
         },
-        13..15 => Act::Store {
+        13..15 => Action::Store {
             trouble: one_of(rng, &TROUBLES),
             ms,
         },
-        15..17 => Act::Path {
+        15..17 => Action::Path {
             daemon,
             harm: one_of(rng, &HARMS),
             ms,
         },
-        17 => Act::Leave { daemon, ms },
-        _ => Act::Misbehave {
+        17 => Action::Leave { daemon, ms },
+        _ => Action::Misbehave {
             daemon,
             script: one_of(rng, &SCRIPTS),
             ms,
@@ -249,9 +249,9 @@
     }
 }
 
-fn stop(rng: &mut Rng, daemon: usize) -> Act {
+fn stop(rng: &mut Rng, daemon: usize) -> Action {
     let mut sometimes = |one_in: u8| (rng.u8(..one_in) == 0).then(|| rng.u64(0..LONGEST_MS));
-    Act::Stop {
+    Action::Stop {
         daemon,
         again_ms: sometimes(4),
         kill_ms: sometimes(6),
@@ -267,16 +267,16 @@
         writeln!(
             f,
             "seed {}: {} daemons, {} s, a stop takes {} ms at most",
-            self.seed, self.instances, self.seconds, self.most_ms
+            self.seed, self.instances, self.seconds, self.stop_timeout_ms
         )?;
-        if self.crashes {
+        if self.has_crashing_request {
             writeln!(
                 f,
                 "a request that crashes backend servers is sent all the time"
             )?;
         }
-        for TimedAct { at_ms, act } in &self.acts {
-            writeln!(f, "{at_ms:>7} ms  {act:?}")?;
+        for TimedAction { at_ms, action } in &self.actions {
+            writeln!(f, "{at_ms:>7} ms  {action:?}")?;
         }
         Ok(())
     }
--- a/crates/sorrelturn-bench/src/soak/asking.rs
+++ b/crates/sorrelturn-bench/src/soak/traffic.rs
@@ -3,8 +3,8 @@
 use super::{
     caller::{Caller, Heard, Question},
     checker::{Ending, Kind},
-    site::{DEADLY, LOOK, PATIENCE, Site, WAIT},
-    workspaces::Shows,
+    harness::{DEADLY, Harness, LOOK, PATIENCE, WAIT},
+    workspaces::CredentialKind,
 };
 use smol::Timer;
 use std::{
@@ -17,19 +17,26 @@
 const PAUSE_MS: u64 = 50;
 const DEADLY_EVERY: Duration = Duration::from_millis(200);
 
-impl Site {
+impl Harness {
     /// Sends what crashes backend servers at one daemon, again and again.
     pub(super) async fn send_deadly(&self, number: usize) {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
         let every = DEADLY_EVERY * self.daemons.len() as u32;
         while !self.is_over() {
             Timer::after(every.mul_f64(0.5 + fastrand::f64())).await;
-            let run = self.checker().run_of(number);
+            let run = self.checker().current_incarnation(number);
             if let Ok(mut caller) = Caller::connect(addr).await {
                 let id = self.new_id();
                 let of = (number, run);
-                self.ask_for(&mut caller, DEADLY, &id, Kind::Safe, of, Shows::Steady)
-                    .await;
+                self.ask_for(
+                    &mut caller,
+                    DEADLY,
+                    &id,
+                    Kind::Safe,
+                    of,
+                    CredentialKind::Steady,
+                )
+                .await;
             }
         }
     }
@@ -44,9 +51,11 @@
             let (mut caller, run) = match open.take() {
                 Some(open) => open,
                 None => {
-                    let run = self.checker().run_of(number);
+                    let run = self.checker().current_incarnation(number);
                     match Caller::connect(addr).await {
-                        Ok(caller) if self.checker().run_of(number) == run => (caller, run),
+                        Ok(caller) if self.checker().current_incarnation(number) == run => {
+                            (caller, run)
+                        }
                         _ => continue,
                     }
                 }
@@ -63,17 +72,17 @@
         }
     }
 
-    fn any_kind(&self, rng: &mut fastrand::Rng) -> (Kind, Shows) {
+    fn any_kind(&self, rng: &mut fastrand::Rng) -> (Kind, CredentialKind) {
         let newest = self.version.load(Ordering::Relaxed);
         let before = newest.saturating_sub(1);
         match rng.u8(..14) {
-            0..5 => (Kind::Once, Shows::Steady),
-            5..8 => (Kind::Safe, Shows::Steady),
-            8 => (Kind::Version(newest), Shows::Steady),
-            9 => (Kind::Version(before), Shows::Steady),
-            10 => (Kind::Safe, Shows::OfVersion(newest)),
-            11 => (Kind::Safe, Shows::OfVersion(before)),
-            _ => (Kind::Once, Shows::Limited),
+            0..5 => (Kind::Once, CredentialKind::Steady),
+            5..8 => (Kind::Safe, CredentialKind::Steady),
+            8 => (Kind::Version(newest), CredentialKind::Steady),
+            9 => (Kind::Version(before), CredentialKind::Steady),
+            10 => (Kind::Safe, CredentialKind::OfVersion(newest)),
+            11 => (Kind::Safe, CredentialKind::OfVersion(before)),
+            _ => (Kind::Once, CredentialKind::Limited),
         }
     }
 
@@ -87,8 +96,15 @@
     ) -> Option<Heard> {
         let id = self.new_id();
         let path = path_of(kind, &id);
-        self.ask_for(caller, &path, &id, kind, (number, run), Shows::Steady)
-            .await
+        self.ask_for(
+            caller,
+            &path,
+            &id,
+            kind,
+            (number, run),
+            CredentialKind::Steady,
+        )
+        .await
     }
 
     fn new_id(&self) -> String {
@@ -103,7 +119,7 @@
         id: &str,
         kind: Kind,
         of: (usize, usize),
-        shows: Shows,
+        shows: CredentialKind,
     ) -> Option<Heard> {
         let credential = shows.credential();
         let question = Question {
@@ -114,7 +130,8 @@
             credential: &credential,
             credential_header: self.words.dialect.headers.credential.as_str(),
         };
-        self.checker().asked_by(self.now(), id, kind, of, shows);
+        self.checker()
+            .sending_with_credential(self.now(), id, kind, of, shows);
         caller.send(&question).await.ok()?;
         let heard = caller.hear(&question, PATIENCE).await;
         self.checker().ended(self.now(), id, heard.ending);
@@ -130,7 +147,7 @@
                 while !self.is_served(number, kind).await {
                     if Instant::now() > end {
                         let what = format!("daemon {number} doesn't serve {kind:?}");
-                        self.checker().never_recovers(self.now(), what);
+                        self.checker().did_not_recover(self.now(), what);
                         return;
                     }
                     Timer::after(LOOK).await;
@@ -141,7 +158,7 @@
 
     async fn is_served(&self, number: usize, kind: Kind) -> bool {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
-        let run = self.checker().run_of(number);
+        let run = self.checker().current_incarnation(number);
         let Ok(mut caller) = Caller::connect(addr).await else {
             return false;
         };
--- a/crates/sorrelturn-bench/src/soak/workspaces.rs
+++ b/crates/sorrelturn-bench/src/soak/workspaces.rs
@@ -17,7 +17,7 @@
 
 /// In whose name a request comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shows {
+pub enum CredentialKind {
     /// The credential that all tables hold, of a workspace without a quota.
     Steady,
     /// The one that only the table of this version holds.
@@ -26,8 +26,8 @@
     Limited,
 }
 
-impl Shows {
-    /// The credential, as the tables of [`super::SoakWords`] hold it.
+impl CredentialKind {
+    /// The credential, as the tables of [`super::SoakTarget`] hold it.
     pub fn credential(self) -> String {
         match self {
             Self::Steady => "steady".to_owned(),
@@ -46,20 +46,20 @@
 #[derive(Default)]
 pub(super) struct WorkspacesSeen {
     /// When the store had confirmed a table, by version.
-    confirmed: Vec<(u64, Duration)>,
+    table_confirmed: Vec<(u64, Duration)>,
     /// Of the workspace with a quota: when each was sent and when it ran.
     ran: VecDeque<(Duration, Duration)>,
 }
 
 impl WorkspacesSeen {
     /// The store has confirmed the table of a version.
-    pub(super) fn confirmed(&mut self, at: Duration, version: u64) {
-        self.confirmed.push((version, at));
+    pub(super) fn table_confirmed(&mut self, at: Duration, version: u64) {
+        self.table_confirmed.push((version, at));
     }
 
     /// Operators are about to write an earlier table again: its credentials may be honoured by daemons that start anew.
-    pub(super) fn goes_back(&mut self, version: u64) {
-        self.confirmed.retain(|(other, _)| *other <= version);
+    pub(super) fn reverting_to(&mut self, version: u64) {
+        self.table_confirmed.retain(|(other, _)| *other <= version);
     }
 
     /// A request runs that was sent at `asked`; says what is wrong with that, if anything. `lag` is by how much the soak
@@ -68,18 +68,21 @@
         &mut self,
         at: Duration,
         asked: Duration,
-        shows: Shows,
+        shows: CredentialKind,
         lag: Duration,
     ) -> Option<String> {
         match shows {
-            Shows::Steady => None,
-            Shows::OfVersion(version) => self.ran_of_version(asked, version, lag),
-            Shows::Limited => self.ran_limited(at, asked),
+            CredentialKind::Steady => None,
+            CredentialKind::OfVersion(version) => self.ran_of_version(asked, version, lag),
+            CredentialKind::Limited => self.ran_limited(at, asked),
         }
     }
 
     fn ran_of_version(&self, asked: Duration, version: u64, lag: Duration) -> Option<String> {
-        let later = self.confirmed.iter().filter(|(other, _)| *other > version);
+        let later = self
+            .table_confirmed
+            .iter()
+            .filter(|(other, _)| *other > version);
         let taken_away = later.map(|(_, at)| *at).min()?;
         let until = taken_away + Duration::from_millis(REVOCATION_MS) + lag;
         (asked > until).then(|| {
--- a/crates/sorrelturn-bench/tests/at_most_once.rs
+++ b/crates/sorrelturn-bench/tests/at_most_once.rs
@@ -56,7 +56,7 @@
 async fn runs(fleet: &ProcessFleet, key: &str) -> u32 {
     let mut runs = 0;
     for daemon in &fleet.daemons {
-        let ran: HashMap<String, u32> = daemon.ran().await;
+        let ran: HashMap<String, u32> = daemon.execution_counts().await;
         runs += ran
             .get(&format!("{key} stenographer-book"))
             .copied()
@@ -152,9 +152,14 @@
             let replacement = fleet.start_daemon(owner).await;
             // The old backend server lives on, so that its count is kept.
             let old = std::mem::replace(&mut fleet.daemons[owner], replacement);
-            assert!(old.ran().await.values().all(|count| *count <= 1));
+            assert!(
+                old.execution_counts()
+                    .await
+                    .values()
+                    .all(|count| *count <= 1)
+            );
         }
-        fleet.until_all_know_all().await;
+        fleet.wait_for_all_members().await;
         for _ in 0..5 {
             let again = book(&caller, "sorrelturn-token", &unused).await;
             assert_eq!(
@@ -287,7 +292,7 @@
         };
         fleet.play(&lost).await;
         fleet.daemons[stopped].process.signal("TERM");
-        let status = fleet.daemons[stopped].process.ended().await;
+        let status = fleet.daemons[stopped].process.wait_for_exit().await;
         assert_eq!(status.code(), Some(0));
         let platform = Platform::new(fleet.platform, Duration::from_secs(20));
         let closing = platform
--- a/crates/sorrelturn-bench/tests/cut_network.rs
+++ b/crates/sorrelturn-bench/tests/cut_network.rs
@@ -30,7 +30,7 @@
 
     fn join(&self) {
         for path in self.all() {
-            path.join();
+            path.heal();
         }
     }
 
@@ -47,7 +47,7 @@
         control: Relay::open(&ex).await,
         platform: Relay::open(&ex).await,
     };
-    paths.platform.lead_to(fleet.platform);
+    paths.platform.set_target(fleet.platform);
     let last = fleet.daemons.pop().expect("the plan has daemons");
     let mut settings = last.settings.clone();
     settings.platform.address = paths.platform.addr;
@@ -61,8 +61,8 @@
     let addr = backend.first_line.parse().expect("an address");
     settings.backend.address = addr;
     let daemon = fleet.start_with(settings, backend, addr).await;
-    paths.peers.lead_to(daemon.addresses.peers);
-    paths.control.lead_to(daemon.addresses.control);
+    paths.peers.set_target(daemon.addresses.peers);
+    paths.control.set_target(daemon.addresses.control);
     fleet.daemons.push(daemon);
     let instance = fleet.daemons[fleet.daemons.len() - 1]
         .settings
@@ -73,7 +73,7 @@
         daemon.until_member(&instance, is_new_run).await;
     }
     // A run is known before it has found its bundle, and refuses calls until then.
-    fleet.until_all_know_all().await;
+    fleet.wait_for_all_members().await;
     (fleet, paths)
 }
 
@@ -108,7 +108,7 @@
         paths.cut();
         let held_up = book(&caller, token).await;
         assert_eq!(held_up.verdict(), "may-have-run", "{held_up:?}");
-        assert!(fleet.daemons[1].ran().await.is_empty());
+        assert!(fleet.daemons[1].execution_counts().await.is_empty());
 
         // The held-up copy arrives while the caller asks again.
         paths.join();
@@ -119,7 +119,7 @@
             }
             last = book(&caller, token).await;
         }
-        let ran = fleet.daemons[1].ran().await;
+        let ran = fleet.daemons[1].execution_counts().await;
         let ran = ran.get("k stenographer-book").copied().unwrap_or(0);
         // A copy that is cancelled halfway has an unknown outcome; it must not run again.
         assert!(ran <= 1, "{ran} runs");
@@ -166,6 +166,6 @@
             daemon.until(|status| status.bundle_version == 2).await;
         }
         paths.join();
-        fleet.until_all_know_all().await;
+        fleet.wait_for_all_members().await;
     });
 }
--- a/crates/sorrelturn-bench/tests/leaving.rs
+++ b/crates/sorrelturn-bench/tests/leaving.rs
@@ -61,10 +61,10 @@
         let tasks = load(&fleet, &[3, 4, 5, 3, 4, 5], &stop);
         for at in 0..3 {
             fleet.daemons[at].process.signal("TERM");
-            let status = fleet.daemons[at].process.ended().await;
+            let status = fleet.daemons[at].process.wait_for_exit().await;
             assert_eq!(status.code(), Some(0), "instance {at} cut something off");
             fleet.daemons[at] = fleet.start_daemon(at).await;
-            fleet.until_all_know_all().await;
+            fleet.wait_for_all_members().await;
         }
         stop.store(true, Ordering::Relaxed);
         let mut good = 0;
@@ -101,7 +101,7 @@
             received += len;
         }
         drop(tcp);
-        let status = fleet.daemons[3].process.ended().await;
+        let status = fleet.daemons[3].process.wait_for_exit().await;
         assert_eq!(status.code(), Some(0));
     });
 }
@@ -138,7 +138,7 @@
                 assert!(good > 0 && failed.is_empty(), "{signal:?}: {failed:?}");
             }
             if matches!(signal, Signal::Term) {
-                assert!(fleet.daemons[0].process.ended().await.success());
+                assert!(fleet.daemons[0].process.wait_for_exit().await.success());
             }
         });
     }
