--- a/crates/sorrelturn-bench/src/commands/soak.rs
+++ b/crates/sorrelturn-bench/src/commands/soak.rs
@@ -1,7 +1,7 @@
 //! `soak`: a fault soak of real daemons.
 //!
-//! It is no word of `sorrelturn-bench`: the daemons under test speak the users' platform's dialect, which only
-//! the package `platform/` knows. Its example of this name calls what is here with that dialect.
+//! `sorrelturn-bench` doesn't offer it as a command: the daemons under test use the dialect of the users' platform,
+//! which only the package `platform/` knows. Its example `soak` runs this command with that dialect.
 
 use crate::{
     run_on,
@@ -10,24 +10,24 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use std::{path::PathBuf, process::ExitCode};
 
-/// Threads for backend servers, callers, paths and the store's stand-in together.
+/// The threads shared by backend servers, callers, paths and the store's stand-in.
 const THREADS: usize = 3;
-/// Each daemon has an address of its own in the last part of one network.
-const MOST_INSTANCES: i64 = 200;
+/// Each daemon has its own address, whose last byte is its number plus one.
+const MAX_INSTANCES: i64 = 200;
 
-/// The arguments and the help.
+/// Returns the arguments and the help of the command.
 pub fn signature() -> Command {
     Command::new("soak")
-        .about("Plays faults of a seed at real daemons and checks what callers and backend servers see")
+        .about("Injects faults into real daemons and checks what callers and backend servers observe")
         .after_help(
             "Examples:\n  soak --seed 7\n  soak --seed 7 --seconds 60 --instances 24 --folder /tmp/soak-7\n  \
-             soak --seed 7 --print\n\nExit codes:\n  0  no promise was broken\n  1  one was",
+             soak --seed 7 --print\n\nExit codes:\n  0  no promise was broken\n  1  a promise was broken",
         )
         .arg(
             Arg::new("seed")
                 .long("seed")
                 .value_name("NUMBER")
-                .help("What the faults are drawn from")
+                .help("The seed that the faults are generated from")
                 .required(true)
                 .value_parser(value_parser!(u64)),
         )
@@ -35,7 +35,7 @@
             Arg::new("seconds")
                 .long("seconds")
                 .value_name("NUMBER")
-                .help("How long faults begin")
+                .help("The period in which faults begin, in seconds")
                 .default_value("30")
                 .value_parser(value_parser!(u64).range(1..)),
         )
@@ -43,35 +43,41 @@
             Arg::new("instances")
                 .long("instances")
                 .value_name("NUMBER")
-                .help("How many daemons, each a process of its own; two at least")
+                .help("The number of daemons, each a separate process; at least two")
                 .default_value("6")
-                .value_parser(value_parser!(u32).range(2..=MOST_INSTANCES)),
+                .value_parser(value_parser!(u32).range(2..=MAX_INSTANCES)),
         )
         .arg(
             Arg::new("folder")
                 .long("folder")
                 .value_name("FOLDER")
-                .help("Takes the settings and the logs of daemons; by default one of the seed's own")
+                .help("The folder for the settings and logs of the daemons [default: soak-SEED in the folder for temporary files]")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("crashes")
                 .long("crashes")
-                .help("Send a request that crashes backend servers all the time")
+                .help("Repeatedly send a request that crashes backend servers")
                 .action(ArgAction::SetTrue),
         )
         .arg(
             Arg::new("print")
                 .long("print")
-                .help("Print what would be done, and do nothing")
+                .help("Print the plan without running it")
                 .action(ArgAction::SetTrue),
         )
 }
 
-/// Runs it on daemons that speak like this.
-pub fn run(args: &ArgMatches, words: &SoakTarget) -> ExitCode {
-    let number = |name| *args.get_one::<u64>(name).expect("clap has it");
-    let instances = *args.get_one::<u32>("instances").expect("clap fills it in");
+/// Runs a soak of the target's daemons.
+pub fn run(args: &ArgMatches, target: &SoakTarget) -> ExitCode {
+    let number = |name| {
+        *args
+            .get_one::<u64>(name)
+            .expect("the argument is required or has a default")
+    };
+    let instances = *args
+        .get_one::<u32>("instances")
+        .expect("the argument has a default");
     let plan = SoakPlan::from_seed(number("seed"), number("seconds"), instances as usize);
     let plan = match args.get_flag("crashes") {
         true => plan.with_crashes(),
@@ -81,14 +87,14 @@
     if args.get_flag("print") {
         return ExitCode::SUCCESS;
     }
-    let of_seed = || std::env::temp_dir().join(format!("soak-{}", plan.seed));
+    let default_folder = || std::env::temp_dir().join(format!("soak-{}", plan.seed));
     let folder = args.get_one::<PathBuf>("folder").cloned();
-    let folder = folder.unwrap_or_else(of_seed);
+    let folder = folder.unwrap_or_else(default_folder);
     if let Err(error) = std::fs::create_dir_all(&folder) {
         eprintln!("error: can't create {}: {error}", folder.display());
         return ExitCode::FAILURE;
     }
-    let report = run_on(THREADS, async |ex| soak(ex, words, &plan, &folder).await);
+    let report = run_on(THREADS, async |ex| soak(ex, target, &plan, &folder).await);
     print!("{report}");
     if report.breaches.is_empty() {
         return ExitCode::SUCCESS;
@@ -111,7 +117,7 @@
             counts.lost,
             counts.ran,
             counts.stops,
-            self.unsure_tables,
+            self.unconfirmed_tables,
             self.lag.as_millis(),
             self.breaches.len()
         )?;
--- a/crates/sorrelturn-bench/src/soak/actions.rs
+++ b/crates/sorrelturn-bench/src/soak/actions.rs
@@ -1,9 +1,12 @@
-//! What a plan does to daemons, their paths, their backend servers and the store.
+//! Executes a plan's actions on daemons, their paths, their backend servers and the store.
 
 use super::{
     checker::Checker,
-    harness::{FOREIGN, Harness, LOOK, PATIENCE, TABLE, WORKS, lock},
-    member::{BackendRun, Member},
+    harness::{
+        FOREIGN_RECORDS, Harness, NORMAL_SCRIPT, POLL_INTERVAL, RESPONSE_TIMEOUT, ROUTE_TABLE_KEY,
+        lock,
+    },
+    member::{BackendIncarnation, Member},
     plan::{Action, StoreFault},
 };
 use crate::{Script, processes::play_faults};
@@ -14,10 +17,10 @@
     time::{Duration, Instant},
 };
 
-/// The extra time of each call of a slow store: near the daemons' time-out of a second.
-const SLOW_MS: u64 = 900;
-/// Now and then one works longer, up to about the longest time of a stop.
-const WORKS_LONG: Script = Script::Works {
+/// The delay of each call to a slow store: near the daemons' timeout of a second.
+const SLOW_STORE_DELAY_MS: u64 = 900;
+/// A slow script, played for a while after a backend server has misbehaved.
+const SLOW_SCRIPT: Script = Script::Works {
     ms: 1_200,
     bytes: 40_000,
 };
@@ -26,25 +29,28 @@
     /// Writes the next route table into the store, or the one before the newest.
     pub(super) async fn publish(&self, older: bool) {
         let version = if older {
-            let before = self.version.load(Ordering::Relaxed).max(2) - 1;
-            self.checker().reverting_to(before);
-            before
+            let previous = self.version.load(Ordering::Relaxed).max(2) - 1;
+            self.checker().reverting_to(previous);
+            previous
         } else {
             let next = self.version.fetch_add(1, Ordering::Relaxed) + 1;
             self.checker().table_published(next);
             next
         };
-        let platform = Platform::new(self.platform, PATIENCE);
-        let table = (self.words.table)(version);
-        let written = platform.put(TABLE, &table, Expected::Anything).await;
+        let platform = Platform::new(self.platform, RESPONSE_TIMEOUT);
+        let table = (self.target.table)(version);
+        let written = platform
+            .put(ROUTE_TABLE_KEY, &table, Expected::Anything)
+            .await;
         if written.is_ok() {
             self.checker().table_confirmed(self.now(), version);
         }
-        let unsure = u64::from(written.is_err());
-        self.unsure_tables.fetch_add(unsure, Ordering::Relaxed);
+        let unconfirmed = u64::from(written.is_err());
+        self.unconfirmed_tables
+            .fetch_add(unconfirmed, Ordering::Relaxed);
     }
 
-    pub(super) async fn play(&self, action: Action) {
+    pub(super) async fn run_action(&self, action: Action) {
         match action {
             Action::Stop {
                 daemon,
@@ -53,119 +59,128 @@
             } => self.stop(daemon, again_ms, kill_ms).await,
             Action::Kill { daemon } => self.kill(daemon, None),
             Action::Pause { daemon, ms } => self.pause(daemon, ms).await,
-            Action::Reread { daemon } => self.signal(daemon, "HUP", |_, _| ()),
+            Action::Reread { daemon } => self.signal_if_running(daemon, "HUP", |_, _| ()),
             Action::Publish { older } => self.publish(older).await,
-            Action::Store { trouble, ms } => self.trouble(trouble, ms).await,
+            Action::Store { trouble, ms } => self.disturb_store(trouble, ms).await,
             Action::Path { daemon, harm, ms } => {
-                let (now, lasts) = (self.now(), Duration::from_millis(ms));
-                self.checker().path_faulted(now, now + lasts, daemon);
-                self.daemons[daemon].way.harm(harm, lasts).await;
+                let (now, duration) = (self.now(), Duration::from_millis(ms));
+                self.checker().path_faulted(now, now + duration, daemon);
+                self.daemons[daemon].path.inject(harm, duration).await;
             }
-            Action::Leave { daemon, ms } => self.leave(daemon, ms).await,
+            Action::Leave { daemon, ms } => self.leave_and_return(daemon, ms).await,
             Action::Misbehave { daemon, script, ms } => {
                 let backend = &self.daemons[daemon].backend;
                 backend.play(script);
                 Timer::after(Duration::from_millis(ms)).await;
-                backend.play(WORKS_LONG);
+                backend.play(SLOW_SCRIPT);
                 Timer::after(Duration::from_millis(ms)).await;
-                backend.play(WORKS);
+                backend.play(NORMAL_SCRIPT);
             }
         }
     }
 
-    /// Sends a signal if the daemon is up, and notes it before.
-    fn signal(&self, daemon: usize, signal: &str, note: impl FnOnce(&mut Checker, Duration)) {
+    /// Sends a signal if the daemon is running; `record` tells the checker about it beforehand.
+    fn signal_if_running(
+        &self,
+        daemon: usize,
+        signal: &str,
+        record: impl FnOnce(&mut Checker, Duration),
+    ) {
         let mut slot = lock(&self.daemons[daemon].process);
         if let Some(process) = slot.as_mut()
             && process.try_exit_status().is_none()
         {
-            note(&mut self.checker(), self.now());
+            record(&mut self.checker(), self.now());
             process.signal(signal);
         }
     }
 
     async fn stop(&self, daemon: usize, again_ms: Option<u64>, kill_ms: Option<u64>) {
-        let run = self.checker().current_incarnation(daemon);
-        let tell = || {
-            self.signal(daemon, "TERM", |checker, now| {
+        let incarnation = self.checker().current_incarnation(daemon);
+        let send_stop = || {
+            self.signal_if_running(daemon, "TERM", |checker, now| {
                 checker.stop_requested(now, daemon)
             })
         };
-        tell();
-        let again = async {
+        send_stop();
+        let second_stop = async {
             if let Some(ms) = again_ms {
                 Timer::after(Duration::from_millis(ms)).await;
-                tell();
+                send_stop();
             }
         };
         let kill = async {
             if let Some(ms) = kill_ms {
                 Timer::after(Duration::from_millis(ms)).await;
-                self.kill(daemon, Some(run));
+                self.kill(daemon, Some(incarnation));
             }
         };
-        smol::future::zip(again, kill).await;
+        smol::future::zip(second_stop, kill).await;
     }
 
-    /// Kills a daemon; where a run is given, only that one.
-    fn kill(&self, daemon: usize, run: Option<usize>) {
-        if run.is_none_or(|run| run == self.checker().current_incarnation(daemon)) {
-            self.signal(daemon, "KILL", |checker, now| checker.killed(now, daemon));
+    /// Kills a daemon; if an incarnation is given, only that one.
+    fn kill(&self, daemon: usize, incarnation: Option<usize>) {
+        if incarnation
+            .is_none_or(|incarnation| incarnation == self.checker().current_incarnation(daemon))
+        {
+            self.signal_if_running(daemon, "KILL", |checker, now| checker.killed(now, daemon));
         }
     }
 
     async fn pause(&self, daemon: usize, ms: u64) {
-        self.signal(daemon, "STOP", |checker, now| checker.paused(now, daemon));
+        self.signal_if_running(daemon, "STOP", |checker, now| checker.paused(now, daemon));
         Timer::after(Duration::from_millis(ms)).await;
-        self.signal(daemon, "CONT", |checker, now| checker.resumed(now, daemon));
+        self.signal_if_running(daemon, "CONT", |checker, now| checker.resumed(now, daemon));
     }
 
-    async fn trouble(&self, trouble: StoreFault, ms: u64) {
+    async fn disturb_store(&self, trouble: StoreFault, ms: u64) {
         let mut faults = Faults::default();
         match trouble {
             StoreFault::Down => faults.down = true,
             StoreFault::Busy => faults.busy = true,
             StoreFault::Silent => faults.silent = true,
-            StoreFault::Slow => faults.slow_ms = SLOW_MS,
+            StoreFault::Slow => faults.slow_ms = SLOW_STORE_DELAY_MS,
             StoreFault::LosesAnswers => faults.lose_write_answers = u32::MAX,
             StoreFault::Deaf => faults.silent_watches = true,
         }
-        let (now, lasts) = (self.now(), Duration::from_millis(ms));
-        self.checker().store_faulted(now, now + lasts);
+        let (now, duration) = (self.now(), Duration::from_millis(ms));
+        self.checker().store_faulted(now, now + duration);
         play_faults(self.platform, &faults).await;
-        Timer::after(lasts).await;
-        // Of troubles that overlap the first to end ends all.
+        Timer::after(duration).await;
+        // If faults overlap, the first one to end clears all of them.
         play_faults(self.platform, &Faults::default()).await;
     }
 
-    /// A backend server leaves, is away for a while, and comes back as another run.
-    async fn leave(&self, daemon: usize, ms: u64) {
+    /// Makes a backend server leave and return as another incarnation.
+    async fn leave_and_return(&self, daemon: usize, ms: u64) {
         let member = &self.daemons[daemon];
-        if member.leaves.swap(true, Ordering::Relaxed) {
+        if member.is_leaving.swap(true, Ordering::Relaxed) {
             return;
         }
-        let away = Instant::now() + Duration::from_millis(ms);
+        let return_at = Instant::now() + Duration::from_millis(ms);
         while !member.announce().await.is_ok_and(|status| status == 200) {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         self.checker().leave_acknowledged(self.now(), daemon);
-        Timer::at(away).await;
+        Timer::at(return_at).await;
         self.checker().backend_joining(daemon);
-        let before = member.start_next_run(daemon);
-        self.held_up_news(member, &before).await;
+        let previous = member.start_next_incarnation(daemon);
+        self.send_late_updates(member, &previous).await;
     }
 
-    /// What the run before said last comes late, with what others write.
-    async fn held_up_news(&self, member: &Member, before: &BackendRun) {
+    /// Delivers late updates of the previous incarnation and malformed reports.
+    async fn send_late_updates(&self, member: &Member, previous: &BackendIncarnation) {
         while !member.announce().await.is_ok_and(|status| status == 200) {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
-        // Whatever the answers are: the checker sees whether the new run gets work.
-        let leaves = member.heartbeat(before.born_ms, "draining", u64::from(u32::MAX));
-        let _ = member.post(&before.id, "heartbeat", leaves).await;
-        let ends = format!(r#"{{"born":{}}}"#, before.born_ms);
-        let _ = member.post(&before.id, "deregister", ends).await;
-        for foreign in FOREIGN {
+        // The responses don't matter: the checker sees whether the new incarnation gets requests.
+        let draining = member.heartbeat(previous.started_ms, "draining", u64::from(u32::MAX));
+        let _ = member.post(&previous.id, "heartbeat", draining).await;
+        let deregistration = format!(r#"{{"born":{}}}"#, previous.started_ms);
+        let _ = member
+            .post(&previous.id, "deregister", deregistration)
+            .await;
+        for foreign in FOREIGN_RECORDS {
             let id = member.backend.id();
             let _ = member.post(&id, "heartbeat", foreign.to_owned()).await;
         }
--- a/crates/sorrelturn-bench/src/soak/caller.rs
+++ b/crates/sorrelturn-bench/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes and reads bytes itself, so that it sees where an answer ends or breaks off.
+//! A caller that reads and writes raw bytes, so that it sees where a response ends or is cut off.
 
 use super::checker::Ending;
 use crate::client::{Expected, is_own_and_whole};
@@ -10,38 +10,38 @@
 };
 use std::{io, net::SocketAddr, str::FromStr, time::Duration};
 
-/// The largest piece that is read at once.
-const PIECE_BYTES: usize = 16 << 10;
+/// The maximum number of bytes per read.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// A connection to a daemon.
 pub(super) struct Caller {
     tcp: TcpStream,
-    /// What came and was not asked for yet.
+    /// Bytes that were received but not yet consumed.
     unread: Vec<u8>,
 }
 
-/// What is asked.
-pub(super) struct Question<'a> {
+/// A request of a caller.
+pub(super) struct CallerRequest<'a> {
     pub(super) path: &'a str,
     pub(super) host: &'a str,
     pub(super) id: &'a str,
-    /// The header that carries the id.
+    /// The name of the header that carries the id.
     pub(super) id_header: &'a str,
     pub(super) credential: &'a str,
-    /// The header that carries the credential.
+    /// The name of the header that carries the credential.
     pub(super) credential_header: &'a str,
 }
 
-/// An answer, and whether the connection goes on.
-pub(super) struct Heard {
+/// How a request ended, and whether its connection stays open.
+pub(super) struct CallerResponse {
     pub(super) ending: Ending,
-    pub(super) goes_on: bool,
+    pub(super) stays_open: bool,
 }
 
 struct Head {
     status: u16,
-    len: usize,
-    closes: bool,
+    body_len: usize,
+    closes_connection: bool,
     id: Option<String>,
 }
 
@@ -55,92 +55,104 @@
         })
     }
 
-    /// Sends a request; an error says that not all of it went out.
-    pub(super) async fn send(&mut self, question: &Question<'_>) -> io::Result<()> {
-        let Question {
+    /// Sends a request.
+    ///
+    /// # Errors
+    ///
+    /// If the request wasn't sent completely.
+    pub(super) async fn send(&mut self, request: &CallerRequest<'_>) -> io::Result<()> {
+        let CallerRequest {
             path,
             host,
             id,
             id_header,
             credential,
             credential_header,
-        } = question;
+        } = request;
         let text = format!(
             "GET {path} HTTP/1.1\r\nhost: {host}\r\n{id_header}: {id}\r\n{credential_header}: {credential}\r\n\r\n"
         );
         self.tcp.write_all(text.as_bytes()).await
     }
 
-    /// Reads the answer; `patience` is the time after which there is none.
-    pub(super) async fn hear(&mut self, question: &Question<'_>, patience: Duration) -> Heard {
-        let silent = async {
-            Timer::after(patience).await;
+    /// Receives the response, or gives up after `timeout`.
+    pub(super) async fn receive(
+        &mut self,
+        request: &CallerRequest<'_>,
+        timeout: Duration,
+    ) -> CallerResponse {
+        let timed_out = async {
+            Timer::after(timeout).await;
             None
         };
-        let heard = async { Some(self.read(question).await) };
-        if let Some(heard) = heard.or(silent).await {
-            return heard;
+        let response = async { Some(self.read(request).await) };
+        if let Some(response) = response.or(timed_out).await {
+            return response;
         }
-        let begun = !self.unread.is_empty();
-        Heard {
-            ending: if begun {
+        let has_begun = !self.unread.is_empty();
+        CallerResponse {
+            ending: if has_begun {
                 Ending::Stalled
             } else {
                 Ending::Silent
             },
-            goes_on: false,
+            stays_open: false,
         }
     }
 
-    async fn read(&mut self, question: &Question<'_>) -> Heard {
-        let ends = |ending| Heard {
+    async fn read(&mut self, request: &CallerRequest<'_>) -> CallerResponse {
+        let ended_with = |ending| CallerResponse {
             ending,
-            goes_on: false,
+            stays_open: false,
         };
         let head_end = loop {
-            if let Some(at) = find(&self.unread, b"\r\n\r\n") {
+            if let Some(at) = position_of(&self.unread, b"\r\n\r\n") {
                 break at + 4;
             }
-            if !self.more().await {
-                let none = self.unread.is_empty();
-                return ends(if none { Ending::Closed } else { Ending::Cut });
+            if !self.read_chunk().await {
+                let is_empty = self.unread.is_empty();
+                return ended_with(if is_empty {
+                    Ending::Closed
+                } else {
+                    Ending::Cut
+                });
             }
         };
         let text = String::from_utf8_lossy(&self.unread[..head_end]).into_owned();
-        let Some(head) = Head::parse(&text, question.id_header) else {
-            return ends(Ending::Answer {
+        let Some(head) = Head::parse(&text, request.id_header) else {
+            return ended_with(Ending::Answer {
                 status: 0,
                 own: false,
                 foreign: true,
             });
         };
-        let whole = head_end + head.len;
-        while self.unread.len() < whole {
-            if !self.more().await {
-                return ends(Ending::Cut);
+        let response_len = head_end + head.body_len;
+        while self.unread.len() < response_len {
+            if !self.read_chunk().await {
+                return ended_with(Ending::Cut);
             }
         }
-        let body = &self.unread[head_end..whole];
-        let echo = question.id.to_owned();
+        let body = &self.unread[head_end..response_len];
+        let echo = request.id.to_owned();
         let own = is_own_and_whole(body, &Expected { echo });
-        let another = head.id.is_some_and(|id| id != question.id);
-        self.unread.drain(..whole);
-        Heard {
+        let has_foreign_id = head.id.is_some_and(|id| id != request.id);
+        self.unread.drain(..response_len);
+        CallerResponse {
             ending: Ending::Answer {
                 status: head.status,
                 own,
-                foreign: another || !self.unread.is_empty(),
+                foreign: has_foreign_id || !self.unread.is_empty(),
             },
-            goes_on: !head.closes,
+            stays_open: !head.closes_connection,
         }
     }
 
-    /// Reads a piece; whether there was one.
-    async fn more(&mut self) -> bool {
-        let mut piece = vec![0; PIECE_BYTES];
-        // A connection that breaks ends here as one that is closed.
-        let read = self.tcp.read(&mut piece).await.unwrap_or(0);
-        self.unread.extend_from_slice(&piece[..read]);
+    /// Reads a chunk; returns whether there was one.
+    async fn read_chunk(&mut self) -> bool {
+        let mut chunk = vec![0; MAX_CHUNK_BYTES];
+        // A broken connection counts as a closed one.
+        let read = self.tcp.read(&mut chunk).await.unwrap_or(0);
+        self.unread.extend_from_slice(&chunk[..read]);
         read > 0
     }
 }
@@ -162,13 +174,15 @@
         let status = lower.split(' ').nth(1)?;
         Some(Self {
             status: u16::from_str(status).ok()?,
-            len: header("content-length")?.parse().ok()?,
-            closes: header("connection").is_some_and(|value| value == "close"),
+            body_len: header("content-length")?.parse().ok()?,
+            closes_connection: header("connection").is_some_and(|value| value == "close"),
             id: header(id_header),
         })
     }
 }
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|window| window == what)
+fn position_of(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes
+        .windows(pattern.len())
+        .position(|window| window == pattern)
 }
--- a/crates/sorrelturn-bench/src/soak/checker.rs
+++ b/crates/sorrelturn-bench/src/soak/checker.rs
@@ -1,663 +1,719 @@
-//! What is promised, checked by what callers and backend servers saw. It takes the time as an argument and
-//! opens no socket, so that a test can feed it a breach of each promise.
+//! Checks the promises against what callers and backend servers observed. The checker takes the time as an argument
+//! and opens no socket, so that a test can feed it a breach of each promise.
 
-use super::workspaces::{CredentialKind, WorkspacesSeen};
+use super::workspaces::{CredentialKind, WorkspaceObservations};
 use std::{collections::HashMap, time::Duration};
 
-/// What happened to a daemon counts for so long: the time after which the platform's rules take a machine
-/// for undisturbed again.
-const CONTACT: Duration = Duration::from_secs(3);
-/// A connection may be closed without an answer under a request that crosses the close, which is at most so
-/// long after its last byte: several times what a busy machine takes to read it.
-const CROSSES_CLOSE: Duration = Duration::from_secs(1);
-/// A daemon that was told to stop says within this time that it isn't ready: the time of one question of
-/// whoever asks for readiness.
-const NOT_READY_WITHIN: Duration = Duration::from_secs(1);
-/// The exit may come so much later than the longest time of a stop.
+/// The time after a fault from which the platform's rules consider a machine undisturbed again.
+const UNDISTURBED_AFTER: Duration = Duration::from_secs(3);
+/// The maximum time between sending a request and a close that crosses it; the connection may then be closed without
+/// a response.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_secs(1);
+/// The time within which a stopping daemon has to report that it isn't ready: one interval of the readiness checks.
+const NOT_READY_TIMEOUT: Duration = Duration::from_secs(1);
+/// The tolerated delay of an exit after the stop timeout.
 const EXIT_SLACK: Duration = Duration::from_secs(1);
-/// So many backend servers may run a request that has crashed as many, later than [`CONTACT`] after the last of those.
-const CRASHES_BORNE: usize = 3;
-/// An answer that breaks off behind something broken may end before its head was written, which looks like no
-/// answer at all. The platform's rules let a machine do so three times.
-const BROKEN_HEADS: u32 = 3;
-/// Answers that say that the request never ran and never will.
-const REFUSALS: [u16; 4] = [408, 421, 429, 503];
-
-/// A promise.
+/// The number of crashes that one request may cause, and of further crashes that daemons could have prevented, which
+/// come later than [`UNDISTURBED_AFTER`] after those.
+const TOLERATED_CRASHES: usize = 3;
+/// The number of connections that a daemon may close without a byte because a response was cut off behind a fault
+/// before its head was written. The platform's rules allow a machine three.
+const MAX_BROKEN_HEADS: u32 = 3;
+/// The statuses which state that the request was not and will not be executed.
+const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
+
+/// A promise that the soak checks; see `docs/PROMISES.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// A refused request never ran and never will.
+    /// A refused request is never executed.
     Refused,
-    /// A request of an at-most-once kind runs once at most.
+    /// A request of an at-most-once kind is executed at most once.
     AtMostOnce,
-    /// What runs was asked for.
+    /// Only requests that callers sent are executed.
     Asked,
-    /// A success is the whole answer to its own request.
+    /// A success is the complete response to its own request.
     OwnWhole,
-    /// A proper request is not denied.
+    /// A valid request is not denied.
     Denied,
-    /// Every request that was read has a final answer.
+    /// Every request that a daemon read gets a final response.
     Answered,
-    /// A daemon that was told to stop has ended in time, having cut nothing.
+    /// A daemon that was told to stop exits in time and cuts no request off.
     ExitsInTime,
-    /// A daemon that nobody ended doesn't end.
+    /// A daemon doesn't exit by itself.
     GoesOn,
-    /// A daemon that was told to stop isn't ready.
+    /// A daemon that was told to stop reports that it isn't ready.
     NotReady,
-    /// After its leave was acknowledged a backend server gets nothing new.
+    /// A backend server gets no new requests after its leave was acknowledged.
     Leaves,
-    /// A newer route table never goes back within one run.
+    /// An incarnation never returns to an older route table.
     Newest,
-    /// After the faults everything is served again.
+    /// All requests are served again after the faults.
     Recovers,
-    /// A request that crashes backend servers is kept from them.
+    /// A request that crashes backend servers is quarantined.
     Held,
-    /// A credential that was taken away runs nothing.
+    /// No request with a revoked credential is executed.
     Revoked,
-    /// No window sees more of a workspace than its quota.
+    /// No window exceeds a workspace's quota.
     Quota,
 }
 
-/// What kind of request it is.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may be repeated.
+    /// It may be executed repeatedly.
     Safe,
-    /// It runs once at most.
+    /// It is executed at most once.
     Once,
-    /// Only the route table of this version allows it.
+    /// Only the route table of this version has a route for it.
     Version(u64),
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A complete answer.
+    /// A complete response.
     Answer {
-        /// Its status.
+        /// The status.
         status: u16,
-        /// Whether the body is the one that belongs to the request.
+        /// Whether the body belongs to the request and is complete.
         own: bool,
-        /// Whether more came than was asked for, or under another request's id.
+        /// Whether it has another request's id, or surplus bytes followed it.
         foreign: bool,
     },
-    /// The connection ended behind a part of the answer.
+    /// The connection ended within the response.
     Cut,
-    /// The connection ended before a byte of an answer.
+    /// The connection ended before the first byte of a response.
     Closed,
-    /// There was no answer long after the route's deadline.
+    /// No byte of a response arrived until long after the route's deadline.
     Silent,
-    /// An answer had begun and neither went on nor ended long after the route's deadline.
+    /// A response began but was still incomplete long after the route's deadline.
     Stalled,
 }
 
-/// A backend server that a request reached.
+/// The arrival of a request at a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Beside which daemon.
+    /// The number of the daemon that the backend server belongs to.
     pub daemon: usize,
-    /// Whether it begins to run the request.
+    /// Whether the backend server begins to execute the request.
     pub runs: bool,
-    /// Whether it is playing a fault.
+    /// Whether the backend server is misbehaving.
     pub misbehaves: bool,
 }
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
-    /// When it was seen.
+    /// When it was observed, since the start of the soak.
     pub at: Duration,
-    /// The promise.
+    /// The broken promise.
     pub promise: Promise,
-    /// What was seen.
+    /// A description for the report.
     pub what: String,
 }
 
-/// How much was seen.
+/// The totals of a soak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests that were sent whole.
+    /// Requests that callers were about to send.
     pub sent: u64,
-    /// Successes.
+    /// Responses with a status of 2xx.
     pub succeeded: u64,
-    /// Refusals.
+    /// Responses which state that the request was not executed.
     pub refused: u64,
-    /// Other answers.
+    /// Other responses.
     pub failed: u64,
-    /// Requests without a whole answer, each for a reason that the promises except.
+    /// Requests without a complete response, each for a reason that the promises exempt.
     pub lost: u64,
-    /// Requests that backend servers ran.
+    /// Executions at backend servers.
     pub ran: u64,
-    /// Exits of daemons that had been told to stop.
+    /// Exits of daemons that were told to stop.
     pub stops: u64,
 }
 
 struct Request {
     kind: Kind,
-    shows: CredentialKind,
+    credential_kind: CredentialKind,
     daemon: usize,
-    run: usize,
-    asked: Duration,
+    incarnation: usize,
+    sent_at: Duration,
     places: Vec<Place>,
-    refused: bool,
+    is_refused: bool,
 }
 
-/// One run of a daemon.
+/// What was observed of one incarnation of a daemon.
 #[derive(Default)]
-struct Run {
-    /// When it was up.
-    up: Duration,
+struct Incarnation {
+    /// When it printed its addresses.
+    up_since: Duration,
     stop_requested: Option<Duration>,
     killed: bool,
     ended: bool,
-    /// Times at which it stood still; the last may not be over.
+    /// The periods in which it was suspended; the last may still be open.
     paused: Vec<(Duration, Option<Duration>)>,
-    said_not_ready: bool,
-    /// The newest route table that was seen, and when.
+    has_reported_not_ready: bool,
+    /// The newest observed version of the route table, and when it was first observed.
     newest: Option<(u64, Duration)>,
-    late: bool,
-    /// When and how it ended, if it says that it cut something off.
-    cut: Option<(Duration, Option<i32>)>,
-    /// Whether something that it carried was cut for a reason that the promises except.
-    had_to_cut: bool,
+    is_overdue: bool,
+    /// The time and code of an exit that reports cut-off requests.
+    cut_exit: Option<(Duration, Option<i32>)>,
+    /// Whether a request was cut off for a reason that the promises exempt.
+    has_excused_cut: bool,
 }
 
 #[derive(Default)]
-struct DaemonSeen {
-    runs: Vec<Run>,
-    /// Times at which the path to it was harmed.
+struct DaemonObservations {
+    incarnations: Vec<Incarnation>,
+    /// The periods of faults on the path to it.
     path_faulted: Vec<(Duration, Duration)>,
-    /// When its backend server's leave was acknowledged.
-    left: Option<Duration>,
-    /// Its ends that were no exit of its own.
+    /// When the leave of its backend server was acknowledged.
+    leave_acknowledged_at: Option<Duration>,
+    /// When it was killed.
     killed: Vec<Duration>,
-    /// When its backend server began to run a request that crashes it.
+    /// When its backend server began to execute a request that crashes it.
     crashed: Vec<Duration>,
-    /// How often it closed a connection of a caller without a byte, behind something that was broken.
+    /// How often it closed a caller's connection without a byte because of a fault behind it.
     broken_heads: u32,
 }
 
-/// The checker.
+/// Checks the promises of a soak from reported observations.
 pub struct Checker {
-    most: Duration,
-    /// The longest time by which the soak itself was late, which it grants to the daemons, too.
+    stop_timeout: Duration,
+    /// The maximum delay of the soak itself, which all time limits are extended by.
     lag: Duration,
-    daemons: Vec<DaemonSeen>,
+    daemons: Vec<DaemonObservations>,
     requests: HashMap<String, Request>,
-    table_published: u64,
-    /// Times at which the store was in trouble.
+    newest_published: u64,
+    /// The periods of faults of the store.
     store_faulted: Vec<(Duration, Duration)>,
-    /// When backend servers ran the request that crashes them.
+    /// When backend servers began to execute the request that crashes them.
     crashes: Vec<Duration>,
-    /// How many of them that daemons in touch could have kept it from.
-    crashes_late: usize,
-    workspaces: WorkspacesSeen,
+    /// How many of these crashes undisturbed daemons could have prevented.
+    avoidable_crashes: usize,
+    workspaces: WorkspaceObservations,
     breaches: Vec<Breach>,
     counts: Counts,
 }
 
 impl Checker {
-    /// Checks so many daemons whose stop takes `most` at most.
-    pub fn new(daemons: usize, most: Duration) -> Self {
+    /// Creates a checker for a number of daemons with this stop timeout.
+    pub fn new(daemons: usize, stop_timeout: Duration) -> Self {
         Self {
-            most,
+            stop_timeout,
             lag: Duration::ZERO,
-            daemons: (0..daemons).map(|_| DaemonSeen::default()).collect(),
+            daemons: (0..daemons)
+                .map(|_| DaemonObservations::default())
+                .collect(),
             requests: HashMap::new(),
-            table_published: 0,
+            newest_published: 0,
             store_faulted: Vec::new(),
             crashes: Vec::new(),
-            crashes_late: 0,
-            workspaces: WorkspacesSeen::default(),
+            avoidable_crashes: 0,
+            workspaces: WorkspaceObservations::default(),
             breaches: Vec::new(),
             counts: Counts::default(),
         }
     }
 
-    /// What was broken.
+    /// Returns the breaches so far.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    /// How much was seen.
+    /// Returns the totals so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The soak itself was late by so much.
-    pub fn record_lag(&mut self, by: Duration) {
-        self.lag = self.lag.max(by);
+    /// Records a delay of the soak itself.
+    pub fn record_lag(&mut self, lag: Duration) {
+        self.lag = self.lag.max(lag);
     }
 
-    /// The longest time by which the soak was late.
+    /// Returns the maximum delay of the soak itself.
     pub fn lag(&self) -> Duration {
         self.lag
     }
 
-    /// A run of a daemon begins.
+    /// Records that an incarnation of a daemon starts.
     pub fn started(&mut self, daemon: usize) {
-        self.daemons[daemon].runs.push(Run::default());
+        self.daemons[daemon]
+            .incarnations
+            .push(Incarnation::default());
     }
 
-    /// The last run of a daemon is up.
+    /// Records that the last incarnation of a daemon listens.
     pub fn came_up(&mut self, at: Duration, daemon: usize) {
-        self.last(daemon).up = at;
+        self.last_incarnation(daemon).up_since = at;
     }
 
-    /// Which run of the daemon is the last.
+    /// Returns the number of a daemon's last incarnation.
     pub fn current_incarnation(&self, daemon: usize) -> usize {
-        self.daemons[daemon].runs.len().saturating_sub(1)
+        self.daemons[daemon].incarnations.len().saturating_sub(1)
     }
 
-    /// A daemon is told to stop.
+    /// Records that a daemon is told to stop.
     pub fn stop_requested(&mut self, at: Duration, daemon: usize) {
-        self.last(daemon).stop_requested.get_or_insert(at);
+        self.last_incarnation(daemon)
+            .stop_requested
+            .get_or_insert(at);
     }
 
-    /// A daemon is killed.
+    /// Records that a daemon is killed.
     pub fn killed(&mut self, at: Duration, daemon: usize) {
-        self.last(daemon).killed = true;
+        self.last_incarnation(daemon).killed = true;
         self.daemons[daemon].killed.push(at);
     }
 
-    /// A daemon stands still from now on.
+    /// Records that a daemon is suspended.
     pub fn paused(&mut self, at: Duration, daemon: usize) {
-        self.last(daemon).paused.push((at, None));
+        self.last_incarnation(daemon).paused.push((at, None));
     }
 
-    /// A daemon goes on.
+    /// Records that a daemon is resumed.
     pub fn resumed(&mut self, at: Duration, daemon: usize) {
-        let open = self.last(daemon).paused.iter_mut();
+        let open = self.last_incarnation(daemon).paused.iter_mut();
         for (_, until) in open.filter(|(_, until)| until.is_none()) {
             *until = Some(at);
         }
     }
 
-    /// The path to a daemon is harmed.
+    /// Records a fault of the path to a daemon.
     pub fn path_faulted(&mut self, from: Duration, until: Duration, daemon: usize) {
         self.daemons[daemon].path_faulted.push((from, until));
     }
 
-    /// The store is in trouble.
+    /// Records a fault of the store.
     pub fn store_faulted(&mut self, from: Duration, until: Duration) {
         self.store_faulted.push((from, until));
     }
 
-    /// A backend server begins to run the request that crashes it.
+    /// Records that a backend server begins to execute the request that crashes it.
     pub fn running_crashing_request(&mut self, at: Duration, id: &str, daemon: usize) {
-        let since = at.saturating_sub(CONTACT);
-        let third = self.crashes.get(CRASHES_BORNE - 1).copied();
+        let since = at.saturating_sub(UNDISTURBED_AFTER);
+        let last_tolerated = self.crashes.get(TOLERATED_CRASHES - 1).copied();
         self.crashes.push(at);
         self.daemons[daemon].crashed.push(at);
         let entry = self
             .requests
             .get(id)
             .map_or(daemon, |request| request.daemon);
-        let troubled = |(from, until): &(Duration, Duration)| *from <= at && *until >= since;
-        let in_touch = !self.store_faulted.iter().any(troubled)
+        let overlaps = |(from, until): &(Duration, Duration)| *from <= at && *until >= since;
+        let is_in_touch = !self.store_faulted.iter().any(overlaps)
             && self.was_in_touch(entry, at)
             && self.was_in_touch(daemon, at);
-        let is_late = third.is_some_and(|third| third + CONTACT + self.lag < at);
-        self.crashes_late += usize::from(is_late && in_touch);
-        if self.crashes_late > CRASHES_BORNE {
-            let what = format!(
-                "{id} reaches daemon {daemon} from {entry}; {} crashes before, {} of them late",
+        let is_avoidable = last_tolerated
+            .is_some_and(|last_tolerated| last_tolerated + UNDISTURBED_AFTER + self.lag < at);
+        self.avoidable_crashes += usize::from(is_avoidable && is_in_touch);
+        if self.avoidable_crashes > TOLERATED_CRASHES {
+            let description = format!(
+                "{id} reaches daemon {daemon} from {entry}; {} earlier crashes, {} of them avoidable",
                 self.crashes.len() - 1,
-                self.crashes_late - 1
+                self.avoidable_crashes - 1
             );
-            self.breach(at, Promise::Held, what);
+            self.add_breach(at, Promise::Held, description);
         }
     }
 
-    /// Whether a daemon has run undisturbed for [`CONTACT`].
+    /// Returns whether a daemon has run undisturbed for [`UNDISTURBED_AFTER`].
     fn was_in_touch(&self, daemon: usize, at: Duration) -> bool {
-        let seen = &self.daemons[daemon];
-        let since = at.saturating_sub(CONTACT);
-        let run = seen.runs.last();
-        let runs = run.is_some_and(|run| run.stop_requested.is_none() && run.up <= since);
-        runs && !seen.was_disturbed(since, at)
+        let observed = &self.daemons[daemon];
+        let since = at.saturating_sub(UNDISTURBED_AFTER);
+        let incarnation = observed.incarnations.last();
+        let is_running = incarnation.is_some_and(|incarnation| {
+            incarnation.stop_requested.is_none() && incarnation.up_since <= since
+        });
+        is_running && !observed.was_disturbed(since, at)
     }
 
-    /// A route table may be in force from now on.
+    /// Records that a route table may be in force from now on.
     pub fn table_published(&mut self, version: u64) {
-        self.table_published = self.table_published.max(version);
+        self.newest_published = self.newest_published.max(version);
     }
 
-    /// The store has confirmed the route table of a version.
+    /// Records that the store confirmed the route table of a version.
     pub fn table_confirmed(&mut self, at: Duration, version: u64) {
         self.workspaces.table_confirmed(at, version);
     }
 
-    /// An earlier route table is about to be written again.
+    /// Records that an earlier route table is about to be written again.
     pub fn reverting_to(&mut self, version: u64) {
         self.workspaces.reverting_to(version);
     }
 
-    /// The leave of a backend server was acknowledged.
+    /// Records that the leave of a backend server was acknowledged.
     pub fn leave_acknowledged(&mut self, at: Duration, daemon: usize) {
-        self.daemons[daemon].left = Some(at);
+        self.daemons[daemon].leave_acknowledged_at = Some(at);
     }
 
-    /// A new run of a backend server is about to announce itself.
+    /// Records that a new incarnation of a backend server is about to announce itself.
     pub fn backend_joining(&mut self, daemon: usize) {
-        self.daemons[daemon].left = None;
+        self.daemons[daemon].leave_acknowledged_at = None;
     }
 
-    /// A daemon's process has ended.
+    /// Records the exit of a daemon's process.
     pub fn exited(&mut self, at: Duration, daemon: usize, code: Option<i32>) {
         self.check_exit_time(at, daemon);
-        let run = self.last(daemon);
-        run.ended = true;
-        let (stop_requested, killed, late) = (run.stop_requested, run.killed, run.late);
-        let from = stop_requested.unwrap_or_default().saturating_sub(CONTACT);
-        let disturbed = run.was_disturbed(from, at);
+        let incarnation = self.last_incarnation(daemon);
+        incarnation.ended = true;
+        let (stop_requested, killed, is_overdue) = (
+            incarnation.stop_requested,
+            incarnation.killed,
+            incarnation.is_overdue,
+        );
+        let from = stop_requested
+            .unwrap_or_default()
+            .saturating_sub(UNDISTURBED_AFTER);
+        let disturbed = incarnation.was_disturbed(from, at);
         if killed {
             return;
         }
         if stop_requested.is_none() {
-            let what = format!("daemon {daemon} ended by itself with {code:?}");
-            return self.breach(at, Promise::GoesOn, what);
+            let description = format!("daemon {daemon} exited by itself with {code:?}");
+            return self.add_breach(at, Promise::GoesOn, description);
         }
         self.counts.stops += 1;
-        if code != Some(0) && !disturbed && !late {
-            self.last(daemon).cut = Some((at, code));
+        if code != Some(0) && !disturbed && !is_overdue {
+            self.last_incarnation(daemon).cut_exit = Some((at, code));
         }
     }
 
-    /// All has been seen: checks what could be judged only now.
+    /// Checks what can be judged only after the last observation.
     pub fn finish(&mut self) {
-        let mut cuts = Vec::new();
-        for (daemon, seen) in self.daemons.iter().enumerate() {
-            let runs = seen.runs.iter().filter(|run| !run.had_to_cut);
-            cuts.extend(runs.filter_map(|run| Some((daemon, run.stop_requested?, run.cut?))));
+        let mut cut_exits = Vec::new();
+        for (daemon, observed) in self.daemons.iter().enumerate() {
+            let incarnations = observed
+                .incarnations
+                .iter()
+                .filter(|incarnation| !incarnation.has_excused_cut);
+            cut_exits.extend(incarnations.filter_map(|incarnation| {
+                Some((daemon, incarnation.stop_requested?, incarnation.cut_exit?))
+            }));
         }
-        for (daemon, stop_requested, (at, code)) in cuts {
-            let what = format!("daemon {daemon}, told at {stop_requested:?}, exits with {code:?}");
-            self.breach(at, Promise::ExitsInTime, what);
+        for (daemon, stop_requested, (at, code)) in cut_exits {
+            let description =
+                format!("daemon {daemon}, told to stop at {stop_requested:?}, exits with {code:?}");
+            self.add_breach(at, Promise::ExitsInTime, description);
         }
     }
 
-    /// Checks whether a daemon that was told to stop runs too long; it may then be killed.
+    /// Returns whether a stopping daemon exceeds its stop timeout, which is reported once; it may then be killed.
     pub fn check_exit_time(&mut self, at: Duration, daemon: usize) -> bool {
-        let most = self.most + EXIT_SLACK + self.lag;
-        let run = self.last(daemon);
-        let Some(stop_requested) = run
+        let allowed = self.stop_timeout + EXIT_SLACK + self.lag;
+        let incarnation = self.last_incarnation(daemon);
+        let Some(stop_requested) = incarnation
             .stop_requested
-            .filter(|_| !run.killed && !run.ended && !run.late)
+            .filter(|_| !incarnation.killed && !incarnation.ended && !incarnation.is_overdue)
         else {
             return false;
         };
-        if at <= stop_requested + most + run.stood_still(stop_requested, at) {
+        if at <= stop_requested + allowed + incarnation.paused_duration(stop_requested, at) {
             return false;
         }
-        run.late = true;
-        let what = format!("daemon {daemon}, told at {stop_requested:?}, still runs");
-        self.breach(at, Promise::ExitsInTime, what);
+        incarnation.is_overdue = true;
+        let description =
+            format!("daemon {daemon}, told to stop at {stop_requested:?}, still runs");
+        self.add_breach(at, Promise::ExitsInTime, description);
         true
     }
 
-    /// A daemon was asked whether it is ready.
-    pub fn readiness_reported(&mut self, asked: Duration, daemon: usize, run: usize, ready: bool) {
-        let within = NOT_READY_WITHIN + self.lag;
-        let Some(seen) = self.daemons[daemon].runs.get_mut(run) else {
+    /// Records the result of a readiness check that was sent at `sent_at`.
+    pub fn readiness_reported(
+        &mut self,
+        sent_at: Duration,
+        daemon: usize,
+        incarnation: usize,
+        ready: bool,
+    ) {
+        let timeout = NOT_READY_TIMEOUT + self.lag;
+        let Some(observed) = self.daemons[daemon].incarnations.get_mut(incarnation) else {
             return;
         };
-        let Some(stop_requested) = seen
+        let Some(stop_requested) = observed
             .stop_requested
-            .filter(|stop_requested| asked > *stop_requested)
+            .filter(|stop_requested| sent_at > *stop_requested)
         else {
             return;
         };
-        let late = asked > stop_requested + within + seen.stood_still(stop_requested, asked);
-        let again = seen.said_not_ready;
-        seen.said_not_ready |= !ready;
-        if ready && (late || again) {
-            let what =
-                format!("daemon {daemon}, told at {stop_requested:?}, says that it is ready");
-            self.breach(asked, Promise::NotReady, what);
+        let is_overdue =
+            sent_at > stop_requested + timeout + observed.paused_duration(stop_requested, sent_at);
+        let was_not_ready = observed.has_reported_not_ready;
+        observed.has_reported_not_ready |= !ready;
+        if ready && (is_overdue || was_not_ready) {
+            let description = format!(
+                "daemon {daemon}, told to stop at {stop_requested:?}, reports that it is ready"
+            );
+            self.add_breach(sent_at, Promise::NotReady, description);
         }
     }
 
-    /// A request is about to be sent to a run of a daemon.
-    pub fn sending(&mut self, at: Duration, id: &str, kind: Kind, daemon: usize, run: usize) {
-        self.sending_with_credential(at, id, kind, (daemon, run), CredentialKind::Steady);
+    /// Records that a request is about to be sent to an incarnation of a daemon.
+    pub fn sending(
+        &mut self,
+        at: Duration,
+        id: &str,
+        kind: Kind,
+        daemon: usize,
+        incarnation: usize,
+    ) {
+        self.sending_with_credential(at, id, kind, (daemon, incarnation), CredentialKind::Steady);
     }
 
-    /// As [`Checker::sending`], by somebody who shows another credential.
+    /// As [`Checker::sending`], with another credential.
     pub fn sending_with_credential(
         &mut self,
         at: Duration,
         id: &str,
         kind: Kind,
-        (daemon, run): (usize, usize),
-        shows: CredentialKind,
+        (daemon, incarnation): (usize, usize),
+        credential_kind: CredentialKind,
     ) {
         self.counts.sent += 1;
         let request = Request {
             kind,
-            shows,
+            credential_kind,
             daemon,
-            run,
-            asked: at,
+            incarnation,
+            sent_at: at,
             places: Vec::new(),
-            refused: false,
+            is_refused: false,
         };
         self.requests.insert(id.to_owned(), request);
     }
 
-    /// A request reaches a backend server.
+    /// Records that a request reaches a backend server.
     pub fn reached_backend(&mut self, at: Duration, id: &str, place: Place) {
         let Some(request) = self.requests.get_mut(id) else {
-            let what = format!("nobody asked for {id}");
-            return self.breach(at, Promise::Asked, what);
+            let description = format!("no caller sent {id}");
+            return self.add_breach(at, Promise::Asked, description);
         };
         request.places.push(place);
-        let (kind, asked, refused) = (request.kind, request.asked, request.refused);
-        let shows = request.shows;
-        let runs = request.places.iter().filter(|place| place.runs).count();
+        let (kind, sent_at, is_refused) = (request.kind, request.sent_at, request.is_refused);
+        let credential_kind = request.credential_kind;
+        let run_count = request.places.iter().filter(|place| place.runs).count();
         if self.daemons[place.daemon]
-            .left
-            .is_some_and(|left| asked > left)
+            .leave_acknowledged_at
+            .is_some_and(|leave_acknowledged_at| sent_at > leave_acknowledged_at)
         {
-            let what = format!(
-                "{id}, sent at {asked:?}, reaches {} that left",
+            let description = format!(
+                "{id}, sent at {sent_at:?}, reaches backend server {} after its leave",
                 place.daemon
             );
-            self.breach(at, Promise::Leaves, what);
+            self.add_breach(at, Promise::Leaves, description);
         }
         if !place.runs {
             return;
         }
         self.counts.ran += 1;
-        if let Some(wrong) = self.workspaces.ran(at, asked, shows, self.lag) {
-            let promise = match shows {
+        if let Some(wrong) = self
+            .workspaces
+            .check_run(at, sent_at, credential_kind, self.lag)
+        {
+            let promise = match credential_kind {
                 CredentialKind::Limited => Promise::Quota,
                 _ => Promise::Revoked,
             };
-            self.breach(
+            self.add_breach(
                 at,
                 promise,
                 format!("{id} runs at {}, {wrong}", place.daemon),
             );
         }
-        if kind == Kind::Once && runs > 1 {
-            let what = format!("{id} runs {runs} times, now at {}", place.daemon);
-            self.breach(at, Promise::AtMostOnce, what);
+        if kind == Kind::Once && run_count > 1 {
+            let description = format!("{id} runs {run_count} times, now at {}", place.daemon);
+            self.add_breach(at, Promise::AtMostOnce, description);
         }
-        if refused {
-            let what = format!("{id} runs at {} after it was refused", place.daemon);
-            self.breach(at, Promise::Refused, what);
+        if is_refused {
+            let description = format!("{id} runs at {} after it was refused", place.daemon);
+            self.add_breach(at, Promise::Refused, description);
         }
     }
 
-    /// A request ends for its caller.
+    /// Records how a request ended for its caller.
     pub fn ended(&mut self, at: Duration, id: &str, ending: Ending) {
         match ending {
             Ending::Answer {
                 status,
                 own,
                 foreign,
-            } => self.answered(at, id, status, own, foreign),
+            } => self.check_answer(at, id, status, own, foreign),
             Ending::Cut | Ending::Closed | Ending::Silent | Ending::Stalled => {
-                self.lost(at, id, ending);
+                self.check_lost(at, id, ending);
             }
         }
     }
 
-    /// Something isn't served again after the faults.
-    pub fn did_not_recover(&mut self, at: Duration, what: String) {
-        self.breach(at, Promise::Recovers, what);
+    /// Records that something isn't served again after the faults.
+    pub fn did_not_recover(&mut self, at: Duration, description: String) {
+        self.add_breach(at, Promise::Recovers, description);
     }
 
-    fn answered(&mut self, at: Duration, id: &str, status: u16, own: bool, foreign: bool) {
+    fn check_answer(&mut self, at: Duration, id: &str, status: u16, own: bool, foreign: bool) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let good = (200..300).contains(&status);
-        let refused = REFUSALS.contains(&status);
-        request.refused = refused;
-        let (kind, shows, ran) = (request.kind, request.shows, request.ran_at());
-        match (good, refused) {
+        let is_success = (200..300).contains(&status);
+        let is_refused = REFUSAL_STATUSES.contains(&status);
+        request.is_refused = is_refused;
+        let (kind, credential_kind, ran_at) = (
+            request.kind,
+            request.credential_kind,
+            request.daemons_run_at(),
+        );
+        match (is_success, is_refused) {
             (true, _) => self.counts.succeeded += 1,
             (_, true) => self.counts.refused += 1,
             _ => self.counts.failed += 1,
         }
-        if foreign || (good && !own) {
-            let what = format!("{id} has an answer {status} that isn't its own and whole");
-            self.breach(at, Promise::OwnWhole, what);
+        if foreign || (is_success && !own) {
+            let description =
+                format!("{id} got a response {status} that is incomplete or of another request");
+            self.add_breach(at, Promise::OwnWhole, description);
         }
-        if refused && !ran.is_empty() {
-            let what = format!("{id} is refused with {status} and ran at {ran:?}");
-            self.breach(at, Promise::Refused, what);
+        if is_refused && !ran_at.is_empty() {
+            let description = format!("{id} is refused with {status} and ran at {ran_at:?}");
+            self.add_breach(at, Promise::Refused, description);
         }
         if let Kind::Version(version) = kind {
-            self.saw_version(at, id, version, status);
-        } else if (300..500).contains(&status) && !refused && !shows.may_be_unknown(status) {
-            let what = format!("{id} is denied with {status}");
-            self.breach(at, Promise::Denied, what);
+            self.check_version(at, id, version, status);
+        } else if (300..500).contains(&status)
+            && !is_refused
+            && !credential_kind.may_be_unknown(status)
+        {
+            let description = format!("{id} is denied with {status}");
+            self.add_breach(at, Promise::Denied, description);
         }
     }
 
-    /// An answer tells which route table was in force at its entry.
-    fn saw_version(&mut self, at: Duration, id: &str, version: u64, status: u16) {
+    /// Derives the route table in force at the daemon from a response, and checks that it isn't older than before.
+    fn check_version(&mut self, at: Duration, id: &str, version: u64, status: u16) {
         let request = &self.requests[id];
-        let (daemon, run, asked) = (request.daemon, request.run, request.asked);
-        let table_published = self.table_published;
-        let Some(seen) = self.daemons[daemon].runs.get_mut(run) else {
+        let (daemon, incarnation, sent_at) = (request.daemon, request.incarnation, request.sent_at);
+        let published = self.newest_published;
+        let Some(observed) = self.daemons[daemon].incarnations.get_mut(incarnation) else {
             return;
         };
-        // What was seen before this request was sent.
-        let before = seen.newest.filter(|(_, when)| *when < asked);
-        let before = before.map_or(0, |(version, _)| version);
+        // The newest version observed before this request was sent.
+        let newest_before = observed.newest.filter(|(_, when)| *when < sent_at);
+        let newest_before = newest_before.map_or(0, |(version, _)| version);
         let went_back = match status {
-            200 => version < before,
-            // Only a newer table may have dropped the route.
-            404 => version == before && version == table_published,
+            200 => version < newest_before,
+            // Only a newer table lacks the route.
+            404 => version == newest_before && version == published,
             _ => false,
         };
-        if status == 200 && seen.newest.is_none_or(|(newest, _)| version > newest) {
-            seen.newest = Some((version, at));
+        if status == 200 && observed.newest.is_none_or(|(newest, _)| version > newest) {
+            observed.newest = Some((version, at));
         }
         if went_back {
-            let what =
-                format!("daemon {daemon} answers {status} to version {version} after {before}");
-            self.breach(at, Promise::Newest, what);
+            let description = format!(
+                "daemon {daemon} answers {status} to version {version} after {newest_before}"
+            );
+            self.add_breach(at, Promise::Newest, description);
         }
     }
 
-    fn lost(&mut self, at: Duration, id: &str, ending: Ending) {
+    fn check_lost(&mut self, at: Duration, id: &str, ending: Ending) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let (daemon, asked) = (request.daemon, request.asked);
-        let from = asked.saturating_sub(CONTACT);
-        let run = self.daemons[daemon].runs.get(request.run);
-        let entry_disturbed = run.is_none_or(|run| run.killed || run.was_disturbed(from, at));
-        // The rest of the answer lay behind something that was broken.
-        let broken = request
+        let (daemon, sent_at) = (request.daemon, request.sent_at);
+        let from = sent_at.saturating_sub(UNDISTURBED_AFTER);
+        let incarnation = self.daemons[daemon].incarnations.get(request.incarnation);
+        let is_entry_disturbed = incarnation
+            .is_none_or(|incarnation| incarnation.killed || incarnation.was_disturbed(from, at));
+        // The rest of the response was behind a fault.
+        let is_behind_fault = request
             .places
             .iter()
-            .any(|place| place.misbehaves || self.daemons[place.daemon].breaks_off(from, at));
-        let crosses = request.places.is_empty() && at - asked <= CROSSES_CLOSE + self.lag;
+            .any(|place| place.misbehaves || self.daemons[place.daemon].may_break_off(from, at));
+        let is_close_race =
+            request.places.is_empty() && at - sent_at <= CLOSE_RACE_WINDOW + self.lag;
         let broken_heads = self.daemons[daemon].broken_heads;
-        let excepted = match ending {
-            Ending::Closed => crosses || (broken && broken_heads < BROKEN_HEADS),
-            Ending::Cut => broken,
+        let is_excepted = match ending {
+            Ending::Closed => is_close_race || (is_behind_fault && broken_heads < MAX_BROKEN_HEADS),
+            Ending::Cut => is_behind_fault,
             _ => false,
         };
-        let stop_requested = run.and_then(|run| run.stop_requested);
-        if entry_disturbed || excepted {
-            let broken_head = !entry_disturbed && !crosses && ending == Ending::Closed;
-            self.daemons[daemon].broken_heads += u32::from(broken_head);
+        let stop_requested = incarnation.and_then(|incarnation| incarnation.stop_requested);
+        if is_entry_disturbed || is_excepted {
+            let is_broken_head = !is_entry_disturbed && !is_close_race && ending == Ending::Closed;
+            self.daemons[daemon].broken_heads += u32::from(is_broken_head);
             self.counts.lost += 1;
-            let number = request.run;
-            if let Some(run) = self.daemons[daemon].runs.get_mut(number) {
-                run.had_to_cut |= !crosses;
+            let number = request.incarnation;
+            if let Some(incarnation) = self.daemons[daemon].incarnations.get_mut(number) {
+                incarnation.has_excused_cut |= !is_close_race;
             }
             return;
         }
-        let what = format!(
-            "{id} {:?} sent to daemon {daemon} at {asked:?} ends with {ending:?}; told to stop: \
+        let description = format!(
+            "{id} {:?} sent to daemon {daemon} at {sent_at:?} ends with {ending:?}; told to stop: \
              {stop_requested:?}; reached {:?}",
             request.kind, request.places
         );
-        self.breach(at, Promise::Answered, what);
+        self.add_breach(at, Promise::Answered, description);
     }
 
-    fn last(&mut self, daemon: usize) -> &mut Run {
-        let runs = &mut self.daemons[daemon].runs;
-        if runs.is_empty() {
-            runs.push(Run::default());
+    fn last_incarnation(&mut self, daemon: usize) -> &mut Incarnation {
+        let incarnations = &mut self.daemons[daemon].incarnations;
+        if incarnations.is_empty() {
+            incarnations.push(Incarnation::default());
         }
-        runs.last_mut().expect("there is one now")
+        incarnations.last_mut().expect("the list is not empty")
     }
 
-    fn breach(&mut self, at: Duration, promise: Promise, what: String) {
-        self.breaches.push(Breach { at, promise, what });
+    fn add_breach(&mut self, at: Duration, promise: Promise, description: String) {
+        self.breaches.push(Breach {
+            at,
+            promise,
+            what: description,
+        });
     }
 }
 
 impl Request {
-    fn ran_at(&self) -> Vec<usize> {
+    fn daemons_run_at(&self) -> Vec<usize> {
         let places = self.places.iter().filter(|place| place.runs);
         places.map(|place| place.daemon).collect()
     }
 }
 
-impl Run {
+impl Incarnation {
     fn was_disturbed(&self, from: Duration, until: Duration) -> bool {
         self.paused
             .iter()
-            .any(|(begun, over)| *begun <= until && over.is_none_or(|over| over >= from))
+            .any(|(start, end)| *start <= until && end.is_none_or(|end| end >= from))
     }
 
-    /// How long it stood still within a time, and what it needs to notice.
-    fn stood_still(&self, from: Duration, until: Duration) -> Duration {
+    /// Returns for how long it was suspended within a period.
+    fn paused_duration(&self, from: Duration, until: Duration) -> Duration {
         self.paused
             .iter()
-            .map(|(begun, over)| {
-                let (begun, over) = ((*begun).max(from), over.unwrap_or(until).min(until));
-                over.saturating_sub(begun)
+            .map(|(start, end)| {
+                let (start, end) = ((*start).max(from), end.unwrap_or(until).min(until));
+                end.saturating_sub(start)
             })
             .sum()
     }
 }
 
-impl DaemonSeen {
-    /// Whether what its backend server ran may have been broken off.
-    fn breaks_off(&self, from: Duration, until: Duration) -> bool {
+impl DaemonObservations {
+    /// Returns whether requests at its backend server may have been cut off.
+    fn may_break_off(&self, from: Duration, until: Duration) -> bool {
         let crashed = self.crashed.iter().any(|at| *at >= from && *at <= until);
         crashed || self.was_disturbed(from, until)
     }
 
     fn was_disturbed(&self, from: Duration, until: Duration) -> bool {
-        let within = |begun: Duration, over: Duration| begun <= until && over >= from;
-        self.runs.iter().any(|run| run.was_disturbed(from, until))
-            || self.killed.iter().any(|at| within(*at, *at))
+        let overlaps = |start: Duration, end: Duration| start <= until && end >= from;
+        self.incarnations
+            .iter()
+            .any(|incarnation| incarnation.was_disturbed(from, until))
+            || self.killed.iter().any(|at| overlaps(*at, *at))
             || self
                 .path_faulted
                 .iter()
-                .any(|(begun, over)| within(*begun, *over))
+                .any(|(start, end)| overlaps(*start, *end))
     }
 }
 
--- a/crates/sorrelturn-bench/src/soak/harness.rs
+++ b/crates/sorrelturn-bench/src/soak/harness.rs
@@ -1,11 +1,13 @@
-//! The soak itself: starts everything, plays a plan, and tells the checker what was seen.
+//! The soak itself: starts all processes, executes a plan, and reports the observations to the checker.
 
 use super::{
     checker::{Breach, Checker, Counts, Place},
     member::{Member, own_ip},
-    path::Path as Way,
+    path::FaultyPath,
     plan::SoakPlan,
-    workspaces::{BURST, LEASE_MS, OVERAGE, RATE, REVOCATION_MS, SLACK, WINDOW_S},
+    workspaces::{
+        BURST, LEASE_MS, OVERAGE_FRACTION, RATE, REVOCATION_MS, SLACK_REQUESTS, WINDOW_S,
+    },
 };
 use crate::{ReceivedRequest, RoutedBackend, Script};
 use bytes::Bytes;
@@ -23,127 +25,126 @@
     time::{Duration, Instant},
 };
 
-/// The longest time for the start of everything, and for service to return after the faults; long, so that
-/// a busy machine doesn't fail.
-pub(super) const WAIT: Duration = Duration::from_secs(60);
-/// How long daemons that stop go on serving.
+/// The timeout for starting all processes and for recovery after the faults; long enough for a busy machine.
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long stopping daemons continue to serve, in milliseconds.
 const LINGER_MS: u64 = 800;
-/// The longest time that a caller waits: the routes' deadline and several seconds, in which the daemon has
-/// to say that it is over.
-pub(super) const PATIENCE: Duration = Duration::from_millis(SoakTarget::DEADLINE_MS + 5_000);
-/// Callers of each daemon that keep their connection as long as it lasts, and those that open one for
-/// each request.
-const KEEPERS: usize = 3;
-const OPENERS: usize = 1;
-/// How long backend servers work, and the least length of their answers.
-pub(super) const WORKS: Script = Script::Works { ms: 15, bytes: 800 };
-/// How often backend servers announce themselves.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(500);
-/// How often a daemon is asked whether it is ready, looked at and, when it has ended, started anew.
-const READY_EVERY: Duration = Duration::from_millis(100);
-pub(super) const LOOK: Duration = Duration::from_millis(10);
-const DOWN: Duration = Duration::from_millis(300);
-/// How often the soak looks whether it is late itself.
-const LAG_EVERY: Duration = Duration::from_millis(20);
-/// What crashes a backend server, how often it is sent, and how long a backend server is away then.
-pub(super) const DEADLY: &str = "/safe/deadly";
-const BACKEND_DOWN: Duration = Duration::from_secs(1);
-/// What somebody else writes to the announce port and under the members of the store.
-pub(super) const FOREIGN: [&str; 4] = [
+/// The timeout of a caller: the routes' deadline, and several seconds in which the daemon has to report that the
+/// deadline has passed.
+pub(super) const RESPONSE_TIMEOUT: Duration =
+    Duration::from_millis(SoakTarget::DEADLINE_MS + 5_000);
+/// Callers per daemon that keep their connection open, and callers that open one for each request.
+const PERSISTENT_CALLERS: usize = 3;
+const ONE_SHOT_CALLERS: usize = 1;
+/// The script of backend servers without a fault: their processing time and the minimum length of their responses.
+pub(super) const NORMAL_SCRIPT: Script = Script::Works { ms: 15, bytes: 800 };
+/// The interval of the backend servers' heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval of the readiness checks of each daemon.
+const READINESS_INTERVAL: Duration = Duration::from_millis(100);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// The interval at which the soak measures its own delay.
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The path of the request that crashes backend servers.
+pub(super) const CRASHING_PATH: &str = "/safe/deadly";
+const BACKEND_RESTART_DELAY: Duration = Duration::from_secs(1);
+/// Malformed or foreign records that others write to the announce port and to the members in the store.
+pub(super) const FOREIGN_RECORDS: [&str; 4] = [
     "{",
     "[]",
     r#"{"service":"nobody","state":"ready","sequence":1,"slots":4,"born":1793099500000}"#,
     r#"{"service":"a","state":"asleep","sequence":"1","born":1.5}"#,
 ];
-/// Where the route table lies.
-pub(super) const TABLE: &str = "config/main";
-/// The services; the first answers what is safe and tells versions, the second what runs once.
+/// The store's key of the route table.
+pub(super) const ROUTE_TABLE_KEY: &str = "config/main";
+/// The services: the first serves repeatable and versioned routes, the second at-most-once routes.
 const SERVICES: [&str; 2] = ["a", "b"];
 
-/// How the daemons under test speak. The soak knows none of it.
+/// The daemons under test: their program, dialect and route tables, which the soak itself doesn't know.
 #[derive(Clone)]
 pub struct SoakTarget {
-    /// The program of a daemon.
+    /// The name of the daemon's program.
     pub program: &'static str,
-    /// The names of its headers.
+    /// The daemon's header names.
     pub dialect: Dialect,
-    /// The host that route tables name.
+    /// The host of all routes.
     pub host: &'static str,
-    /// The route table of a version: `/safe/` leads to service `a` and may be repeated, `/once/` leads to `b` and
-    /// runs once at most, `/version/N/`, with the own version for N, is as `/safe/`. All have
-    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of [`CredentialKind`]; the last one has the quota of
-    /// [`SoakTarget::RATE`] and [`SoakTarget::BURST`].
+    /// Returns the route table of a version: `/safe/` leads to service `a` and is repeatable, `/once/` leads to `b` and
+    /// is at-most-once, `/version/N/`, where N is the table's own version, is like `/safe/`. All have the deadline
+    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of [`CredentialKind`]; the last one has the
+    /// quota of [`SoakTarget::RATE`] and [`SoakTarget::BURST`].
     pub table: fn(u64) -> String,
 }
 
 impl SoakTarget {
     /// The deadline of all routes, in milliseconds.
     pub const DEADLINE_MS: u64 = 3_000;
-    /// The rate of the workspace with a quota, in requests a second.
+    /// The quota of the limited workspace, in requests per second.
     pub const RATE: u32 = RATE;
-    /// Its burst.
+    /// The burst of the limited workspace, in requests.
     pub const BURST: u32 = BURST;
 }
 
-/// What came of a soak.
+/// The result of a soak.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Promises that were broken.
+    /// The broken promises.
     pub breaches: Vec<Breach>,
-    /// How much was seen.
+    /// The totals.
     pub counts: Counts,
-    /// The longest time by which the soak itself was late.
+    /// The maximum delay of the soak itself.
     pub lag: Duration,
-    /// Writes of route tables that the store took no answer of.
-    pub unsure_tables: u64,
+    /// The number of route table writes that the store didn't confirm.
+    pub unconfirmed_tables: u64,
 }
 
 pub(super) struct Harness {
     pub(super) ex: Arc<Executor<'static>>,
-    pub(super) words: SoakTarget,
-    pub(super) begun: Instant,
+    pub(super) target: SoakTarget,
+    pub(super) started_at: Instant,
     pub(super) checker: Arc<Mutex<Checker>>,
     pub(super) platform: SocketAddr,
     pub(super) daemons: Vec<Member>,
-    /// Whether [`DEADLY`] is sent.
-    crashes: bool,
+    /// Whether [`CRASHING_PATH`] is sent.
+    has_crashing_request: bool,
     pub(super) version: AtomicU64,
     pub(super) next_id: AtomicU64,
-    pub(super) unsure_tables: AtomicU64,
-    /// Nothing is done to daemons any more, and callers end.
-    pub(super) over: AtomicBool,
+    pub(super) unconfirmed_tables: AtomicU64,
+    /// Set once all actions are done, which ends the tasks.
+    pub(super) is_over: AtomicBool,
 }
 
-/// Plays a plan; `folder` takes the settings and logs of daemons.
+/// Executes a plan and returns its result; the settings and logs of the daemons are written to `folder`.
 pub async fn soak(
     ex: Arc<Executor<'static>>,
-    words: &SoakTarget,
+    target: &SoakTarget,
     plan: &SoakPlan,
     folder: &Path,
 ) -> SoakReport {
-    let harness = Arc::new(Harness::start(ex, words, plan, folder).await);
-    let running = harness.run_all();
-    harness.until_served().await;
+    let harness = Arc::new(Harness::start(ex, target, plan, folder).await);
+    let running_tasks = harness.start_tasks();
+    harness.wait_until_served().await;
     let mut actions = Vec::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for timed in &plan.actions {
-        Timer::at(begun + Duration::from_millis(timed.at_ms)).await;
+        Timer::at(started_at + Duration::from_millis(timed.at_ms)).await;
         let harness = Arc::clone(&harness);
         let action = timed.action;
         actions.push(
             harness
                 .ex
                 .clone()
-                .spawn(async move { harness.play(action).await }),
+                .spawn(async move { harness.run_action(action).await }),
         );
     }
     for action in actions {
         action.await;
     }
     harness.publish(false).await;
-    harness.until_served().await;
-    harness.over.store(true, Ordering::Relaxed);
-    for task in running {
+    harness.wait_until_served().await;
+    harness.is_over.store(true, Ordering::Relaxed);
+    for task in running_tasks {
         task.await;
     }
     harness.report()
@@ -152,7 +153,7 @@
 impl Harness {
     async fn start(
         ex: Arc<Executor<'static>>,
-        words: &SoakTarget,
+        target: &SoakTarget,
         plan: &SoakPlan,
         folder: &Path,
     ) -> Self {
@@ -160,18 +161,18 @@
         let platform = listener.local_addr().expect("an address");
         ex.spawn(serve(Arc::clone(&ex), listener, StandIn::default()))
             .detach();
-        let most = Duration::from_millis(plan.stop_timeout_ms);
+        let stop_timeout = Duration::from_millis(plan.stop_timeout_ms);
         let mut harness = Self {
-            words: words.clone(),
-            begun: Instant::now(),
-            checker: Arc::new(Mutex::new(Checker::new(plan.instances, most))),
+            target: target.clone(),
+            started_at: Instant::now(),
+            checker: Arc::new(Mutex::new(Checker::new(plan.instances, stop_timeout))),
             platform,
             daemons: Vec::new(),
-            crashes: plan.has_crashing_request,
+            has_crashing_request: plan.has_crashing_request,
             version: AtomicU64::new(0),
             next_id: AtomicU64::new(1),
-            unsure_tables: AtomicU64::new(0),
-            over: AtomicBool::new(false),
+            unconfirmed_tables: AtomicU64::new(0),
+            is_over: AtomicBool::new(false),
             ex,
         };
         harness.publish(false).await;
@@ -185,10 +186,10 @@
         harness
     }
 
-    /// Others write to the store as well; what can't be read names no member.
+    /// Writes malformed member records to the store, which daemons have to ignore.
     async fn write_foreign_records(&self) {
-        let platform = Platform::new(self.platform, WAIT);
-        for (number, value) in FOREIGN.iter().enumerate() {
+        let platform = Platform::new(self.platform, START_TIMEOUT);
+        for (number, value) in FOREIGN_RECORDS.iter().enumerate() {
             let key = format!("sorrelturn/members/foreign-{number}");
             if let Err(error) = platform.put(&key, value, Expected::Absent).await {
                 log::error!("{key} can't be written: {error}");
@@ -198,42 +199,51 @@
 
     async fn start_member(&self, number: usize, stop_timeout_ms: u64, folder: &Path) -> Member {
         let checker = Arc::clone(&self.checker);
-        let begun = self.begun;
-        let id_header = self.words.dialect.headers.request_id.clone();
-        let watcher = move |req: &ReceivedRequest, script: Script| {
-            note_reached(&checker, begun.elapsed(), &id_header, number, req, script);
+        let started_at = self.started_at;
+        let id_header = self.target.dialect.headers.request_id.clone();
+        let observer = move |req: &ReceivedRequest, script: Script| {
+            record_arrival(
+                &checker,
+                started_at.elapsed(),
+                &id_header,
+                number,
+                req,
+                script,
+            );
         };
         let id = format!("b-{number}-0");
-        let names = &self.words.dialect.headers;
-        let backend = RoutedBackend::watched(names, &id, Arc::new(watcher));
-        backend.play(WORKS);
-        if self.crashes {
-            backend.crash_on(DEADLY);
+        let header_names = &self.target.dialect.headers;
+        let backend = RoutedBackend::watched(header_names, &id, Arc::new(observer));
+        backend.play(NORMAL_SCRIPT);
+        if self.has_crashing_request {
+            backend.crash_on(CRASHING_PATH);
         }
         let backend_addr = backend.serve(&self.ex).await.expect("a free port");
-        let way = Way::open(&self.ex).await.expect("a free port on loopback");
-        let settings = self.settings(number, stop_timeout_ms, backend_addr, way.addr);
+        let path = FaultyPath::open(&self.ex)
+            .await
+            .expect("a free port on loopback");
+        let settings = self.settings(number, stop_timeout_ms, backend_addr, path.addr);
         let mut member = Member {
             number,
             addresses: settings.listen,
             settings,
-            program: self.words.program,
+            program: self.target.program,
             file: folder.join(format!("i-{number}.jsonc")),
             folder: folder.to_owned(),
-            way,
+            path,
             backend,
             process: Mutex::default(),
-            leaves: AtomicBool::new(false),
-            telling: Mutex::default(),
+            is_leaving: AtomicBool::new(false),
+            announce_lock: Mutex::default(),
             sequence: AtomicU64::new(0),
-            backend_runs: AtomicU64::new(0),
+            backend_restarts: AtomicU64::new(0),
         };
         lock(&self.checker).started(number);
         let (process, addresses) = member.start(0).await.expect("the daemon starts");
         member.process = Mutex::new(Some(process));
         member.addresses = addresses;
         member.settings.listen = addresses;
-        member.way.set_target(addresses.peers);
+        member.path.set_target(addresses.peers);
         member
     }
 
@@ -254,8 +264,8 @@
                 "advertise": {{ "peers": "{peers}" }},
                 "backend": {{ "address": "{backend}" }},
                 "platform": {{ "address": "{}" }},
-                "routes": {{ "object": "{TABLE}", "retry_slack": 1000, "revocation_ms": {REVOCATION_MS},
-                    "quota_window_s": {WINDOW_S}, "quota_overage": {OVERAGE}, "quota_slack": {SLACK}, "quota_lease_ms": {LEASE_MS} }},
+                "routes": {{ "object": "{ROUTE_TABLE_KEY}", "retry_slack": 1000, "revocation_ms": {REVOCATION_MS},
+                    "quota_window_s": {WINDOW_S}, "quota_overage": {OVERAGE_FRACTION}, "quota_slack": {SLACK_REQUESTS}, "quota_lease_ms": {LEASE_MS} }},
                 "threads": 1,
                 "stop": {{ "linger_ms": {LINGER_MS}, "most_ms": {stop_timeout_ms} }}
             }}"#,
@@ -265,31 +275,37 @@
     }
 
     pub(super) fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     pub(super) fn is_over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+        self.is_over.load(Ordering::Relaxed)
     }
 
     pub(super) fn checker(&self) -> MutexGuard<'_, Checker> {
         lock(&self.checker)
     }
 
-    /// Starts whatever goes on until the end.
-    fn run_all(self: &Arc<Self>) -> Vec<Task<()>> {
+    /// Starts the tasks that run until the end of the soak.
+    fn start_tasks(self: &Arc<Self>) -> Vec<Task<()>> {
         let mut tasks = vec![self.spawn(async |harness| harness.watch_lag().await)];
         for number in 0..self.daemons.len() {
-            tasks.push(self.spawn(async move |harness| harness.keep_up(number).await));
-            tasks.push(self.spawn(async move |harness| harness.ask_ready(number).await));
-            tasks.push(self.spawn(async move |harness| harness.announce_often(number).await));
-            if self.crashes {
-                tasks.push(self.spawn(async move |harness| harness.keep_backend_up(number).await));
-                tasks.push(self.spawn(async move |harness| harness.send_deadly(number).await));
+            tasks.push(self.spawn(async move |harness| harness.keep_daemon_running(number).await));
+            tasks.push(self.spawn(async move |harness| harness.check_readiness(number).await));
+            tasks.push(self.spawn(async move |harness| harness.send_heartbeats(number).await));
+            if self.has_crashing_request {
+                tasks.push(
+                    self.spawn(async move |harness| harness.keep_backend_running(number).await),
+                );
+                tasks.push(
+                    self.spawn(async move |harness| harness.send_crashing_requests(number).await),
+                );
             }
-            for caller in 0..KEEPERS + OPENERS {
-                let keeps = caller < KEEPERS;
-                tasks.push(self.spawn(async move |harness| harness.call(number, keeps).await));
+            for caller in 0..PERSISTENT_CALLERS + ONE_SHOT_CALLERS {
+                let keeps_connection = caller < PERSISTENT_CALLERS;
+                tasks.push(self.spawn(async move |harness| {
+                    harness.run_caller(number, keeps_connection).await
+                }));
             }
         }
         tasks
@@ -305,42 +321,42 @@
 
     async fn watch_lag(&self) {
         while !self.is_over() {
-            let due = Instant::now() + LAG_EVERY;
+            let due = Instant::now() + LAG_CHECK_INTERVAL;
             Timer::at(due).await;
             self.checker().record_lag(due.elapsed());
         }
     }
 
-    /// Starts a daemon anew whenever it has ended.
-    async fn keep_up(&self, number: usize) {
+    /// Restarts a daemon whenever it has exited.
+    async fn keep_daemon_running(&self, number: usize) {
         let member = &self.daemons[number];
-        let mut runs = 1;
+        let mut incarnations = 1;
         while !self.is_over() {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
             if !self.has_ended(member) {
                 continue;
             }
-            Timer::after(DOWN).await;
-            let begun = Instant::now();
-            // Before the process can answer anybody.
+            Timer::after(RESTART_DELAY).await;
+            let started_at = Instant::now();
+            // The checker has to know before the process can respond.
             self.checker().started(number);
             loop {
-                if let Some((process, _)) = member.start(runs).await {
+                if let Some((process, _)) = member.start(incarnations).await {
                     self.checker().came_up(self.now(), number);
                     *lock(&member.process) = Some(process);
                     break;
                 }
-                runs += 1;
-                if begun.elapsed() > WAIT {
-                    let what = format!("daemon {number} doesn't start again");
-                    return self.checker().did_not_recover(self.now(), what);
+                incarnations += 1;
+                if started_at.elapsed() > START_TIMEOUT {
+                    let description = format!("daemon {number} doesn't start again");
+                    return self.checker().did_not_recover(self.now(), description);
                 }
             }
-            runs += 1;
+            incarnations += 1;
         }
     }
 
-    /// Whether a daemon's process is gone; one that stops for too long is killed.
+    /// Returns whether a daemon's process has exited; kills one that exceeds its stop timeout.
     fn has_ended(&self, member: &Member) -> bool {
         let mut slot = lock(&member.process);
         let Some(process) = slot.as_mut() else {
@@ -361,45 +377,45 @@
         false
     }
 
-    async fn ask_ready(&self, number: usize) {
+    async fn check_readiness(&self, number: usize) {
         let addr = self.daemons[number].addresses.ready.expect("it listens");
         while !self.is_over() {
-            Timer::after(READY_EVERY).await;
-            let (asked, run) = (self.now(), self.checker().current_incarnation(number));
+            Timer::after(READINESS_INTERVAL).await;
+            let (sent_at, incarnation) = (self.now(), self.checker().current_incarnation(number));
             let req = Request::get("/ready").body(Bytes::new());
-            // A daemon that is down says nothing.
-            let Ok(res) = exchange(addr, req.expect("a request"), PATIENCE).await else {
+            // A daemon that is down doesn't respond.
+            let Ok(res) = exchange(addr, req.expect("a request"), RESPONSE_TIMEOUT).await else {
                 continue;
             };
             let mut checker = self.checker();
-            if checker.current_incarnation(number) == run {
-                checker.readiness_reported(asked, number, run, res.status().is_success());
+            if checker.current_incarnation(number) == incarnation {
+                checker.readiness_reported(sent_at, number, incarnation, res.status().is_success());
             }
         }
     }
 
-    async fn announce_often(&self, number: usize) {
+    async fn send_heartbeats(&self, number: usize) {
         let member = &self.daemons[number];
         while !self.is_over() {
-            // A daemon that is down hears it the next time.
+            // A daemon that is down receives the next one.
             let _ = member.announce().await;
-            Timer::after(ANNOUNCE_EVERY).await;
+            Timer::after(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Starts a backend server anew whenever it has crashed.
-    async fn keep_backend_up(&self, number: usize) {
+    /// Restarts a backend server whenever it has crashed.
+    async fn keep_backend_running(&self, number: usize) {
         let member = &self.daemons[number];
         while !self.is_over() {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
             if member.backend.is_up() {
                 continue;
             }
-            Timer::after(BACKEND_DOWN).await;
-            // One that leaves goes on leaving.
-            if !member.leaves.load(Ordering::Relaxed) {
+            Timer::after(BACKEND_RESTART_DELAY).await;
+            // A backend server that is leaving stays in that state.
+            if !member.is_leaving.load(Ordering::Relaxed) {
                 self.checker().backend_joining(number);
-                member.start_next_run(number);
+                member.start_next_incarnation(number);
             }
             let id = member.backend.id();
             if let Err(error) = member.backend.restart_after_crash(&self.ex, &id).await {
@@ -415,12 +431,12 @@
             breaches: checker.breaches().to_vec(),
             counts: checker.counts(),
             lag: checker.lag(),
-            unsure_tables: self.unsure_tables.load(Ordering::Relaxed),
+            unconfirmed_tables: self.unconfirmed_tables.load(Ordering::Relaxed),
         }
     }
 }
 
-fn note_reached(
+fn record_arrival(
     checker: &Mutex<Checker>,
     at: Duration,
     id_header: &HeaderName,
@@ -428,18 +444,18 @@
     req: &ReceivedRequest,
     script: Script,
 ) {
-    // A probe has none.
+    // A probe has no request id.
     let Some(id) = req.headers.get(id_header.as_str()) else {
         return;
     };
-    let place = Place {
+    let arrival = Place {
         daemon,
         runs: script != Script::SaysNotRun,
         misbehaves: !matches!(script, Script::Works { .. }),
     };
     let mut checker = lock(checker);
-    checker.reached_backend(at, id, place);
-    if req.line.contains(DEADLY) {
+    checker.reached_backend(at, id, arrival);
+    if req.line.contains(CRASHING_PATH) {
         checker.running_crashing_request(at, id, daemon);
     }
 }
--- a/crates/sorrelturn-bench/src/soak/member.rs
+++ b/crates/sorrelturn-bench/src/soak/member.rs
@@ -1,8 +1,8 @@
-//! A daemon under test, as a process, with its backend server.
+//! A daemon under test, as a process of its own, with its backend server.
 
 use super::{
-    harness::{LOOK, PATIENCE, WAIT, lock},
-    path::Path as Way,
+    harness::{POLL_INTERVAL, RESPONSE_TIMEOUT, START_TIMEOUT, lock},
+    path::FaultyPath,
 };
 use crate::{RoutedBackend, processes::Process};
 use bytes::Bytes;
@@ -21,13 +21,13 @@
     time::Instant,
 };
 
-/// When the first run of each backend server started, in milliseconds since the Unix epoch; each further one starts
-/// a second later by its own clock.
-const FIRST_BORN_MS: u64 = 1_793_099_500_000;
-/// Every so many restarts the backend server has a new id; at all others it keeps the one that it had.
-const NEW_ID_EVERY: u64 = 3;
-/// The slots that backend servers announce: more than their callers together.
-const SLOTS: u32 = 64;
+/// The announced start time of each backend server's first incarnation, in milliseconds since the Unix epoch; each
+/// further incarnation announces a second more.
+const FIRST_START_MS: u64 = 1_793_099_500_000;
+/// The number of restarts after which a backend server changes its id.
+const RESTARTS_PER_ID: u64 = 3;
+/// The slots that a backend server announces: more than all callers use together.
+const ANNOUNCED_SLOTS: u32 = 64;
 
 /// A daemon with its backend server.
 pub(super) struct Member {
@@ -37,36 +37,38 @@
     pub(super) program: &'static str,
     pub(super) file: PathBuf,
     pub(super) folder: PathBuf,
-    pub(super) way: Way,
+    pub(super) path: FaultyPath,
     pub(super) backend: RoutedBackend,
     pub(super) process: Mutex<Option<Process>>,
-    /// Whether the backend server is about to go.
-    pub(super) leaves: AtomicBool,
-    /// Held while an announcement is written and while the backend server becomes another run, so that no run is told
-    /// with what another one does.
-    pub(super) telling: Mutex<()>,
+    /// Whether the backend server is leaving.
+    pub(super) is_leaving: AtomicBool,
+    /// Held while an announcement is built and while the incarnation changes, so that no announcement mixes the state
+    /// of two incarnations.
+    pub(super) announce_lock: Mutex<()>,
     pub(super) sequence: AtomicU64,
-    pub(super) backend_runs: AtomicU64,
+    pub(super) backend_restarts: AtomicU64,
 }
 
-/// One run of a backend server.
-pub(super) struct BackendRun {
+/// One incarnation of a backend server.
+pub(super) struct BackendIncarnation {
     pub(super) id: String,
-    pub(super) born_ms: u64,
+    pub(super) started_ms: u64,
 }
 
 impl Member {
-    /// Starts a run of the daemon and waits until it says where it listens; `None` if it ends instead.
-    pub(super) async fn start(&self, run: usize) -> Option<(Process, ListenSettings)> {
+    /// Starts an incarnation of the daemon and waits until it prints its addresses; `None` if it exits instead.
+    pub(super) async fn start(&self, incarnation: usize) -> Option<(Process, ListenSettings)> {
         let text = serde_json::to_string_pretty(&self.settings).expect("settings are JSON");
-        let log = self.folder.join(format!("i-{}-{run}.log", self.number));
+        let log = self
+            .folder
+            .join(format!("i-{}-{incarnation}.log", self.number));
         let (program, file) = (self.program, self.file.clone());
-        let to = log.clone();
-        // A disk that is busy holds up this thread only.
+        let log_path = log.clone();
+        // A busy disk must not block the executor.
         let start = smol::unblock(move || {
             std::fs::write(&file, text)?;
             let file = file.display().to_string();
-            Process::start_logged(program, &["--settings", &file], &to)
+            Process::start_logged(program, &["--settings", &file], &log_path)
         });
         let mut process = match start.await {
             Ok(process) => process,
@@ -75,79 +77,79 @@
                 return None;
             }
         };
-        let begun = Instant::now();
-        while begun.elapsed() < WAIT && process.try_exit_status().is_none() {
-            let from = log.clone();
-            if let Some(addresses) = smol::unblock(move || addresses_in(&from)).await {
+        let started_at = Instant::now();
+        while started_at.elapsed() < START_TIMEOUT && process.try_exit_status().is_none() {
+            let log_path = log.clone();
+            if let Some(addresses) = smol::unblock(move || addresses_in(&log_path)).await {
                 return Some((process, addresses));
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         None
     }
 
-    /// The backend server ends and starts again; returns the run that ended.
-    pub(super) fn start_next_run(&self, daemon: usize) -> BackendRun {
-        let _telling = lock(&self.telling);
-        let before = self.run();
-        let restarts = self.backend_runs.fetch_add(1, Ordering::Relaxed) + 1;
-        let id = format!("b-{daemon}-{}", restarts / NEW_ID_EVERY);
+    /// Restarts the backend server; returns the previous incarnation.
+    pub(super) fn start_next_incarnation(&self, daemon: usize) -> BackendIncarnation {
+        let _guard = lock(&self.announce_lock);
+        let previous = self.current_incarnation();
+        let restarts = self.backend_restarts.fetch_add(1, Ordering::Relaxed) + 1;
+        let id = format!("b-{daemon}-{}", restarts / RESTARTS_PER_ID);
         self.backend.restart_with_id(&id);
         self.sequence.store(0, Ordering::Relaxed);
-        self.leaves.store(false, Ordering::Relaxed);
-        before
+        self.is_leaving.store(false, Ordering::Relaxed);
+        previous
     }
 
-    /// The run of the backend server that is there now.
-    fn run(&self) -> BackendRun {
-        let restarts = self.backend_runs.load(Ordering::Relaxed);
-        BackendRun {
+    /// Returns the current incarnation of the backend server.
+    fn current_incarnation(&self) -> BackendIncarnation {
+        let restarts = self.backend_restarts.load(Ordering::Relaxed);
+        BackendIncarnation {
             id: self.backend.id(),
-            born_ms: FIRST_BORN_MS + 1_000 * restarts,
+            started_ms: FIRST_START_MS + 1_000 * restarts,
         }
     }
 
-    /// Makes an announcement of the backend server; the status of the answer.
+    /// Sends a heartbeat of the backend server; returns the status of the response.
     pub(super) async fn announce(&self) -> Result<u16, io::Error> {
-        let (run, body) = {
-            let _telling = lock(&self.telling);
-            let leaves = self.leaves.load(Ordering::Relaxed);
-            let state = if leaves { "draining" } else { "ready" };
+        let (incarnation, body) = {
+            let _guard = lock(&self.announce_lock);
+            let is_leaving = self.is_leaving.load(Ordering::Relaxed);
+            let state = if is_leaving { "draining" } else { "ready" };
             let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-            let run = self.run();
-            let body = self.heartbeat(run.born_ms, state, sequence);
-            (run, body)
+            let incarnation = self.current_incarnation();
+            let body = self.heartbeat(incarnation.started_ms, state, sequence);
+            (incarnation, body)
         };
-        self.post(&run.id, "heartbeat", body).await
+        self.post(&incarnation.id, "heartbeat", body).await
     }
 
-    pub(super) fn heartbeat(&self, born_ms: u64, state: &str, sequence: u64) -> String {
+    pub(super) fn heartbeat(&self, started_ms: u64, state: &str, sequence: u64) -> String {
         let service = &self.settings.service;
         format!(
-            r#"{{"service":"{service}","state":"{state}","sequence":{sequence},"slots":{SLOTS},"born":{born_ms}}}"#
+            r#"{{"service":"{service}","state":"{state}","sequence":{sequence},"slots":{ANNOUNCED_SLOTS},"born":{started_ms}}}"#
         )
     }
 
-    /// Makes a call of a backend server to the daemon; the status of the answer.
+    /// Sends a call of a backend server to the daemon; returns the status of the response.
     pub(super) async fn post(&self, id: &str, call: &str, body: String) -> Result<u16, io::Error> {
         let path = format!("/backend/{id}/{call}");
         let req = Request::post(path).body(Bytes::from(body));
         let addr = self.addresses.announce.expect("it listens");
-        let res = exchange(addr, req.expect("a request"), PATIENCE).await;
+        let res = exchange(addr, req.expect("a request"), RESPONSE_TIMEOUT).await;
         let res = res.map_err(io::Error::other)?;
         Ok(res.status().as_u16())
     }
 }
 
-/// What a daemon printed of its addresses; its log stands in the same file.
+/// Returns the addresses that a daemon printed into the file, which also holds its log.
 fn addresses_in(log: &Path) -> Option<ListenSettings> {
     let text = std::fs::read_to_string(log).ok()?;
     let mut lines = text.lines().filter(|line| line.starts_with('{'));
     lines.find_map(|line| serde_json::from_str(line).ok())
 }
 
-/// An address of this process's and this daemon's own: no connection of others ever takes a port of it, so that
-/// the daemon's next run finds its ports free.
+/// Returns a loopback address that only this daemon of this process uses, so that its ports are still free when the
+/// daemon restarts.
 pub(super) fn own_ip(number: usize) -> Ipv4Addr {
     let pid = std::process::id();
     let [_, _, high, low] = pid.to_be_bytes();
--- a/crates/sorrelturn-bench/src/soak/mod.rs
+++ b/crates/sorrelturn-bench/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A fault soak: daemons as processes of their own under faults from outside, and a check of what is promised
-//! by what callers and backend servers see.
+//! A fault soak: runs daemons as separate processes, injects faults, and checks the promises against what callers and
+//! backend servers observe.
 
 mod actions;
 mod caller;
--- a/crates/sorrelturn-bench/src/soak/path.rs
+++ b/crates/sorrelturn-bench/src/soak/path.rs
@@ -1,4 +1,4 @@
-//! A path to one daemon that delays, holds up one way, resets, and lets open connections fall silent.
+//! A TCP proxy in front of one daemon that injects faults: delays, one-way cuts, resets and silent connections.
 
 use super::plan::PathFault;
 use smol::{
@@ -19,17 +19,17 @@
     time::Duration,
 };
 
-/// How often a held-up byte looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(5);
-/// The largest piece that is passed on at once.
-const PIECE_BYTES: usize = 16 << 10;
-/// How much longer each piece takes: enough for time-outs between daemons to come near.
+/// The interval at which held bytes check whether they may pass.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The maximum number of bytes per read.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// The delay of each chunk: near the timeouts between daemons.
 const DELAY_MS: u64 = 150;
 
-/// The path.
+/// A proxy in front of one daemon.
 #[derive(Clone)]
-pub(super) struct Path {
-    /// Where to connect instead of to the daemon.
+pub(super) struct FaultyPath {
+    /// The address to connect to instead of the daemon's.
     pub(super) addr: SocketAddr,
     state: Arc<State>,
 }
@@ -38,27 +38,27 @@
 struct State {
     target: Mutex<Option<SocketAddr>>,
     delay_ms: AtomicU64,
-    held_there: AtomicBool,
-    held_back: AtomicBool,
-    open: Mutex<Vec<Open>>,
+    is_forward_held: AtomicBool,
+    is_backward_held: AtomicBool,
+    open_connections: Mutex<Vec<OpenConnection>>,
 }
 
 /// An open connection.
-struct Open {
-    silent: Arc<AtomicBool>,
+struct OpenConnection {
+    is_silent: Arc<AtomicBool>,
     /// Dropped to reset the connection.
-    resets: Sender<()>,
+    reset_tx: Sender<()>,
 }
 
 /// One direction of a connection.
-struct Way<'a> {
-    held: &'a AtomicBool,
+struct Direction<'a> {
+    is_held: &'a AtomicBool,
     delay_ms: &'a AtomicU64,
-    silent: &'a AtomicBool,
+    is_silent: &'a AtomicBool,
 }
 
-impl Path {
-    /// Opens the path; it leads nowhere yet.
+impl FaultyPath {
+    /// Opens the proxy, which has no target yet.
     pub(super) async fn open(ex: &Arc<Executor<'static>>) -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let addr = listener.local_addr()?;
@@ -68,39 +68,39 @@
         Ok(Self { addr, state })
     }
 
-    /// Says where the path leads.
+    /// Sets the address of the daemon.
     pub(super) fn set_target(&self, target: SocketAddr) {
         *lock(&self.state.target) = Some(target);
     }
 
-    /// Harms the path for a while.
-    pub(super) async fn harm(&self, harm: PathFault, lasts: Duration) {
+    /// Injects a fault; faults that last end after `duration`.
+    pub(super) async fn inject(&self, fault: PathFault, duration: Duration) {
         let state = &self.state;
-        match harm {
-            // What fell silent is never reset either.
+        match fault {
+            // A silent connection isn't reset either.
             PathFault::Reset => {
-                lock(&state.open).retain(|open| open.silent.load(Ordering::Relaxed))
+                lock(&state.open_connections).retain(|open| open.is_silent.load(Ordering::Relaxed))
             }
             PathFault::Silence => {
-                for open in lock(&state.open).iter() {
-                    open.silent.store(true, Ordering::Relaxed);
+                for open in lock(&state.open_connections).iter() {
+                    open.is_silent.store(true, Ordering::Relaxed);
                 }
             }
             PathFault::Delay => {
                 state.delay_ms.store(DELAY_MS, Ordering::Relaxed);
-                Timer::after(lasts).await;
+                Timer::after(duration).await;
                 state.delay_ms.store(0, Ordering::Relaxed);
             }
-            PathFault::CutThere => hold(&state.held_there, lasts).await,
-            PathFault::CutBack => hold(&state.held_back, lasts).await,
+            PathFault::CutThere => hold_for(&state.is_forward_held, duration).await,
+            PathFault::CutBack => hold_for(&state.is_backward_held, duration).await,
         }
     }
 }
 
-async fn hold(held: &AtomicBool, lasts: Duration) {
-    held.store(true, Ordering::Relaxed);
-    Timer::after(lasts).await;
-    held.store(false, Ordering::Relaxed);
+async fn hold_for(is_held: &AtomicBool, duration: Duration) {
+    is_held.store(true, Ordering::Relaxed);
+    Timer::after(duration).await;
+    is_held.store(false, Ordering::Relaxed);
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -108,47 +108,55 @@
 }
 
 async fn accept(ex: Arc<Executor<'static>>, listener: TcpListener, state: Arc<State>) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((incoming, _)) = listener.accept().await {
         let target = *lock(&state.target);
         let state = Arc::clone(&state);
-        let conn = async move {
-            // The daemon is down: the near side sees its connection end.
+        let connection = async move {
+            // If the daemon is down, the incoming connection is closed.
             if let Some(target) = target
-                && let Ok(far) = TcpStream::connect(target).await
+                && let Ok(outgoing) = TcpStream::connect(target).await
             {
-                carry(near, far, &state).await;
+                forward_connection(incoming, outgoing, &state).await;
             }
         };
-        ex.spawn(conn).detach();
+        ex.spawn(connection).detach();
     }
 }
 
-async fn carry(near: TcpStream, far: TcpStream, state: &State) {
-    let (resets, reset) = channel::bounded(1);
-    let silent = Arc::new(AtomicBool::new(false));
-    let open = Open {
-        silent: Arc::clone(&silent),
-        resets,
+async fn forward_connection(incoming: TcpStream, outgoing: TcpStream, state: &State) {
+    let (reset_tx, reset_rx) = channel::bounded(1);
+    let is_silent = Arc::new(AtomicBool::new(false));
+    let open = OpenConnection {
+        is_silent: Arc::clone(&is_silent),
+        reset_tx,
     };
     {
-        let mut all = lock(&state.open);
-        all.retain(|open| !open.resets.is_closed());
+        let mut all = lock(&state.open_connections);
+        all.retain(|open| !open.reset_tx.is_closed());
         all.push(open);
     }
-    let way = |held| Way {
-        held,
+    let direction = |is_held| Direction {
+        is_held,
         delay_ms: &state.delay_ms,
-        silent: &silent,
+        is_silent: &is_silent,
     };
-    let there = pump(near.clone(), far.clone(), way(&state.held_there));
-    let back = pump(far.clone(), near.clone(), way(&state.held_back));
-    let ends = async {
-        future::zip(there, back).await;
+    let forward = pump(
+        incoming.clone(),
+        outgoing.clone(),
+        direction(&state.is_forward_held),
+    );
+    let backward = pump(
+        outgoing.clone(),
+        incoming.clone(),
+        direction(&state.is_backward_held),
+    );
+    let closed = async {
+        future::zip(forward, backward).await;
         false
     };
-    if ends.or(is_reset(&reset)).await {
-        for tcp in [&near, &far] {
-            // Closing without lingering resets; where it can't be set, the connection just ends.
+    if closed.or(wait_for_reset(&reset_rx)).await {
+        for tcp in [&incoming, &outgoing] {
+            // Closing with zero linger sends a reset; if it can't be set, the connection is closed normally.
             SockRef::from(tcp)
                 .set_linger(Some(Duration::ZERO))
                 .unwrap_or_default();
@@ -156,23 +164,25 @@
     }
 }
 
-async fn is_reset(reset: &Receiver<()>) -> bool {
-    reset.recv().await.is_err()
+async fn wait_for_reset(reset_rx: &Receiver<()>) -> bool {
+    reset_rx.recv().await.is_err()
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, way: Way<'_>) {
-    let mut piece = vec![0; PIECE_BYTES];
+async fn pump(mut from: TcpStream, mut to: TcpStream, direction: Direction<'_>) {
+    let mut chunk = vec![0; MAX_CHUNK_BYTES];
     loop {
-        let read = from.read(&mut piece).await.unwrap_or(0);
-        let delay = way.delay_ms.load(Ordering::Relaxed);
+        let read = from.read(&mut chunk).await.unwrap_or(0);
+        let delay = direction.delay_ms.load(Ordering::Relaxed);
         if delay > 0 {
             Timer::after(Duration::from_millis(delay)).await;
         }
-        while way.held.load(Ordering::Relaxed) || way.silent.load(Ordering::Relaxed) {
-            Timer::after(LOOK).await;
+        while direction.is_held.load(Ordering::Relaxed)
+            || direction.is_silent.load(Ordering::Relaxed)
+        {
+            Timer::after(POLL_INTERVAL).await;
         }
-        if read == 0 || to.write_all(&piece[..read]).await.is_err() {
-            // It may be closed already.
+        if read == 0 || to.write_all(&chunk[..read]).await.is_err() {
+            // The connection may be closed already.
             to.shutdown(Shutdown::Write).unwrap_or_default();
             return;
         }
--- a/crates/sorrelturn-bench/src/soak/plan.rs
+++ b/crates/sorrelturn-bench/src/soak/plan.rs
@@ -1,40 +1,40 @@
-//! What a soak does at which time, drawn from a seed.
+//! The timed actions of a soak, generated from a seed.
 //!
-//! The same seed gives the same list on every machine; what the daemons make of it still depends on how
-//! their threads run, so a seed that failed once may need several runs to fail again.
+//! A seed gives the same plan on every machine. Thread scheduling still varies, so a seed that failed once may
+//! need several runs to fail again.
 
 use crate::Script;
 use fastrand::Rng;
 use std::fmt;
 
-/// Daemons have started and know each other before the first act.
-const FIRST_MS: u64 = 1_000;
-/// The longest pause between two bursts of acts.
-const LONGEST_PAUSE_MS: u64 = 2_500;
-/// The longest time that something lasts.
-const LONGEST_MS: u64 = 4_000;
-/// The longest times of a stop that a plan chooses from. The first is as long as requests may take, so
-/// that what is taken late can't be waited for; the second is that of the deployment.
-const STOP_MOST_MS: [u64; 2] = [3_000, 5_700];
+/// Leaves time for the daemons to start and to discover each other.
+const FIRST_ACTION_MS: u64 = 1_000;
+/// The maximum pause between two bursts of actions.
+const MAX_PAUSE_MS: u64 = 2_500;
+/// The maximum duration of one action.
+const MAX_ACTION_MS: u64 = 4_000;
+/// The stop timeouts a plan chooses from. The first equals the deadline of the routes, so a daemon can't wait for
+/// requests that it accepts late; the second is the deployment's.
+const STOP_TIMEOUTS_MS: [u64; 2] = [3_000, 5_700];
 
-/// A trouble of the platform's store.
+/// A fault of the platform's store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFault {
     /// Every call fails.
     Down,
     /// Every call is refused.
     Busy,
-    /// No call is answered.
+    /// No call gets a response.
     Silent,
-    /// Every call takes longer.
+    /// Every call is delayed.
     Slow,
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect, but their responses are lost.
     LosesAnswers,
     /// Watches report nothing.
     Deaf,
 }
 
-const TROUBLES: [StoreFault; 6] = [
+const STORE_FAULTS: [StoreFault; 6] = [
     StoreFault::Down,
     StoreFault::Busy,
     StoreFault::Silent,
@@ -43,29 +43,29 @@
     StoreFault::Deaf,
 ];
 
-/// What is done to the path on which the others reach a daemon.
+/// A fault of the path over which the other daemons reach a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PathFault {
-    /// Bytes take longer.
+    /// Bytes are delayed.
     Delay,
-    /// Bytes to the daemon are held up.
+    /// Bytes to the daemon are held back.
     CutThere,
-    /// Bytes from the daemon are held up.
+    /// Bytes from the daemon are held back.
     CutBack,
     /// All open connections are reset.
     Reset,
-    /// All open connections fall silent for good; new ones work.
+    /// All open connections stop delivering bytes permanently; new ones work.
     Silence,
 }
 
-const HARMS: [PathFault; 5] = [
+const PATH_FAULTS: [PathFault; 5] = [
     PathFault::Delay,
     PathFault::CutThere,
     PathFault::CutBack,
     PathFault::Reset,
     PathFault::Silence,
 ];
-/// How backend servers misbehave.
+/// The scripts of misbehaving backend servers.
 const SCRIPTS: [Script; 7] = [
     Script::SaysNotRun,
     Script::AnswersAnother,
@@ -76,110 +76,110 @@
     Script::Hangs,
 ];
 
-/// One act.
+/// One action of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A daemon is told to stop, and started anew when it has ended.
+    /// Sends a daemon the stop signal and restarts it once it has exited.
     Stop {
-        /// Which one.
+        /// The daemon's number.
         daemon: usize,
-        /// It is told once more after so long.
+        /// Delay until a second stop signal, in milliseconds.
         again_ms: Option<u64>,
-        /// It is killed after so long.
+        /// Delay until the daemon is killed, in milliseconds.
         kill_ms: Option<u64>,
     },
-    /// A daemon is killed and started anew.
+    /// Kills and restarts a daemon.
     Kill {
-        /// Which one.
+        /// The daemon's number.
         daemon: usize,
     },
-    /// A daemon stands still for a while.
+    /// Suspends a daemon for a while.
     Pause {
-        /// Which one.
+        /// The daemon's number.
         daemon: usize,
-        /// How long.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// A daemon is told to read its settings again.
+    /// Makes a daemon reload its settings.
     Reread {
-        /// Which one.
+        /// The daemon's number.
         daemon: usize,
     },
-    /// The next route table, or the one before the last.
+    /// Publishes the next route table or the previous one.
     Publish {
-        /// Whether an older one takes the place of the newest.
+        /// Whether the previous table replaces the newest one.
         older: bool,
     },
-    /// The store is in trouble.
+    /// Injects a fault into the store.
     Store {
-        /// Which trouble.
+        /// The fault.
         trouble: StoreFault,
-        /// How long.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// The path to a daemon is harmed.
+    /// Injects a fault into the path to a daemon.
     Path {
-        /// To which one.
+        /// The daemon's number.
         daemon: usize,
-        /// How.
+        /// The fault.
         harm: PathFault,
-        /// How long.
+        /// Duration in milliseconds.
         ms: u64,
     },
-    /// A backend server leaves, and comes back as another run.
+    /// A backend server leaves and returns as another incarnation.
     Leave {
-        /// Beside which daemon.
+        /// The number of the daemon that it belongs to.
         daemon: usize,
-        /// How long it is away.
+        /// Duration of its absence in milliseconds.
         ms: u64,
     },
-    /// A backend server misbehaves.
+    /// Makes a backend server misbehave.
     Misbehave {
-        /// Beside which daemon.
+        /// The number of the daemon that it belongs to.
         daemon: usize,
-        /// How.
+        /// The script that it plays.
         script: Script,
-        /// How long.
+        /// Duration in milliseconds.
         ms: u64,
     },
 }
 
-/// An act and its time.
+/// An action and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedAction {
-    /// The time from the beginning.
+    /// The time since the start of the plan, in milliseconds.
     pub at_ms: u64,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
-/// A whole soak.
+/// The plan of a soak.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SoakPlan {
-    /// What it was drawn from.
+    /// The seed that the plan was generated from.
     pub seed: u64,
-    /// How long acts begin.
+    /// The period in which actions begin, in seconds.
     pub seconds: u64,
-    /// How many daemons there are.
+    /// The number of daemons.
     pub instances: usize,
-    /// The longest time of a stop.
+    /// The stop timeout of the daemons, in milliseconds.
     pub stop_timeout_ms: u64,
-    /// What is done, in the order of time.
+    /// The actions, ordered by time.
     pub actions: Vec<TimedAction>,
-    /// Whether a request that crashes backend servers is sent again and again.
+    /// Whether a request that crashes backend servers is sent repeatedly.
     pub has_crashing_request: bool,
 }
 
 impl SoakPlan {
-    /// The plan of a seed.
+    /// Generates the plan of a seed.
     pub fn from_seed(seed: u64, seconds: u64, instances: usize) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let stop_timeout_ms = one_of(&mut rng, &STOP_MOST_MS);
+        let stop_timeout_ms = choose(&mut rng, &STOP_TIMEOUTS_MS);
         let mut actions = Vec::new();
-        let mut at_ms = FIRST_MS;
+        let mut at_ms = FIRST_ACTION_MS;
         while at_ms < seconds * 1_000 {
-            burst(&mut rng, at_ms, instances, &mut actions);
-            at_ms += rng.u64(50..LONGEST_PAUSE_MS);
+            add_burst(&mut rng, at_ms, instances, &mut actions);
+            at_ms += rng.u64(50..MAX_PAUSE_MS);
         }
         actions.sort_by_key(|timed| timed.at_ms);
         Self {
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The same, with a request that crashes backend servers.
+    /// Returns the same plan with a request that crashes backend servers.
     pub fn with_crashes(self) -> Self {
         Self {
             has_crashing_request: true,
@@ -201,10 +201,10 @@
     }
 }
 
-/// One act, one that several daemons meet in series, or two that overlap.
-fn burst(rng: &mut Rng, at_ms: u64, instances: usize, actions: &mut Vec<TimedAction>) {
-    let series = rng.u8(..10) == 0;
-    if !series {
+/// Adds one action, two that overlap, or a stop of every daemon in turn.
+fn add_burst(rng: &mut Rng, at_ms: u64, instances: usize, actions: &mut Vec<TimedAction>) {
+    let is_series = rng.u8(..10) == 0;
+    if !is_series {
         let overlapping = 1 + usize::from(rng.u8(..3) == 0);
         for _ in 0..overlapping {
             let action = action(rng, instances);
@@ -215,16 +215,16 @@
     let gap_ms = rng.u64(0..1_500);
     for daemon in 0..instances {
         let at_ms = at_ms + gap_ms * daemon as u64;
-        let action = stop(rng, daemon);
+        let action = random_stop(rng, daemon);
         actions.push(TimedAction { at_ms, action });
     }
 }
 
 fn action(rng: &mut Rng, instances: usize) -> Action {
     let daemon = rng.usize(..instances);
-    let ms = rng.u64(100..LONGEST_MS);
+    let ms = rng.u64(100..MAX_ACTION_MS);
     match rng.u8(..20) {
-        0..5 => stop(rng, daemon),
+        0..5 => random_stop(rng, daemon),
         5..7 => Action::Kill { daemon },
         7..9 => Action::Pause { daemon, ms },
         9 => Action::Reread { daemon },
@@ -232,33 +232,33 @@
             older: rng.u8(..4) == 0,
         },
         13..15 => Action::Store {
-            trouble: one_of(rng, &TROUBLES),
+            trouble: choose(rng, &STORE_FAULTS),
             ms,
         },
         15..17 => Action::Path {
             daemon,
-            harm: one_of(rng, &HARMS),
+            harm: choose(rng, &PATH_FAULTS),
             ms,
         },
         17 => Action::Leave { daemon, ms },
         _ => Action::Misbehave {
             daemon,
-            script: one_of(rng, &SCRIPTS),
+            script: choose(rng, &SCRIPTS),
             ms,
         },
     }
 }
 
-fn stop(rng: &mut Rng, daemon: usize) -> Action {
-    let mut sometimes = |one_in: u8| (rng.u8(..one_in) == 0).then(|| rng.u64(0..LONGEST_MS));
+fn random_stop(rng: &mut Rng, daemon: usize) -> Action {
+    let mut maybe_ms = |one_in: u8| (rng.u8(..one_in) == 0).then(|| rng.u64(0..MAX_ACTION_MS));
     Action::Stop {
         daemon,
-        again_ms: sometimes(4),
-        kill_ms: sometimes(6),
+        again_ms: maybe_ms(4),
+        kill_ms: maybe_ms(6),
     }
 }
 
-fn one_of<T: Copy>(rng: &mut Rng, all: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut Rng, all: &[T]) -> T {
     all[rng.usize(..all.len())]
 }
 
--- a/crates/sorrelturn-bench/src/soak/traffic.rs
+++ b/crates/sorrelturn-bench/src/soak/traffic.rs
@@ -1,9 +1,9 @@
-//! What callers ask the daemons, and whether all of it is served.
+//! The requests of the callers, and the check that everything is served.
 
 use super::{
-    caller::{Caller, Heard, Question},
+    caller::{Caller, CallerRequest, CallerResponse},
     checker::{Ending, Kind},
-    harness::{DEADLY, Harness, LOOK, PATIENCE, WAIT},
+    harness::{CRASHING_PATH, Harness, POLL_INTERVAL, RESPONSE_TIMEOUT, START_TIMEOUT},
     workspaces::CredentialKind,
 };
 use smol::Timer;
@@ -12,28 +12,27 @@
     time::{Duration, Instant},
 };
 
-/// The longest pause of a caller between two requests; with four callers a daemon is asked some hundred
-/// times a second.
-const PAUSE_MS: u64 = 50;
-const DEADLY_EVERY: Duration = Duration::from_millis(200);
+/// The maximum pause of a caller between two requests.
+const MAX_PAUSE_MS: u64 = 50;
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Harness {
-    /// Sends what crashes backend servers at one daemon, again and again.
-    pub(super) async fn send_deadly(&self, number: usize) {
+    /// Repeatedly sends the request that crashes backend servers to one daemon.
+    pub(super) async fn send_crashing_requests(&self, number: usize) {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
-        let every = DEADLY_EVERY * self.daemons.len() as u32;
+        let interval = CRASHING_REQUEST_INTERVAL * self.daemons.len() as u32;
         while !self.is_over() {
-            Timer::after(every.mul_f64(0.5 + fastrand::f64())).await;
-            let run = self.checker().current_incarnation(number);
+            Timer::after(interval.mul_f64(0.5 + fastrand::f64())).await;
+            let incarnation = self.checker().current_incarnation(number);
             if let Ok(mut caller) = Caller::connect(addr).await {
                 let id = self.new_id();
-                let of = (number, run);
-                self.ask_for(
+                let target = (number, incarnation);
+                self.send_request_to(
                     &mut caller,
-                    DEADLY,
+                    CRASHING_PATH,
                     &id,
                     Kind::Safe,
-                    of,
+                    target,
                     CredentialKind::Steady,
                 )
                 .await;
@@ -41,67 +40,75 @@
         }
     }
 
-    /// A caller of one daemon.
-    pub(super) async fn call(&self, number: usize, keeps: bool) {
+    /// Sends random requests to one daemon until the soak ends.
+    pub(super) async fn run_caller(&self, number: usize, keeps_connection: bool) {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
         let mut rng = fastrand::Rng::new();
-        let mut open: Option<(Caller, usize)> = None;
+        let mut connected: Option<(Caller, usize)> = None;
         while !self.is_over() {
-            Timer::after(Duration::from_millis(rng.u64(..PAUSE_MS))).await;
-            let (mut caller, run) = match open.take() {
-                Some(open) => open,
+            Timer::after(Duration::from_millis(rng.u64(..MAX_PAUSE_MS))).await;
+            let (mut caller, incarnation) = match connected.take() {
+                Some(connected) => connected,
                 None => {
-                    let run = self.checker().current_incarnation(number);
+                    let incarnation = self.checker().current_incarnation(number);
                     match Caller::connect(addr).await {
-                        Ok(caller) if self.checker().current_incarnation(number) == run => {
-                            (caller, run)
+                        Ok(caller) if self.checker().current_incarnation(number) == incarnation => {
+                            (caller, incarnation)
                         }
                         _ => continue,
                     }
                 }
             };
-            let (kind, shows) = self.any_kind(&mut rng);
+            let (kind, credential_kind) = self.random_kind(&mut rng);
             let id = self.new_id();
-            let path = path_of(kind, &id);
-            let heard = self
-                .ask_for(&mut caller, &path, &id, kind, (number, run), shows)
+            let path = request_path(kind, &id);
+            let response = self
+                .send_request_to(
+                    &mut caller,
+                    &path,
+                    &id,
+                    kind,
+                    (number, incarnation),
+                    credential_kind,
+                )
                 .await;
-            if keeps && heard.is_some_and(|heard| heard.goes_on) {
-                open = Some((caller, run));
+            if keeps_connection && response.is_some_and(|response| response.stays_open) {
+                connected = Some((caller, incarnation));
             }
         }
     }
 
-    fn any_kind(&self, rng: &mut fastrand::Rng) -> (Kind, CredentialKind) {
+    fn random_kind(&self, rng: &mut fastrand::Rng) -> (Kind, CredentialKind) {
         let newest = self.version.load(Ordering::Relaxed);
-        let before = newest.saturating_sub(1);
+        let previous = newest.saturating_sub(1);
         match rng.u8(..14) {
             0..5 => (Kind::Once, CredentialKind::Steady),
             5..8 => (Kind::Safe, CredentialKind::Steady),
             8 => (Kind::Version(newest), CredentialKind::Steady),
-            9 => (Kind::Version(before), CredentialKind::Steady),
+            9 => (Kind::Version(previous), CredentialKind::Steady),
             10 => (Kind::Safe, CredentialKind::OfVersion(newest)),
-            11 => (Kind::Safe, CredentialKind::OfVersion(before)),
+            11 => (Kind::Safe, CredentialKind::OfVersion(previous)),
             _ => (Kind::Once, CredentialKind::Limited),
         }
     }
 
-    /// Makes a request; `None` if the connection was closed before all of it went out, as it may be.
-    async fn ask(
+    /// Sends a request and receives the response; `None` if the connection was closed before the whole request was
+    /// sent, which is allowed.
+    async fn send_request(
         &self,
         caller: &mut Caller,
         kind: Kind,
         number: usize,
-        run: usize,
-    ) -> Option<Heard> {
+        incarnation: usize,
+    ) -> Option<CallerResponse> {
         let id = self.new_id();
-        let path = path_of(kind, &id);
-        self.ask_for(
+        let path = request_path(kind, &id);
+        self.send_request_to(
             caller,
             &path,
             &id,
             kind,
-            (number, run),
+            (number, incarnation),
             CredentialKind::Steady,
         )
         .await
@@ -111,46 +118,46 @@
         format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Asks a run of a daemon for a path.
-    async fn ask_for(
+    /// Sends a request for a path to an incarnation of a daemon, as [`Harness::send_request`] does.
+    async fn send_request_to(
         &self,
         caller: &mut Caller,
         path: &str,
         id: &str,
         kind: Kind,
-        of: (usize, usize),
-        shows: CredentialKind,
-    ) -> Option<Heard> {
-        let credential = shows.credential();
-        let question = Question {
+        target: (usize, usize),
+        credential_kind: CredentialKind,
+    ) -> Option<CallerResponse> {
+        let credential = credential_kind.credential();
+        let request = CallerRequest {
             path,
-            host: self.words.host,
+            host: self.target.host,
             id,
-            id_header: self.words.dialect.headers.request_id.as_str(),
+            id_header: self.target.dialect.headers.request_id.as_str(),
             credential: &credential,
-            credential_header: self.words.dialect.headers.credential.as_str(),
+            credential_header: self.target.dialect.headers.credential.as_str(),
         };
         self.checker()
-            .sending_with_credential(self.now(), id, kind, of, shows);
-        caller.send(&question).await.ok()?;
-        let heard = caller.hear(&question, PATIENCE).await;
-        self.checker().ended(self.now(), id, heard.ending);
-        Some(heard)
+            .sending_with_credential(self.now(), id, kind, target, credential_kind);
+        caller.send(&request).await.ok()?;
+        let response = caller.receive(&request, RESPONSE_TIMEOUT).await;
+        self.checker().ended(self.now(), id, response.ending);
+        Some(response)
     }
 
-    /// Waits until every daemon serves every kind.
-    pub(super) async fn until_served(&self) {
-        let end = Instant::now() + WAIT;
+    /// Waits until every daemon serves every kind of request; reports a breach after [`START_TIMEOUT`].
+    pub(super) async fn wait_until_served(&self) {
+        let deadline = Instant::now() + START_TIMEOUT;
         for number in 0..self.daemons.len() {
             let newest = Kind::Version(self.version.load(Ordering::Relaxed));
             for kind in [Kind::Safe, Kind::Once, newest] {
                 while !self.is_served(number, kind).await {
-                    if Instant::now() > end {
-                        let what = format!("daemon {number} doesn't serve {kind:?}");
-                        self.checker().did_not_recover(self.now(), what);
+                    if Instant::now() > deadline {
+                        let description = format!("daemon {number} doesn't serve {kind:?}");
+                        self.checker().did_not_recover(self.now(), description);
                         return;
                     }
-                    Timer::after(LOOK).await;
+                    Timer::after(POLL_INTERVAL).await;
                 }
             }
         }
@@ -158,16 +165,19 @@
 
     async fn is_served(&self, number: usize, kind: Kind) -> bool {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
-        let run = self.checker().current_incarnation(number);
+        let incarnation = self.checker().current_incarnation(number);
         let Ok(mut caller) = Caller::connect(addr).await else {
             return false;
         };
-        let heard = self.ask(&mut caller, kind, number, run).await;
-        heard.is_some_and(|heard| matches!(heard.ending, Ending::Answer { status: 200, .. }))
+        let response = self
+            .send_request(&mut caller, kind, number, incarnation)
+            .await;
+        response
+            .is_some_and(|response| matches!(response.ending, Ending::Answer { status: 200, .. }))
     }
 }
 
-fn path_of(kind: Kind, id: &str) -> String {
+fn request_path(kind: Kind, id: &str) -> String {
     match kind {
         Kind::Safe => format!("/safe/{id}"),
         Kind::Once => format!("/once/{id}"),
