--- a/crates/sorrelturn-bench/src/processes.rs
+++ b/crates/sorrelturn-bench/src/processes.rs
@@ -22,14 +22,14 @@
     time::{Duration, Instant},
 };
 
-/// The longest time for anything that a test waits for; long, so that a busy machine doesn't fail.
-const WAIT: Duration = Duration::from_secs(60);
+/// The timeout for anything that a test waits for; long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The path of one of the workspace's programs: beside the running test or bench.
+/// Returns the path of one of the workspace's programs, which is built beside the running test or bench.
 pub fn binary(name: &str) -> PathBuf {
-    let own = std::env::current_exe().expect("the running program has a path");
-    let folder = own.parent().expect("a program lies in a folder");
-    // Tests lie one folder below the programs.
+    let own_path = std::env::current_exe().expect("the running program has a path");
+    let folder = own_path.parent().expect("a program lies in a folder");
+    // Test executables are in a subfolder of the programs' folder.
     let candidates = [folder.join(name), folder.join("..").join(name)];
     candidates
         .into_iter()
@@ -37,7 +37,7 @@
         .unwrap_or_else(|| panic!("{name} is not built; run `cargo build --workspace --bins`"))
 }
 
-/// One process; killed when it is dropped.
+/// A child process, which is killed on drop.
 pub struct Process {
     child: Child,
     /// The first line that it printed.
@@ -50,7 +50,7 @@
         Self::start_command(&mut command(binary(name), args, "error"))
     }
 
-    /// As [`Process::start`], with no more than so many file descriptors.
+    /// As [`Process::start`], with a limit of file descriptors.
     pub fn start_with_descriptors(descriptors: u32, name: &str, args: &[&str]) -> Self {
         let run = format!(r#"ulimit -n {descriptors} && exec "$0" "$@""#);
         let mut command = command("sh", &["-c", &run], "error");
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Starts a program whose output goes to a file, its log among it; doesn't wait for a line.
+    /// Starts a program whose output and log are written to a file; doesn't wait for a line.
     pub(crate) fn start_logged(name: &str, args: &[&str], log: &Path) -> io::Result<Self> {
         let log = File::create(log)?;
         let child = command(binary(name), args, "sorrelturn=info")
@@ -86,17 +86,17 @@
         })
     }
 
-    /// Its end, if it has ended.
+    /// Returns the exit status if the process has exited.
     pub(crate) fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal by its number.
+    /// Sends a signal by its name, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .args(["-s", name, &self.pid().to_string()])
@@ -104,13 +104,13 @@
         assert!(status.is_ok_and(|status| status.success()), "signal {name}");
     }
 
-    /// Freezes it. On a busy machine its threads stop some milliseconds after the signal, and go on with what arrives until
-    /// then; none of them runs any more when this returns.
+    /// Suspends the process. On a busy machine its threads stop some milliseconds after the signal; all of them have
+    /// stopped when this returns.
     pub async fn freeze(&self) {
         self.signal("STOP");
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self.is_frozen() {
-            assert!(Instant::now() < until, "the process doesn't freeze");
+            assert!(Instant::now() < deadline, "the process isn't suspended");
             Timer::after(Duration::from_millis(1)).await;
         }
     }
@@ -118,31 +118,31 @@
     fn is_frozen(&self) -> bool {
         let tasks = format!("/proc/{}/task", self.pid());
         let tasks = fs::read_dir(tasks).expect("the process is there");
-        // A thread that ends meanwhile has no state any more.
+        // A thread that exits meanwhile has no state any more.
         let states =
             tasks.filter_map(|task| fs::read_to_string(task.ok()?.path().join("stat")).ok());
         let mut states = states.map(|stat| {
-            // The state stands behind the name, which is in brackets.
-            let (_, behind) = stat.rsplit_once(") ").expect("a name in brackets");
-            behind.starts_with('T')
+            // The state follows the name, which is in brackets.
+            let (_, state_and_rest) = stat.rsplit_once(") ").expect("a name in brackets");
+            state_and_rest.starts_with('T')
         });
         states.all(|stopped| stopped)
     }
 
-    /// Kills it without warning.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for its end.
+    /// Waits for the exit of the process.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status;
             }
-            assert!(Instant::now() < until, "the process doesn't end");
+            assert!(Instant::now() < deadline, "the process doesn't exit");
             Timer::after(Duration::from_millis(10)).await;
         }
     }
@@ -170,37 +170,37 @@
 pub struct DaemonProcess {
     /// The daemon.
     pub process: Process,
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     pub addresses: ListenSettings,
-    /// The backend server.
+    /// The process of the backend server.
     pub backend: Process,
-    /// Where the backend server listens.
+    /// The address of the backend server.
     pub backend_addr: SocketAddr,
     /// The daemon's settings.
     pub settings: Settings,
 }
 
-/// A fleet of processes.
+/// A fleet of daemons, backend servers and the platform's stand-in as processes.
 pub struct ProcessFleet {
-    /// Runs the clients.
+    /// The executor of the clients.
     pub ex: Arc<Executor<'static>>,
-    /// The stand-in's process.
+    /// The process of the platform's stand-in.
     pub platform_process: Process,
-    /// Where the stand-in listens.
+    /// The address of the stand-in.
     pub platform: SocketAddr,
     /// The daemons, in the order of the plan.
     pub daemons: Vec<DaemonProcess>,
-    /// The plan.
+    /// The plan of the fleet.
     pub plan: FleetPlan,
     folder: PathBuf,
 }
 
 impl ProcessFleet {
-    /// Starts everything; the bundle is published first. `folder` takes the settings files.
+    /// Publishes the bundle and starts all processes; the settings files are written to `folder`.
     pub async fn start(ex: Arc<Executor<'static>>, plan: FleetPlan, folder: &Path) -> Self {
         let platform_process = Process::start("sorrelturn-platform", &["--listen", "127.0.0.1:0"]);
         let platform = platform_process.first_line.parse().expect("an address");
-        publish_bundle(&Platform::new(platform, WAIT), &plan.bundle).await;
+        publish_bundle(&Platform::new(platform, WAIT_TIMEOUT), &plan.bundle).await;
         let mut fleet = Self {
             ex,
             platform_process,
@@ -226,7 +226,7 @@
         self.start_with(settings, backend, backend_addr).await
     }
 
-    /// Starts a daemon with changed settings beside a backend server that runs.
+    /// Starts a daemon with these settings for a running backend server.
     pub async fn start_with(
         &self,
         settings: Settings,
@@ -254,13 +254,13 @@
         daemon
     }
 
-    /// A caller of one instance's daemon.
+    /// Returns a client of one instance's daemon.
     pub fn caller(&self, number: usize) -> Client {
         let addr = self.daemons[number].addresses.callers;
         Client::new(Arc::clone(&self.ex), addr)
     }
 
-    /// Makes the stand-in play faults.
+    /// Sets the faults of the stand-in.
     pub async fn play(&self, faults: &Faults) {
         play_faults(self.platform, faults).await;
     }
@@ -271,7 +271,7 @@
         put(self.platform, "/stand-in/vms", body).await;
     }
 
-    /// Waits until every daemon has the bundle and knows every other one.
+    /// Waits until every daemon has a bundle and knows all members.
     pub async fn wait_for_all_members(&self) {
         let all = self.daemons.len();
         for daemon in &self.daemons {
@@ -283,47 +283,49 @@
 }
 
 impl DaemonProcess {
-    /// Replaces the backend server's plan.
+    /// Replaces the plan of the backend server.
     pub async fn set_plan(&self, plan: &Plan) {
         let body = serde_json::to_vec(plan).expect("a plan is JSON");
         put(self.backend_addr, "/fake/plan", body).await;
     }
 
-    /// What the daemon says about itself, if it answers.
+    /// Returns the daemon's status report, or `None` if it doesn't respond.
     pub async fn status(&self) -> Option<StatusReport> {
         let req = Request::get("/status").body(Bytes::new()).ok()?;
-        let res = exchange(self.addresses.admin, req, WAIT).await.ok()?;
+        let res = exchange(self.addresses.admin, req, WAIT_TIMEOUT)
+            .await
+            .ok()?;
         serde_json::from_slice(res.body()).ok()
     }
 
-    /// Waits until the daemon's status is as wanted.
-    pub async fn until(&self, wanted: impl Fn(&StatusReport) -> bool) -> StatusReport {
-        let until = Instant::now() + WAIT;
+    /// Waits until the daemon's status satisfies a condition, and returns it.
+    pub async fn until(&self, condition: impl Fn(&StatusReport) -> bool) -> StatusReport {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self.status().await;
-            if let Some(status) = status.as_ref().filter(|status| wanted(status)) {
+            if let Some(status) = status.as_ref().filter(|status| condition(status)) {
                 return status.clone();
             }
             assert!(
-                Instant::now() < until,
-                "not reached; last status {status:?}"
+                Instant::now() < deadline,
+                "the status never satisfied the condition; last status {status:?}"
             );
             Timer::after(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until the daemon knows a member as wanted.
-    pub async fn until_member(&self, instance: &str, wanted: impl Fn(&MemberRecord) -> bool) {
-        let until = Instant::now() + WAIT;
+    /// Waits until the daemon's record of a member satisfies a condition.
+    pub async fn until_member(&self, instance: &str, condition: impl Fn(&MemberRecord) -> bool) {
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while !self
             .members()
             .await
             .iter()
-            .any(|record| record.instance == instance && wanted(record))
+            .any(|record| record.instance == instance && condition(record))
         {
             assert!(
-                Instant::now() < until,
-                "{instance} never became known as wanted"
+                Instant::now() < deadline,
+                "the record of {instance} never satisfied the condition"
             );
             Timer::after(Duration::from_millis(20)).await;
         }
@@ -333,30 +335,30 @@
         let req = Request::get("/members")
             .body(Bytes::new())
             .expect("a request");
-        let res = exchange(self.addresses.admin, req, WAIT)
+        let res = exchange(self.addresses.admin, req, WAIT_TIMEOUT)
             .await
-            .expect("the daemon answers");
+            .expect("the daemon responds");
         serde_json::from_slice(res.body()).expect("members")
     }
 
-    /// How often each request that carried `x-execution-key` was begun at the backend server.
+    /// Returns how often the backend server began each request with `x-execution-key`.
     pub async fn execution_counts(&self) -> std::collections::HashMap<String, u32> {
         let req = Request::get("/fake/ran")
             .body(Bytes::new())
             .expect("a request");
-        let res = exchange(self.backend_addr, req, WAIT)
+        let res = exchange(self.backend_addr, req, WAIT_TIMEOUT)
             .await
-            .expect("the fake answers");
+            .expect("the backend server responds");
         serde_json::from_slice(res.body()).expect("counts")
     }
 }
 
-/// The processor time that a process has used.
+/// Returns the processor time that a process has used; zero if it doesn't exist.
 pub fn cpu_time(pid: u32) -> Duration {
-    /// Ticks of the kernel's clock in a second, on every Linux that this runs on.
+    /// The kernel's clock ticks per second (`USER_HZ`).
     const TICKS_PER_SECOND: u64 = 100;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name may hold spaces; the fields behind it don't. User time is the 12th, then system.
+    // The name may contain spaces, the fields after it don't: the 12th is the user time, the 13th the system time.
     let fields = stat.rsplit(')').next().unwrap_or_default();
     let ticks: u64 = fields
         .split_whitespace()
@@ -367,7 +369,7 @@
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// The memory that a process holds, in bytes.
+/// Returns the resident memory of a process in bytes; zero if it doesn't exist.
 pub fn memory(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -375,7 +377,7 @@
     kilobytes.unwrap_or(0) * 1024
 }
 
-/// Makes the stand-in at `platform` play faults.
+/// Sets the faults of the stand-in at `platform`.
 pub(crate) async fn play_faults(platform: SocketAddr, faults: &Faults) {
     let body = serde_json::to_vec(faults).expect("faults are JSON");
     put(platform, "/stand-in/faults", body).await;
@@ -385,6 +387,8 @@
     let req = Request::put(path)
         .body(Bytes::from(body))
         .expect("a request");
-    let res = exchange(addr, req, WAIT).await.expect("it answers");
+    let res = exchange(addr, req, WAIT_TIMEOUT)
+        .await
+        .expect("the server responds");
     assert!(res.status().is_success(), "{path} answers {}", res.status());
 }
--- a/crates/sorrelturn-bench/src/relay.rs
+++ b/crates/sorrelturn-bench/src/relay.rs
@@ -1,6 +1,5 @@
-//! A path between two processes that can be cut: bytes on their way are held up, as in a partition,
-//! and go on when it is joined again. Nobody is told of the cut. Besides, the connections that are open
-//! can be silenced for good, while new ones work.
+//! A TCP proxy between two processes that can simulate a network partition: it holds bytes back until it is healed,
+//! without closing connections. It can also silence the open connections permanently, while new ones work.
 
 use smol::{
     Executor, Timer,
@@ -16,15 +15,15 @@
     time::Duration,
 };
 
-/// How often a held-up byte looks whether the path is joined.
-const LOOK: Duration = Duration::from_millis(5);
-/// The largest piece that is passed on at once.
-const PIECE_BYTES: usize = 16 << 10;
+/// The interval at which held bytes check whether the path is healed.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The maximum number of bytes per read.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 
-/// A path to a target that is named once it is known.
+/// A proxy whose target is set once it is known.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where to connect instead of to the target.
+    /// The address to connect to instead of the target's.
     pub addr: SocketAddr,
     state: Arc<State>,
 }
@@ -32,15 +31,15 @@
 #[derive(Default)]
 struct State {
     cut: AtomicBool,
-    /// How many connections were opened so far.
-    opened: AtomicUsize,
-    /// The connections before this one are silent.
-    first_heard: AtomicUsize,
+    /// The number of connections opened so far.
+    opened_count: AtomicUsize,
+    /// Connections with a lower number are silent.
+    first_live_connection: AtomicUsize,
     target: Mutex<Option<SocketAddr>>,
 }
 
 impl Relay {
-    /// Opens the path; it leads nowhere yet.
+    /// Opens the proxy, which has no target yet.
     pub async fn open(ex: &Arc<Executor<'static>>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
@@ -52,31 +51,33 @@
         Self { addr, state }
     }
 
-    /// Says where the path leads.
+    /// Sets the address that connections are forwarded to.
     pub fn set_target(&self, target: SocketAddr) {
         *self.state.target() = Some(target);
     }
 
-    /// Holds up every byte from now on, in both directions.
+    /// Holds back all bytes from now on, in both directions.
     pub fn cut(&self) {
         self.state.cut.store(true, Ordering::Relaxed);
     }
 
-    /// Lets what was held up go on.
+    /// Delivers the held bytes and ends the partition.
     pub fn heal(&self) {
         self.state.cut.store(false, Ordering::Relaxed);
     }
 
-    /// Silences all connections that are open now, for good: what is sent over them is taken and lost,
-    /// and neither end hears of the other's close.
+    /// Silences all connections that are open now, permanently: their bytes are read and discarded, and neither end
+    /// notices when the other one closes.
     pub fn silence(&self) {
-        let opened = self.state.opened.load(Ordering::Relaxed);
-        self.state.first_heard.store(opened, Ordering::Relaxed);
+        let opened_count = self.state.opened_count.load(Ordering::Relaxed);
+        self.state
+            .first_live_connection
+            .store(opened_count, Ordering::Relaxed);
     }
 
-    /// How many connections were opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened_count(&self) -> usize {
-        self.state.opened.load(Ordering::Relaxed)
+        self.state.opened_count.load(Ordering::Relaxed)
     }
 }
 
@@ -85,48 +86,48 @@
         self.target.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn joined(&self) {
+    async fn wait_until_healed(&self) {
         while self.cut.load(Ordering::Relaxed) {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
     fn is_silent(&self, number: usize) -> bool {
-        number < self.first_heard.load(Ordering::Relaxed)
+        number < self.first_live_connection.load(Ordering::Relaxed)
     }
 }
 
 async fn accept(ex: Arc<Executor<'static>>, listener: TcpListener, state: Arc<State>) {
-    while let Ok((near, _)) = listener.accept().await {
+    while let Ok((incoming, _)) = listener.accept().await {
         let state = Arc::clone(&state);
-        let number = state.opened.fetch_add(1, Ordering::Relaxed);
-        let conn = async move {
-            state.joined().await;
+        let number = state.opened_count.fetch_add(1, Ordering::Relaxed);
+        let connection = async move {
+            state.wait_until_healed().await;
             let Some(target) = *state.target() else {
                 return;
             };
-            if let Ok(far) = TcpStream::connect(target).await {
-                let there = pump(near.clone(), far.clone(), &state, number);
-                smol::future::zip(there, pump(far, near, &state, number)).await;
+            if let Ok(outgoing) = TcpStream::connect(target).await {
+                let forward = pump(incoming.clone(), outgoing.clone(), &state, number);
+                smol::future::zip(forward, pump(outgoing, incoming, &state, number)).await;
             }
         };
-        ex.spawn(conn).detach();
+        ex.spawn(connection).detach();
     }
 }
 
 async fn pump(mut from: TcpStream, mut to: TcpStream, state: &State, number: usize) {
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut chunk = vec![0; MAX_CHUNK_BYTES];
     loop {
-        let read = from.read(&mut piece).await.unwrap_or(0);
-        state.joined().await;
+        let read = from.read(&mut chunk).await.unwrap_or(0);
+        state.wait_until_healed().await;
         if state.is_silent(number) {
             if read == 0 {
-                // Both sockets stay open with it.
+                // Never returning keeps both sockets open.
                 smol::future::pending::<()>().await;
             }
             continue;
         }
-        if read == 0 || to.write_all(&piece[..read]).await.is_err() {
+        if read == 0 || to.write_all(&chunk[..read]).await.is_err() {
             let _ = to.shutdown(std::net::Shutdown::Write);
             return;
         }
--- a/crates/sorrelturn-bench/src/reserved_ports.rs
+++ b/crates/sorrelturn-bench/src/reserved_ports.rs
@@ -1,4 +1,4 @@
-//! Ports on loopback that stay a fleet's own while a daemon of it is away.
+//! Loopback ports that stay reserved while a daemon is down.
 
 use socket2::{Domain, Protocol, Socket, Type};
 use sorrelturn_daemon::ListenSettings;
@@ -7,23 +7,22 @@
     net::{Ipv4Addr, SocketAddr},
 };
 
-/// Ports that the kernel gives to nobody else as long as this lives.
+/// Ports that the kernel assigns to no other socket while this value exists.
 ///
-/// Once a daemon has ended, its ports go to whoever asks for any port next, a listener or an outgoing connection
-/// alike, and then its next run can't listen there, for as long as that lasts. A socket that is bound and doesn't
-/// listen keeps a port, and leaves it to listeners with `SO_REUSEADDR`, which daemons set; while none listens,
-/// connections are refused as if nobody had the port.
+/// Without a reservation the kernel may assign the port of a stopped daemon to any listener or outgoing connection, and
+/// the next incarnation can't listen on it. A bound socket that doesn't listen reserves its port, but lets listeners
+/// with `SO_REUSEADDR`, which daemons set, use it; while none listens, connections are refused as on an unused port.
 #[derive(Debug, Default)]
 pub struct ReservedPorts {
     sockets: Vec<Socket>,
 }
 
 impl ReservedPorts {
-    /// Keeps a port for each listener of a daemon whose kinds are told by routes; says where they are.
+    /// Reserves a port for each listener of a daemon with route tables, and returns the addresses.
     ///
     /// # Errors
     ///
-    /// If the kernel has no port left.
+    /// If no port is free.
     pub fn for_routed_daemon() -> io::Result<(Self, ListenSettings)> {
         let mut ports = Self::default();
         let listen = ListenSettings {
@@ -39,12 +38,12 @@
         Ok((ports, listen))
     }
 
-    /// Keeps one port on loopback; says where it is.
+    /// Reserves one loopback port and returns its address.
     pub(crate) fn reserve(&mut self) -> io::Result<SocketAddr> {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
-        socket.bind(&any.into())?;
+        socket.bind(&any_port.into())?;
         let addr = socket.local_addr()?.as_socket();
         self.sockets.push(socket);
         addr.ok_or_else(|| io::Error::other("the kernel gave no IP address"))
--- a/crates/sorrelturn-bench/src/routed_backend.rs
+++ b/crates/sorrelturn-bench/src/routed_backend.rs
@@ -1,7 +1,6 @@
-//! A fake backend server that speaks a dialect's headers, and misbehaves on command.
+//! A fake backend server that uses a dialect's headers and misbehaves on command.
 //!
-//! It writes its answers byte by byte, because most of what it has to play can't be said through a
-//! library that keeps to the protocol.
+//! It writes raw bytes, because an HTTP library wouldn't produce most of the invalid responses.
 
 use crate::{ReservedPorts, client::answer_body};
 use smol::{
@@ -21,49 +20,49 @@
     time::{Duration, Instant},
 };
 
-/// What it does with the next requests.
+/// What a fake backend server does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Script {
-    /// It answers.
+    /// It responds at once.
     #[default]
     Answers,
-    /// It says that it did not run the request.
+    /// It reports that it did not execute the request.
     SaysNotRun,
-    /// It answers under the id of another request.
+    /// It responds with the id of another request.
     AnswersAnother,
-    /// It runs the request and closes the connection without a word.
+    /// It executes the request and closes the connection without a response.
     BreaksOff,
-    /// It ends its answer after half of the body.
+    /// It closes the connection after half of the body.
     CutsBody,
-    /// It answers without a length, and closes the connection behind the body.
+    /// It responds without a length, and closes the connection after the body.
     AnswersUnframed,
-    /// It sends a second answer behind the first.
+    /// It sends the response twice.
     AnswersTwice,
-    /// It fails.
+    /// It responds with status 500.
     Fails,
-    /// It answers when the time that it was given is over, or at once without a time.
+    /// It responds when the time left for the request has passed, or at once if none is given.
     AnswersInTheEnd,
-    /// It works as long as a call of its own would take.
+    /// It responds after a short delay, in which a test can make nested calls.
     AnswersSoon,
-    /// It answers after a while.
+    /// It responds after a delay.
     AnswersLate,
-    /// It answers after longer than a silent connection is borne.
+    /// It responds after a delay that is longer than a silent connection is tolerated.
     AnswersVeryLate,
-    /// It never answers.
+    /// It never responds.
     Hangs,
-    /// It begins its answer after a while, and ends it after as long again; the body belongs to the request's
-    /// id.
+    /// It begins its response after half of `ms` and completes it after all of it; the body belongs to the
+    /// request's id.
     Works {
-        /// How long it takes in all, in milliseconds.
+        /// The total processing time in milliseconds.
         ms: u64,
-        /// The least length of the body, without its checksum.
+        /// The minimum length of the body in bytes, without its checksum.
         bytes: usize,
     },
-    /// It sends half of its answer and never the rest.
+    /// It sends half of its response and never the rest.
     Rests,
-    /// It sends a body that is larger than what sockets and daemons hold of it.
+    /// It sends a body that exceeds the buffers of sockets and daemons.
     AnswersLarge,
-    /// It asks its own daemon for [`CALL_PATH`], and answers when that is over.
+    /// It calls [`CALL_PATH`] through its own daemon, and responds when the call has ended.
     Calls,
 }
 
@@ -72,11 +71,11 @@
 pub struct Cancelled {
     /// Method, target and protocol.
     pub line: String,
-    /// When the close was seen.
+    /// When the close was noticed.
     pub at: Instant,
 }
 
-/// A request as it reached the backend server.
+/// A request as the backend server received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// Method, target and protocol.
@@ -87,103 +86,111 @@
     pub body: Vec<u8>,
 }
 
-/// Is told of each request that is meant for this run of the backend server, and what is done with it, before
-/// it is answered.
-pub(crate) type Watcher = Arc<dyn Fn(&ReceivedRequest, Script) + Send + Sync>;
+/// Called before the response with each request that is meant for this incarnation of the backend server, and with
+/// the script for it.
+pub(crate) type Observer = Arc<dyn Fn(&ReceivedRequest, Script) + Send + Sync>;
 
-/// The fake.
+/// A fake backend server; clones share their state.
 #[derive(Clone)]
 pub struct RoutedBackend {
     names: HeaderNames,
     state: Arc<Mutex<State>>,
-    watcher: Option<Watcher>,
+    observer: Option<Observer>,
 }
 
 struct State {
     id: String,
-    /// Its port, which stays its own while it is down.
-    ports: ReservedPorts,
+    /// Keeps the port reserved while the backend server is down.
+    reserved_ports: ReservedPorts,
     addr: Option<SocketAddr>,
-    /// Dropped when it crashes: its listener and its connections end.
-    running: Option<Sender<()>>,
-    /// Ends when nothing listens at its port any more.
-    listens: Option<Task<()>>,
-    /// It crashes when it has run a request whose first line or body holds this.
-    crashes_by: Option<String>,
-    crashes_after: Duration,
-    crashes: usize,
+    /// Dropped at a crash, which ends the listener and the connections.
+    running_tx: Option<Sender<()>>,
+    /// Ends once the port has no listener any more.
+    listener_task: Option<Task<()>>,
+    /// Requests whose first line or body contains this text crash the backend server.
+    crash_mark: Option<String>,
+    crash_delay: Duration,
+    crash_count: usize,
     script: Script,
-    reached: Vec<ReceivedRequest>,
-    ran: Vec<ReceivedRequest>,
+    received_requests: Vec<ReceivedRequest>,
+    executed_requests: Vec<ReceivedRequest>,
     cancelled: Vec<Cancelled>,
-    connections: usize,
+    connection_count: usize,
     daemon: Option<SocketAddr>,
 }
 
-/// The body of each answer.
+/// The body of each response.
 pub const BODY: &str = "the whole answer of the backend server";
-/// How long it says that connections may rest, in seconds.
+/// The announced idle timeout of connections, in seconds.
 pub const IDLE_TIMEOUT_S: u64 = 1;
-/// How long it works where a test makes calls for it meanwhile.
-const SOON: Duration = Duration::from_millis(100);
-/// What it asks of its daemon while it works on a request.
+/// The delay of [`Script::AnswersSoon`].
+const SOON_DELAY: Duration = Duration::from_millis(100);
+/// The path of the nested call of [`Script::Calls`].
 pub const CALL_PATH: &str = "/call/1";
-/// How long it runs a request that crashes it: as long as one that it answers soon.
-const CRASHES_AFTER: Duration = Duration::from_millis(60);
-/// The size of a large answer.
-const LARGE_BYTES: usize = 50_000_000;
-/// How long it stays silent where it never answers.
-const HANG_TIME: Duration = Duration::from_secs(60);
-/// How late it answers.
-const LATE: Duration = Duration::from_millis(300);
-/// How late it answers at most.
-const VERY_LATE: Duration = Duration::from_secs(3);
-/// The header that marks an answer of a backend server.
+/// The default execution time of a request that crashes the backend server.
+const DEFAULT_CRASH_DELAY: Duration = Duration::from_millis(60);
+/// The body length of [`Script::AnswersLarge`].
+const LARGE_BODY_BYTES: usize = 50_000_000;
+/// The time for which scripts that never respond keep the connection open.
+const HANG_DURATION: Duration = Duration::from_secs(60);
+/// The delay of [`Script::AnswersLate`].
+const LATE_DELAY: Duration = Duration::from_millis(300);
+/// The delay of [`Script::AnswersVeryLate`].
+const VERY_LATE_DELAY: Duration = Duration::from_secs(3);
+/// The header that marks responses of a backend server.
 pub const SIGNATURE: &str = "x-signature";
 
 impl RoutedBackend {
-    /// A backend server under this id.
+    /// Creates a backend server with this id.
     pub fn new(names: &HeaderNames, id: &str) -> Self {
         let state = State {
             id: id.to_owned(),
-            ports: ReservedPorts::default(),
+            reserved_ports: ReservedPorts::default(),
             addr: None,
-            running: None,
-            listens: None,
-            crashes_by: None,
-            crashes_after: CRASHES_AFTER,
-            crashes: 0,
+            running_tx: None,
+            listener_task: None,
+            crash_mark: None,
+            crash_delay: DEFAULT_CRASH_DELAY,
+            crash_count: 0,
             script: Script::default(),
-            reached: Vec::new(),
-            ran: Vec::new(),
+            received_requests: Vec::new(),
+            executed_requests: Vec::new(),
             cancelled: Vec::new(),
-            connections: 0,
+            connection_count: 0,
             daemon: None,
         };
         Self {
             names: names.clone(),
             state: Arc::new(Mutex::new(state)),
-            watcher: None,
+            observer: None,
         }
     }
 
-    /// A backend server that tells `watcher` of all requests and keeps none, so that it can run for long.
-    pub(crate) fn watched(names: &HeaderNames, id: &str, watcher: Watcher) -> Self {
+    /// Creates a backend server that reports all requests to `observer` and stores none, so that it can run for long.
+    pub(crate) fn with_observer(names: &HeaderNames, id: &str, observer: Observer) -> Self {
         Self {
-            watcher: Some(watcher),
+            observer: Some(observer),
             ..Self::new(names, id)
         }
     }
 
-    /// Serves on a free port until the executor ends or it crashes.
+    /// Serves on a free port until the executor ends or the backend server crashes.
+    ///
+    /// # Errors
+    ///
+    /// If no port can be bound.
     pub async fn serve(&self, ex: &Arc<Executor<'static>>) -> io::Result<SocketAddr> {
-        let addr = self.lock().ports.reserve()?;
+        let addr = self.lock().reserved_ports.reserve()?;
         self.lock().addr = Some(addr);
         self.listen(ex, addr).await?;
         Ok(addr)
     }
 
-    /// Is there again after a crash, as another run under this id.
+    /// Serves again after a crash, as another incarnation with this id.
+    ///
+    /// # Errors
+    ///
+    /// If it never served, or its port can't be bound.
     pub async fn restart_after_crash(
         &self,
         ex: &Arc<Executor<'static>>,
@@ -191,7 +198,7 @@
     ) -> io::Result<()> {
         let addr = self.lock().addr.ok_or(io::ErrorKind::NotConnected)?;
         self.restart_with_id(id);
-        let crashed = self.lock().listens.take();
+        let crashed = self.lock().listener_task.take();
         if let Some(crashed) = crashed {
             crashed.await;
         }
@@ -200,105 +207,105 @@
 
     async fn listen(&self, ex: &Arc<Executor<'static>>, addr: SocketAddr) -> io::Result<()> {
         let listener = TcpListener::bind(addr).await?;
-        let (running, ends) = channel::bounded::<()>(1);
-        self.lock().running = Some(running);
-        let (backend, inner, crash) = (self.clone(), Arc::clone(ex), ends.clone());
+        let (running_tx, crash_rx) = channel::bounded::<()>(1);
+        self.lock().running_tx = Some(running_tx);
+        let (backend, connection_ex, crash) = (self.clone(), Arc::clone(ex), crash_rx.clone());
         let accept = async move {
             while let Ok((tcp, _)) = listener.accept().await {
                 let (backend, crash) = (backend.clone(), crash.clone());
-                // A connection that breaks is what the tests are about.
-                let conn = async move {
-                    backend.lock().connections += 1;
+                // Tests break connections on purpose, so errors are ignored.
+                let connection_task = async move {
+                    backend.lock().connection_count += 1;
                     let crashed = async {
                         let _ = crash.recv().await;
                         Ok(())
                     };
-                    let served = backend.connection(tcp).or(crashed).await;
+                    let served = backend.serve_connection(tcp).or(crashed).await;
                     served.unwrap_or_default();
-                    backend.lock().connections -= 1;
+                    backend.lock().connection_count -= 1;
                 };
-                inner.spawn(conn).detach();
+                connection_ex.spawn(connection_task).detach();
             }
         };
         let crashed = async move {
-            let _ = ends.recv().await;
+            let _ = crash_rx.recv().await;
         };
-        self.lock().listens = Some(ex.spawn(accept.or(crashed)));
+        self.lock().listener_task = Some(ex.spawn(accept.or(crashed)));
         Ok(())
     }
 
-    /// It ends at once: nothing listens at its port, and its connections close without a word.
+    /// Crashes the backend server: stops the listener and closes all connections without a response.
     pub fn crash(&self) {
         let mut state = self.lock();
-        if state.running.take().is_some() {
-            state.crashes += 1;
+        if state.running_tx.take().is_some() {
+            state.crash_count += 1;
         }
     }
 
-    /// From now on it crashes whenever it has run a request whose first line or body holds `mark`.
+    /// Crashes from now on at each request whose first line or body contains `mark`.
     pub fn crash_on(&self, mark: &str) {
-        self.lock().crashes_by = Some(mark.to_owned());
+        self.lock().crash_mark = Some(mark.to_owned());
     }
 
-    /// It runs such a request for so long before it crashes, whether anybody waits for it or not.
-    pub fn set_crash_delay(&self, time: Duration) {
-        self.lock().crashes_after = time;
+    /// Sets the execution time of a request before it crashes the backend server, even if the caller has gone.
+    pub fn set_crash_delay(&self, delay: Duration) {
+        self.lock().crash_delay = delay;
     }
 
-    /// How often it has crashed.
+    /// Returns the number of crashes.
     pub fn crashes(&self) -> usize {
-        self.lock().crashes
+        self.lock().crash_count
     }
 
-    /// Whether it is there.
+    /// Returns whether the backend server is running.
     pub fn is_up(&self) -> bool {
-        self.lock().running.is_some()
+        self.lock().running_tx.is_some()
     }
 
-    fn crashes_by(&self, req: &ReceivedRequest) -> bool {
+    fn is_crashed_by(&self, req: &ReceivedRequest) -> bool {
         let state = self.lock();
-        let mark = state.crashes_by.as_deref();
+        let mark = state.crash_mark.as_deref();
         mark.is_some_and(|mark| {
             req.line.contains(mark) || String::from_utf8_lossy(&req.body).contains(mark)
         })
     }
 
-    /// Plays a script from now on.
+    /// Plays a script for all requests from now on.
     pub fn play(&self, script: Script) {
         self.lock().script = script;
     }
 
-    /// Its own calls go through this daemon from now on.
+    /// Sets the daemon for the backend server's own calls.
     pub fn call_via(&self, daemon: SocketAddr) {
         self.lock().daemon = Some(daemon);
     }
 
-    /// The backend server is another run from now on.
+    /// Makes the backend server another incarnation with this id.
     pub fn restart_with_id(&self, id: &str) {
         self.lock().id = id.to_owned();
     }
 
-    /// Its id.
+    /// Returns the id.
     pub fn id(&self) -> String {
         self.lock().id.clone()
     }
 
-    /// All requests that reached it.
+    /// Returns all received requests.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
-        self.lock().reached.clone()
+        self.lock().received_requests.clone()
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
-        self.lock().connections
+        self.lock().connection_count
     }
 
-    /// The requests that it began to run.
+    /// Returns the requests whose execution began.
     pub fn executed_requests(&self) -> Vec<ReceivedRequest> {
-        self.lock().ran.clone()
+        self.lock().executed_requests.clone()
     }
 
-    /// The requests that it dropped since their connections were closed.
+    /// Returns the requests that were dropped because their connections were closed.
     pub fn cancelled(&self) -> Vec<Cancelled> {
         self.lock().cancelled.clone()
     }
@@ -307,40 +314,40 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn connection(&self, tcp: TcpStream) -> io::Result<()> {
+    async fn serve_connection(&self, tcp: TcpStream) -> io::Result<()> {
         let mut tcp = BufReader::new(tcp);
-        while let Some(req) = read(&mut tcp).await? {
+        while let Some(req) = read_request(&mut tcp).await? {
             let (script, id) = {
                 let mut state = self.lock();
-                if self.watcher.is_none() {
-                    state.reached.push(req.clone());
+                if self.observer.is_none() {
+                    state.received_requests.push(req.clone());
                 }
                 (state.script, state.id.clone())
             };
             let expected = req.headers.get(self.names.expected_backend.as_str());
             if expected.is_some_and(|expected| *expected != id) {
-                let own = format!("{}: {id}\r\n", self.names.backend_id);
-                let answer = head(421, "Misdirected Request", &own, Some(0));
-                tcp.get_mut().write_all(answer.as_bytes()).await?;
+                let id_header = format!("{}: {id}\r\n", self.names.backend_id);
+                let response = response_head(421, "Misdirected Request", &id_header, Some(0));
+                tcp.get_mut().write_all(response.as_bytes()).await?;
                 continue;
             }
-            if let Some(watcher) = &self.watcher {
-                watcher(&req, script);
+            if let Some(observer) = &self.observer {
+                observer(&req, script);
             } else if script != Script::SaysNotRun {
-                self.lock().ran.push(req.clone());
+                self.lock().executed_requests.push(req.clone());
             }
-            if self.crashes_by(&req) {
-                let time = self.lock().crashes_after;
-                smol::Timer::after(time).await;
+            if self.is_crashed_by(&req) {
+                let delay = self.lock().crash_delay;
+                smol::Timer::after(delay).await;
                 self.crash();
                 return Ok(());
             }
             let sender = tcp.get_ref().clone();
-            let answer = self.answer(&mut tcp, &req, script);
-            match answer.or(closed(&sender)).await {
+            let response = self.respond(&mut tcp, &req, script);
+            match response.or(wait_for_close(&sender)).await {
                 Ok(true) => {}
                 Ok(false) => return Ok(()),
-                Err(_) if self.watcher.is_some() => return Ok(()),
+                Err(_) if self.observer.is_some() => return Ok(()),
                 Err(_) => {
                     let (line, at) = (req.line, Instant::now());
                     self.lock().cancelled.push(Cancelled { line, at });
@@ -351,97 +358,114 @@
         Ok(())
     }
 
-    /// Returns whether the connection goes on.
-    async fn answer(
+    /// Responds to a request; returns whether the connection stays open.
+    async fn respond(
         &self,
         tcp: &mut BufReader<TcpStream>,
         req: &ReceivedRequest,
         script: Script,
     ) -> io::Result<bool> {
         let name = &self.names.request_id;
-        let asked = req.headers.get(name.as_str()).cloned().unwrap_or_default();
-        let back = format!(
-            "{name}: {asked}\r\n{SIGNATURE}: {asked}\r\nkeep-alive: timeout={IDLE_TIMEOUT_S}\r\n"
+        let request_id = req.headers.get(name.as_str()).cloned().unwrap_or_default();
+        let response_headers = format!(
+            "{name}: {request_id}\r\n{SIGNATURE}: {request_id}\r\nkeep-alive: timeout={IDLE_TIMEOUT_S}\r\n"
         );
-        let whole = match &self.watcher {
+        let full_response = match &self.observer {
             Some(_) => {
-                let body = answer_body(&asked, 0);
-                head(200, "OK", &back, Some(body.len())) + &String::from_utf8_lossy(&body)
+                let body = answer_body(&request_id, 0);
+                response_head(200, "OK", &response_headers, Some(body.len()))
+                    + &String::from_utf8_lossy(&body)
             }
-            None => head(200, "OK", &back, Some(BODY.len())) + BODY,
+            None => response_head(200, "OK", &response_headers, Some(BODY.len())) + BODY,
         };
-        let (bytes, goes_on) = match script {
-            Script::Answers => (whole, true),
+        let (bytes, stays_open) = match script {
+            Script::Answers => (full_response, true),
             Script::SaysNotRun => {
-                let not_run = format!("{name}: {asked}\r\n{}: 1\r\n", self.names.not_run);
-                (head(503, "Service Unavailable", &not_run, Some(0)), true)
+                let not_run = format!("{name}: {request_id}\r\n{}: 1\r\n", self.names.not_run);
+                (
+                    response_head(503, "Service Unavailable", &not_run, Some(0)),
+                    true,
+                )
             }
             Script::AnswersAnother => {
-                let other = format!("{name}: another\r\n{SIGNATURE}: another\r\n");
-                (head(200, "OK", &other, Some(BODY.len())) + BODY, true)
+                let foreign_headers = format!("{name}: another\r\n{SIGNATURE}: another\r\n");
+                (
+                    response_head(200, "OK", &foreign_headers, Some(BODY.len())) + BODY,
+                    true,
+                )
             }
             Script::BreaksOff => return Ok(false),
             Script::CutsBody => {
                 let half = &BODY[..BODY.len() / 2];
-                (head(200, "OK", &back, Some(BODY.len())) + half, false)
+                (
+                    response_head(200, "OK", &response_headers, Some(BODY.len())) + half,
+                    false,
+                )
             }
-            Script::AnswersUnframed => (head(200, "OK", &back, None) + BODY, false),
-            Script::AnswersTwice => (whole.clone() + &whole, true),
-            Script::Fails => (head(500, "Internal Server Error", &back, Some(0)), true),
+            Script::AnswersUnframed => (
+                response_head(200, "OK", &response_headers, None) + BODY,
+                false,
+            ),
+            Script::AnswersTwice => (full_response.clone() + &full_response, true),
+            Script::Fails => (
+                response_head(500, "Internal Server Error", &response_headers, Some(0)),
+                true,
+            ),
             Script::Hangs => {
-                smol::Timer::after(HANG_TIME).await;
+                smol::Timer::after(HANG_DURATION).await;
                 return Ok(false);
             }
             Script::AnswersInTheEnd => {
-                let told = req.headers.get(self.names.time_left_ms.as_str());
-                let told_ms = told.and_then(|ms| ms.parse().ok()).unwrap_or_default();
-                smol::Timer::after(Duration::from_millis(told_ms)).await;
-                (whole, true)
+                let time_left = req.headers.get(self.names.time_left_ms.as_str());
+                let time_left_ms = time_left.and_then(|ms| ms.parse().ok()).unwrap_or_default();
+                smol::Timer::after(Duration::from_millis(time_left_ms)).await;
+                (full_response, true)
             }
             Script::AnswersSoon => {
-                smol::Timer::after(SOON).await;
-                (whole, true)
+                smol::Timer::after(SOON_DELAY).await;
+                (full_response, true)
             }
             Script::AnswersLate => {
-                smol::Timer::after(LATE).await;
-                (whole, true)
+                smol::Timer::after(LATE_DELAY).await;
+                (full_response, true)
             }
             Script::Works { ms, bytes } => {
-                let body = answer_body(&asked, bytes);
-                let (first, rest) = body.split_at(body.len() / 2);
-                let head = head(200, "OK", &back, Some(body.len()));
+                let body = answer_body(&request_id, bytes);
+                let (first_half, second_half) = body.split_at(body.len() / 2);
+                let head = response_head(200, "OK", &response_headers, Some(body.len()));
                 let half = Duration::from_millis(ms / 2);
                 smol::Timer::after(half).await;
                 tcp.get_mut().write_all(head.as_bytes()).await?;
-                tcp.get_mut().write_all(first).await?;
+                tcp.get_mut().write_all(first_half).await?;
                 smol::Timer::after(half).await;
-                tcp.get_mut().write_all(rest).await?;
+                tcp.get_mut().write_all(second_half).await?;
                 return Ok(true);
             }
             Script::Rests => {
-                let half = head(200, "OK", &back, Some(BODY.len())) + &BODY[..BODY.len() / 2];
+                let half = response_head(200, "OK", &response_headers, Some(BODY.len()))
+                    + &BODY[..BODY.len() / 2];
                 tcp.get_mut().write_all(half.as_bytes()).await?;
-                smol::Timer::after(HANG_TIME).await;
+                smol::Timer::after(HANG_DURATION).await;
                 return Ok(false);
             }
             Script::AnswersLarge => {
-                let large = head(200, "OK", &back, Some(LARGE_BYTES));
-                (large + &"x".repeat(LARGE_BYTES), true)
+                let large = response_head(200, "OK", &response_headers, Some(LARGE_BODY_BYTES));
+                (large + &"x".repeat(LARGE_BODY_BYTES), true)
             }
             Script::Calls => {
-                self.call(&asked).await?;
-                (whole, true)
+                self.call(&request_id).await?;
+                (full_response, true)
             }
             Script::AnswersVeryLate => {
-                smol::Timer::after(VERY_LATE).await;
-                (whole, true)
+                smol::Timer::after(VERY_LATE_DELAY).await;
+                (full_response, true)
             }
         };
         tcp.get_mut().write_all(bytes.as_bytes()).await?;
-        Ok(goes_on)
+        Ok(stays_open)
     }
 
-    /// Makes a call for the request `parent`; whoever drops it closes its connection.
+    /// Makes a nested call for the request `parent`; dropping the future closes the connection.
     async fn call(&self, parent: &str) -> io::Result<()> {
         let daemon = self.lock().daemon.ok_or(io::ErrorKind::NotConnected)?;
         let mut tcp = TcpStream::connect(daemon).await?;
@@ -456,15 +480,15 @@
     }
 }
 
-/// Fails when the other end closes the connection; until then it isn't expected to send anything.
-async fn closed(tcp: &TcpStream) -> io::Result<bool> {
+/// Fails when the peer closes the connection; the peer isn't expected to send anything until then.
+async fn wait_for_close(tcp: &TcpStream) -> io::Result<bool> {
     match tcp.peek(&mut [0]).await? {
         0 => Err(io::ErrorKind::ConnectionAborted.into()),
         _ => std::future::pending().await,
     }
 }
 
-fn head(status: u16, reason: &str, headers: &str, length: Option<usize>) -> String {
+fn response_head(status: u16, reason: &str, headers: &str, length: Option<usize>) -> String {
     let mut text = format!("HTTP/1.1 {status} {reason}\r\n{headers}");
     if let Some(length) = length {
         write!(text, "content-length: {length}\r\n").expect("a string takes every text");
@@ -472,7 +496,7 @@
     text + "\r\n"
 }
 
-async fn read(tcp: &mut BufReader<TcpStream>) -> io::Result<Option<ReceivedRequest>> {
+async fn read_request(tcp: &mut BufReader<TcpStream>) -> io::Result<Option<ReceivedRequest>> {
     let mut line = String::new();
     if tcp.read_line(&mut line).await? == 0 {
         return Ok(None);
--- a/crates/sorrelturn-bench/src/routed_fleet.rs
+++ b/crates/sorrelturn-bench/src/routed_fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet on loopback whose kinds are told by routes, beside scripted backend servers.
+//! A small fleet on loopback with route tables and scripted backend servers.
 
 use crate::{
     Relay, ReservedPorts, RoutedBackend,
@@ -19,47 +19,47 @@
     time::{Duration, Instant},
 };
 
-/// The longest time for anything that a test waits for; long, so that a busy machine doesn't fail.
-const WAIT: Duration = Duration::from_secs(60);
-/// Enough for every retry of a test: the budget has tests of its own.
+/// The timeout for anything that a test waits for; long enough for a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Enough for all retries of a test; the retry budget has its own tests.
 const RETRY_SLACK: u32 = 1_000;
-/// How long a credential may be honoured after it was taken away.
+/// The maximum time for which a revoked credential may still be honoured, in milliseconds.
 const REVOCATION_MS: u64 = 5_000;
-/// How long a daemon that stops goes on serving, where a test doesn't say.
-const LINGER: Duration = Duration::from_millis(50);
-/// The program that reads route tables.
-const ADAPTED: &str = "sorrelturn-adapted";
-/// Where the route table lies.
-const TABLE: &str = "config/main";
-
-/// An instance: a daemon beside a scripted backend server.
+/// How long a stopping daemon continues to serve by default.
+const DEFAULT_LINGER: Duration = Duration::from_millis(50);
+/// The program of the daemon that reads route tables.
+const DAEMON_PROGRAM: &str = "sorrelturn-adapted";
+/// The store's key of the route table.
+const ROUTE_TABLE_KEY: &str = "config/main";
+
+/// An instance: a daemon with a scripted backend server.
 pub struct RoutedInstance {
     /// The backend server.
     pub backend: RoutedBackend,
-    /// Where the daemon listens.
+    /// The addresses that the daemon listens on.
     pub addresses: ListenSettings,
-    /// Those ports, for the daemon's next run.
+    /// Keeps the ports reserved for the daemon's next incarnation.
     _ports: ReservedPorts,
-    /// The daemon's settings, to start it anew.
+    /// The daemon's settings, for a restart.
     pub settings: Settings,
     /// The daemon, until it is stopped.
     pub daemon: Option<Daemon>,
-    /// The daemon as a process of its own, in the place of one that was stopped.
+    /// The daemon as a separate process that replaced a stopped one.
     pub process: Option<Process>,
-    /// The file descriptors of that process, where they are few.
+    /// The limit of that process's file descriptors, if it is lowered.
     pub descriptors: Option<u32>,
-    /// The paths between this instance and all others, in a fleet that has them.
+    /// The paths between this instance and all others, if the fleet has them.
     pub paths: Option<Paths>,
     sequence: u64,
 }
 
 /// The paths between one instance and all others.
 pub struct Paths {
-    /// By which other daemons reach it for calls.
+    /// From other daemons, for requests.
     pub peers: Relay,
-    /// By which other daemons reach it for control.
+    /// From other daemons, for control calls.
     pub control: Relay,
-    /// To its backend server.
+    /// To the backend server.
     pub backend: Relay,
     /// To the platform.
     pub platform: Relay,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Has a daemon and its peers take these paths.
-    fn lead(&self, settings: &mut Settings) {
+    /// Changes the settings of a daemon so that it and its peers use these paths.
+    fn apply_to(&self, settings: &mut Settings) {
         self.backend.set_target(settings.backend.address);
         self.platform.set_target(settings.platform.address);
         settings.backend.address = self.backend.addr;
@@ -88,31 +88,31 @@
     }
 }
 
-/// The fleet.
+/// A fleet of daemons with route tables.
 pub struct RoutedFleet {
-    /// Runs everything.
+    /// The executor of all daemons and backend servers.
     pub ex: Arc<Executor<'static>>,
-    /// The stand-in of the platform.
+    /// The address of the platform's stand-in.
     pub platform: SocketAddr,
     /// The dialect of all daemons.
     pub dialect: Dialect,
-    /// How daemons stop.
+    /// The stop settings of all daemons.
     pub stopping: StopSettings,
     /// The instances.
     pub instances: Vec<RoutedInstance>,
-    /// Whether instances reach one another over [`Paths`].
+    /// Whether instances reach each other over [`Paths`].
     has_paths: bool,
-    /// How daemons read the time.
+    /// The clock that daemons read.
     read_time: fn() -> Duration,
 }
 
 impl RoutedFleet {
-    /// Starts the stand-in and one instance for each of the services; nothing is in force yet.
+    /// Starts the stand-in and one instance per service; no route table is published yet.
     pub async fn start(ex: Arc<Executor<'static>>, dialect: Dialect, services: &[&str]) -> Self {
-        Self::start_lingering(ex, dialect, services, LINGER).await
+        Self::start_lingering(ex, dialect, services, DEFAULT_LINGER).await
     }
 
-    /// As [`RoutedFleet::start`], with daemons that go on serving for a while when they stop.
+    /// As [`RoutedFleet::start`], with daemons that continue to serve for `linger` when they stop.
     pub async fn start_lingering(
         ex: Arc<Executor<'static>>,
         dialect: Dialect,
@@ -126,7 +126,7 @@
         Self::start_stopping(ex, dialect, services, stopping).await
     }
 
-    /// As [`RoutedFleet::start`], with daemons that stop like this.
+    /// As [`RoutedFleet::start`], with these stop settings.
     pub async fn start_stopping(
         ex: Arc<Executor<'static>>,
         dialect: Dialect,
@@ -150,7 +150,7 @@
         fleet
     }
 
-    /// As [`RoutedFleet::start_with_paths`], with daemons that read the time like this; their timers don't.
+    /// As [`RoutedFleet::start_with_paths`], with daemons that read the clock through `read_time`; timers aren't affected.
     pub async fn start_with_clock(
         ex: Arc<Executor<'static>>,
         dialect: Dialect,
@@ -195,7 +195,7 @@
         let mut paths = None;
         if self.has_paths {
             let opened = Paths::open(&self.ex).await;
-            opened.lead(&mut settings);
+            opened.apply_to(&mut settings);
             paths = Some(opened);
         }
         let daemon = self.start_daemon(settings.clone()).await;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Starts a daemon.
+    /// Starts a daemon with these settings.
     pub async fn start_daemon(&self, settings: Settings) -> Daemon {
         let started = self.try_start(settings).await;
         started.expect("the daemon starts")
@@ -241,34 +241,36 @@
                 "listen": {listen},
                 "backend": {{ "address": "{backend}" }},
                 "platform": {{ "address": "{}" }},
-                "routes": {{ "object": "{TABLE}", "retry_slack": {RETRY_SLACK}, "revocation_ms": {REVOCATION_MS} }},
+                "routes": {{ "object": "{ROUTE_TABLE_KEY}", "retry_slack": {RETRY_SLACK}, "revocation_ms": {REVOCATION_MS} }},
                 "stop": {{ "linger_ms": {}, "most_ms": {} }}
             }}"#,
             self.platform, self.stopping.linger_ms, self.stopping.most_ms
         );
-        Settings::parse("test", &text).expect("the settings are right")
+        Settings::parse("test", &text).expect("the settings are valid")
     }
 
     /// Writes a route table into the store, as operators do.
     pub async fn publish(&self, table: &str) {
-        let platform = Platform::new(self.platform, WAIT);
-        let written = platform.put(TABLE, table, Expected::Anything).await;
-        written.expect("the store takes it");
+        let platform = Platform::new(self.platform, WAIT_TIMEOUT);
+        let written = platform
+            .put(ROUTE_TABLE_KEY, table, Expected::Anything)
+            .await;
+        written.expect("the store accepts the route table");
     }
 
-    /// How often each call of the store came.
+    /// Returns how often each call of the store was received.
     pub async fn store_calls(&self) -> Counters {
         let req = Request::get("/stand-in/counters").body(Bytes::new());
         let res = send(self.platform, req.expect("a request")).await;
         serde_json::from_slice(res.body()).expect("counters")
     }
 
-    /// Makes the stand-in play faults.
+    /// Sets the faults of the stand-in.
     pub async fn play(&self, faults: &Faults) {
         play_faults(self.platform, faults).await;
     }
 
-    /// Announces every backend server as ready and waits until every daemon knows all.
+    /// Announces every backend server as ready and waits until every daemon knows all members.
     pub async fn announce_all(&mut self) {
         for at in 0..self.instances.len() {
             self.announce(at, "ready").await;
@@ -283,20 +285,20 @@
         }
     }
 
-    /// Tells the daemon of one instance to stop.
+    /// Stops the daemon of one instance, without waiting for its end.
     pub fn stop(&mut self, at: usize) {
         let daemon = self.instances[at].daemon.take().expect("it runs");
         self.ex.spawn(daemon.stop()).detach();
     }
 
-    /// Starts the next run of a daemon that has stopped, which listens where the last one did.
+    /// Restarts a stopped daemon on the same addresses.
     pub async fn restart_daemon(&mut self, at: usize) {
         let settings = self.instances[at].settings.clone();
-        let end = Instant::now() + WAIT;
-        // The tasks that listened for the last run end a little later than it.
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        // The listener tasks of the last incarnation end slightly later than the daemon.
         let daemon = loop {
             match self.try_start(settings.clone()).await {
-                Err(StartError::Listen { .. }) if Instant::now() < end => {
+                Err(StartError::Listen { .. }) if Instant::now() < deadline => {
                     Timer::after(Duration::from_millis(20)).await;
                 }
                 started => break started.expect("the daemon starts"),
@@ -305,8 +307,8 @@
         self.instances[at].daemon = Some(daemon);
     }
 
-    /// Puts a process in the place of one instance's daemon, with the same settings, and waits until it is ready;
-    /// `folder` takes the settings file.
+    /// Replaces the daemon of one instance by a process with the same settings, and waits until it is ready; the settings
+    /// file is written to `folder`.
     pub async fn replace_with_process(&mut self, at: usize, folder: &Path) {
         if let Some(daemon) = self.instances[at].daemon.take() {
             daemon.stop().await;
@@ -325,26 +327,26 @@
         let text = serde_json::to_string_pretty(settings).expect("settings are JSON");
         std::fs::write(&file, text).expect("the folder can be written");
         let file = file.display().to_string();
-        // The tasks that listened for the last run end a little later than it.
+        // The listener tasks of the last incarnation end slightly later than the daemon.
         until("the process starts", async || {
-            // Elsewhere than on the threads of the other daemons, which would take the wait for load.
+            // Blocking the threads of the other daemons would look like load to them.
             let file = file.clone();
             let descriptors = instance.descriptors;
             let start = move || match descriptors {
-                Some(most) => {
-                    Process::start_with_descriptors(most, ADAPTED, &["--settings", &file])
+                Some(limit) => {
+                    Process::start_with_descriptors(limit, DAEMON_PROGRAM, &["--settings", &file])
                 }
-                None => Process::start(ADAPTED, &["--settings", &file]),
+                None => Process::start(DAEMON_PROGRAM, &["--settings", &file]),
             };
             let process = smol::unblock(start).await;
-            let starts = !process.first_line.is_empty();
-            instance.process = starts.then_some(process);
-            starts
+            let has_started = !process.first_line.is_empty();
+            instance.process = has_started.then_some(process);
+            has_started
         })
         .await;
     }
 
-    /// Has one backend server announce a state; returns the status of the answer.
+    /// Sends a heartbeat with a state of one backend server; returns the status of the response.
     pub async fn announce(&mut self, at: usize, state: &str) -> u16 {
         let instance = &mut self.instances[at];
         instance.sequence += 1;
@@ -355,7 +357,7 @@
 }
 
 impl RoutedInstance {
-    /// What the backend server says of itself in a heartbeat.
+    /// Returns a heartbeat of the backend server.
     pub fn heartbeat(&self, state: &str, sequence: u64, slots: u32) -> String {
         let service = &self.settings.service;
         format!(
@@ -363,13 +365,13 @@
         )
     }
 
-    /// The same of a run that tells when it started.
+    /// Returns a heartbeat of an incarnation that reports its start time.
     pub fn heartbeat_of_incarnation(&self, born: u64, state: &str, sequence: u64) -> String {
         let text = self.heartbeat(state, sequence, 8);
         format!(r#"{{"born":{born},{}"#, &text[1..])
     }
 
-    /// Makes a call of the backend server to its daemon.
+    /// Sends a call of the backend server to its daemon; returns the status of the response.
     pub async fn post_backend_call(&self, call: &str, body: String) -> u16 {
         let path = format!("/backend/{}/{call}", self.backend.id());
         let req = Request::post(path).body(Bytes::from(body));
@@ -377,7 +379,7 @@
         send(addr, req.expect("a request")).await.status().as_u16()
     }
 
-    /// Whether the daemon says that it is ready.
+    /// Returns whether the daemon reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let req = Request::get("/ready").body(Bytes::new());
         let addr = self.addresses.ready.expect("it listens");
@@ -387,13 +389,17 @@
 
     /// Sends a request through the daemon.
     pub async fn ask(&self, req: Request<Bytes>) -> Response<Bytes> {
-        self.try_ask(req).await.expect("a whole answer")
+        self.try_ask(req).await.expect("a complete response")
     }
 
-    /// Sends a request through the daemon; an answer that is cut is an error.
+    /// Sends a request through the daemon.
+    ///
+    /// # Errors
+    ///
+    /// If the response is incomplete.
     pub async fn try_ask(&self, req: Request<Bytes>) -> Result<Response<Bytes>, String> {
         let addr = self.addresses.routed.expect("it listens");
-        let answer = exchange(addr, req, WAIT).await;
+        let answer = exchange(addr, req, WAIT_TIMEOUT).await;
         answer.map_err(|error| error.to_string())
     }
 
@@ -410,14 +416,14 @@
 }
 
 async fn send(addr: SocketAddr, req: Request<Bytes>) -> Response<Bytes> {
-    exchange(addr, req, WAIT).await.expect("an answer")
+    exchange(addr, req, WAIT_TIMEOUT).await.expect("a response")
 }
 
-/// Waits for something.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + WAIT;
-    while !holds().await {
-        assert!(Instant::now() < end, "never: {what}");
+/// Waits until a condition is true; panics with `what` after a timeout.
+pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "never: {what}");
         Timer::after(Duration::from_millis(20)).await;
     }
 }
--- a/crates/sorrelturn-bench/src/soak/harness.rs
+++ b/crates/sorrelturn-bench/src/soak/harness.rs
@@ -213,7 +213,7 @@
         };
         let id = format!("b-{number}-0");
         let header_names = &self.target.dialect.headers;
-        let backend = RoutedBackend::watched(header_names, &id, Arc::new(observer));
+        let backend = RoutedBackend::with_observer(header_names, &id, Arc::new(observer));
         backend.play(NORMAL_SCRIPT);
         if self.has_crashing_request {
             backend.crash_on(CRASHING_PATH);
--- a/crates/sorrelturn-bench/tests/soak.rs
+++ b/crates/sorrelturn-bench/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's plan and checker, without sockets: each promise is fed a breach, and what the promises except.
+//! Guards against a checker that misses a breach or reports an exempt case, and against plans that change.
 
 use sorrelturn_bench::{
     root,
@@ -7,7 +7,7 @@
 };
 use std::time::Duration;
 
-const MOST: Duration = Duration::from_secs(3);
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -29,22 +29,22 @@
     }
 }
 
-/// Two daemons that run.
-fn two() -> Checker {
-    let mut checker = Checker::new(2, MOST);
+/// A checker of two running daemons.
+fn two_daemons() -> Checker {
+    let mut checker = Checker::new(2, STOP_TIMEOUT);
     checker.started(0);
     checker.started(1);
     checker
 }
 
-/// As [`two`], and daemon 0 was sent request `x` at 10 s.
-fn asked(kind: Kind) -> Checker {
-    let mut checker = two();
+/// As [`two_daemons`], after request `x` was sent to daemon 0 at 10 s.
+fn with_request(kind: Kind) -> Checker {
+    let mut checker = two_daemons();
     checker.sending(ms(10_000), "x", kind, 0, 0);
     checker
 }
 
-fn broken(checker: &Checker) -> Vec<Promise> {
+fn broken_promises(checker: &Checker) -> Vec<Promise> {
     let breaches = checker.breaches().iter();
     breaches.map(|breach| breach.promise).collect()
 }
@@ -52,27 +52,27 @@
 #[test]
 fn a_refused_request_that_ran_before_or_runs_later_is_found() {
     for status in [408, 421, 429, 503] {
-        let mut checker = asked(Kind::Safe);
+        let mut checker = with_request(Kind::Safe);
         checker.reached_backend(ms(10_010), "x", runs_at(1));
         checker.ended(ms(10_020), "x", answer(status));
-        assert_eq!(broken(&checker), [Promise::Refused]);
-        let mut checker = asked(Kind::Once);
+        assert_eq!(broken_promises(&checker), [Promise::Refused]);
+        let mut checker = with_request(Kind::Once);
         checker.ended(ms(10_020), "x", answer(status));
         checker.reached_backend(ms(10_030), "x", runs_at(1));
-        assert_eq!(broken(&checker), [Promise::Refused]);
+        assert_eq!(broken_promises(&checker), [Promise::Refused]);
     }
 }
 
 #[test]
-fn a_refused_request_that_was_turned_away_is_no_breach() {
-    let mut checker = asked(Kind::Once);
-    let turned_away = Place {
+fn a_refused_request_that_only_a_backend_server_refused_is_no_breach() {
+    let mut checker = with_request(Kind::Once);
+    let refused_by_backend = Place {
         runs: false,
         ..runs_at(1)
     };
-    checker.reached_backend(ms(10_010), "x", turned_away);
+    checker.reached_backend(ms(10_010), "x", refused_by_backend);
     checker.ended(ms(10_020), "x", answer(503));
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
 #[test]
@@ -81,24 +81,24 @@
         (Kind::Once, vec![Promise::AtMostOnce]),
         (Kind::Safe, vec![]),
     ] {
-        let mut checker = asked(kind);
+        let mut checker = with_request(kind);
         checker.reached_backend(ms(10_010), "x", runs_at(1));
         checker.reached_backend(ms(10_020), "x", runs_at(0));
         checker.ended(ms(10_030), "x", answer(200));
-        assert_eq!(broken(&checker), expected);
+        assert_eq!(broken_promises(&checker), expected);
     }
 }
 
 #[test]
-fn what_runs_without_being_asked_for_is_found() {
-    let mut checker = two();
+fn an_executed_request_that_nobody_sent_is_found() {
+    let mut checker = two_daemons();
     checker.reached_backend(ms(10), "y", runs_at(1));
-    assert_eq!(broken(&checker), [Promise::Asked]);
+    assert_eq!(broken_promises(&checker), [Promise::Asked]);
 }
 
 #[test]
 fn a_success_that_is_not_whole_and_an_answer_of_another_request_are_found() {
-    let not_whole = Ending::Answer {
+    let incomplete = Ending::Answer {
         status: 200,
         own: false,
         foreign: false,
@@ -108,20 +108,20 @@
         own: false,
         foreign: true,
     };
-    for ending in [not_whole, foreign] {
-        let mut checker = asked(Kind::Safe);
+    for ending in [incomplete, foreign] {
+        let mut checker = with_request(Kind::Safe);
         checker.reached_backend(ms(10_010), "x", runs_at(1));
         checker.ended(ms(10_020), "x", ending);
-        assert_eq!(broken(&checker), [Promise::OwnWhole]);
+        assert_eq!(broken_promises(&checker), [Promise::OwnWhole]);
     }
 }
 
 #[test]
-fn a_proper_request_that_is_denied_is_found() {
+fn a_valid_request_that_is_denied_is_found() {
     for status in [400, 403, 404, 413] {
-        let mut checker = asked(Kind::Once);
+        let mut checker = with_request(Kind::Once);
         checker.ended(ms(10_020), "x", answer(status));
-        assert_eq!(broken(&checker), [Promise::Denied]);
+        assert_eq!(broken_promises(&checker), [Promise::Denied]);
     }
 }
 
@@ -129,7 +129,7 @@
 fn a_connection_that_ends_without_an_answer_after_the_request_was_passed_on_is_found() {
     for ending in [Ending::Closed, Ending::Cut] {
         for stop_requested in [false, true] {
-            let mut checker = two();
+            let mut checker = two_daemons();
             if stop_requested {
                 checker.stop_requested(ms(9_000), 0);
             }
@@ -137,7 +137,7 @@
             checker.reached_backend(ms(10_010), "x", runs_at(1));
             checker.ended(ms(11_900), "x", ending);
             assert_eq!(
-                broken(&checker),
+                broken_promises(&checker),
                 [Promise::Answered],
                 "{ending:?} {stop_requested}"
             );
@@ -147,26 +147,26 @@
 
 #[test]
 fn a_request_that_is_neither_passed_on_nor_answered_for_long_is_found() {
-    let mut checker = asked(Kind::Once);
+    let mut checker = with_request(Kind::Once);
     checker.ended(ms(12_500), "x", Ending::Closed);
-    assert_eq!(broken(&checker), [Promise::Answered]);
+    assert_eq!(broken_promises(&checker), [Promise::Answered]);
     for ending in [Ending::Silent, Ending::Stalled] {
-        let mut checker = asked(Kind::Once);
+        let mut checker = with_request(Kind::Once);
         checker.ended(ms(18_000), "x", ending);
-        assert_eq!(broken(&checker), [Promise::Answered]);
+        assert_eq!(broken_promises(&checker), [Promise::Answered]);
     }
 }
 
 #[test]
 fn a_request_that_crosses_the_close_or_whose_entry_was_disturbed_is_no_breach() {
-    let mut checker = asked(Kind::Once);
+    let mut checker = with_request(Kind::Once);
     checker.ended(ms(10_100), "x", Ending::Closed);
-    assert_eq!(broken(&checker), []);
-    let mut checker = asked(Kind::Once);
+    assert_eq!(broken_promises(&checker), []);
+    let mut checker = with_request(Kind::Once);
     checker.reached_backend(ms(10_010), "x", runs_at(1));
     checker.killed(ms(10_020), 0);
     checker.ended(ms(10_030), "x", Ending::Closed);
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
 #[test]
@@ -177,40 +177,40 @@
         |checker| checker.path_faulted(ms(10_020), ms(10_025), 1),
     ];
     for disturb in disturb {
-        let mut checker = asked(Kind::Safe);
+        let mut checker = with_request(Kind::Safe);
         checker.reached_backend(ms(10_010), "x", runs_at(1));
         disturb(&mut checker);
         checker.ended(ms(10_030), "x", Ending::Cut);
-        assert_eq!(broken(&checker), []);
+        assert_eq!(broken_promises(&checker), []);
     }
 }
 
 #[test]
 fn connections_that_end_without_a_byte_where_an_owner_was_killed_are_found_from_the_fourth_on() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.killed(ms(10_020), 1);
     for (number, expected) in [0, 0, 0, 1].into_iter().enumerate() {
         let id = number.to_string();
         checker.sending(ms(10_000), &id, Kind::Once, 0, 0);
         checker.reached_backend(ms(10_010), &id, runs_at(1));
         checker.ended(ms(10_030), &id, Ending::Closed);
-        assert_eq!(broken(&checker).len(), expected);
+        assert_eq!(broken_promises(&checker).len(), expected);
     }
 }
 
 #[test]
 fn a_daemon_that_still_runs_after_the_longest_time_of_its_stop_is_found_once() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.stop_requested(ms(10_000), 0);
     assert!(!checker.check_exit_time(ms(13_900), 0));
     assert!(checker.check_exit_time(ms(14_100), 0));
     assert!(!checker.check_exit_time(ms(14_200), 0));
-    assert_eq!(broken(&checker), [Promise::ExitsInTime]);
+    assert_eq!(broken_promises(&checker), [Promise::ExitsInTime]);
 }
 
 #[test]
-fn the_time_of_a_stop_is_longer_by_that_for_which_the_daemon_stood_still_or_the_soak_was_late() {
-    let mut checker = two();
+fn the_stop_timeout_is_extended_by_suspensions_and_by_the_lag_of_the_soak() {
+    let mut checker = two_daemons();
     checker.stop_requested(ms(10_000), 0);
     checker.paused(ms(11_000), 0);
     checker.resumed(ms(12_000), 0);
@@ -220,10 +220,9 @@
 }
 
 #[test]
-fn a_stop_that_says_that_it_cut_something_is_found_unless_the_rest_of_an_answer_lay_behind_a_fault()
-{
+fn an_exit_that_reports_cut_requests_is_found_unless_a_response_was_cut_by_a_fault() {
     for (paused, expected) in [(false, vec![Promise::ExitsInTime]), (true, vec![])] {
-        let mut checker = asked(Kind::Safe);
+        let mut checker = with_request(Kind::Safe);
         checker.stop_requested(ms(10_000), 0);
         checker.exited(ms(11_000), 0, Some(4));
         if paused {
@@ -232,58 +231,59 @@
             checker.ended(ms(11_001), "x", Ending::Cut);
         }
         checker.finish();
-        assert_eq!(broken(&checker), expected);
+        assert_eq!(broken_promises(&checker), expected);
     }
 }
 
 #[test]
 fn a_daemon_that_ends_by_itself_is_found_and_one_that_was_ended_is_not() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.exited(ms(11_000), 0, Some(0));
-    assert_eq!(broken(&checker), [Promise::GoesOn]);
-    let mut checker = two();
+    assert_eq!(broken_promises(&checker), [Promise::GoesOn]);
+    let mut checker = two_daemons();
     checker.killed(ms(10_000), 0);
     checker.exited(ms(10_010), 0, None);
     checker.stop_requested(ms(10_000), 1);
     checker.exited(ms(12_000), 1, Some(0));
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
 #[test]
 fn a_daemon_that_says_that_it_is_ready_long_after_it_was_told_to_stop_or_again_is_found() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.stop_requested(ms(10_000), 0);
     checker.readiness_reported(ms(10_100), 0, 0, true);
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
     checker.readiness_reported(ms(11_100), 0, 0, true);
-    assert_eq!(broken(&checker), [Promise::NotReady]);
-    let mut checker = two();
+    assert_eq!(broken_promises(&checker), [Promise::NotReady]);
+    let mut checker = two_daemons();
     checker.stop_requested(ms(10_000), 0);
     checker.readiness_reported(ms(10_100), 0, 0, false);
     checker.readiness_reported(ms(10_200), 0, 0, true);
-    assert_eq!(broken(&checker), [Promise::NotReady]);
+    assert_eq!(broken_promises(&checker), [Promise::NotReady]);
 }
 
 #[test]
-fn what_reaches_a_backend_server_whose_leave_was_acknowledged_is_found_until_another_run_joins() {
-    let mut checker = two();
+fn a_request_that_reaches_a_backend_server_after_its_leave_is_found_until_another_incarnation_joins()
+ {
+    let mut checker = two_daemons();
     checker.leave_acknowledged(ms(9_000), 1);
     checker.sending(ms(10_000), "x", Kind::Once, 0, 0);
     checker.reached_backend(ms(10_010), "x", runs_at(1));
-    assert_eq!(broken(&checker), [Promise::Leaves]);
+    assert_eq!(broken_promises(&checker), [Promise::Leaves]);
     checker.backend_joining(1);
     checker.reached_backend(ms(10_020), "x", runs_at(1));
-    assert_eq!(broken(&checker)[1..], [Promise::AtMostOnce]);
-    // What was sent before may be on its way.
-    let mut checker = asked(Kind::Once);
+    assert_eq!(broken_promises(&checker)[1..], [Promise::AtMostOnce]);
+    // A request that was sent before may be in flight.
+    let mut checker = with_request(Kind::Once);
     checker.leave_acknowledged(ms(10_005), 1);
     checker.reached_backend(ms(10_010), "x", runs_at(1));
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
-/// Daemon 0 answers these statuses to requests for these versions, one after another; 1 to 3 were published.
-fn versions(answers: &[(u64, u16)]) -> Checker {
-    let mut checker = two();
+/// Daemon 0 responds with these statuses to requests for these versions in turn; versions 1 to 3 were published.
+fn with_answers(answers: &[(u64, u16)]) -> Checker {
+    let mut checker = two_daemons();
     for version in 1..=3 {
         checker.table_published(version);
     }
@@ -298,30 +298,30 @@
 
 #[test]
 fn a_route_table_that_goes_back_is_found() {
-    let reverting_to = versions(&[(2, 200), (3, 200), (2, 200)]);
-    assert_eq!(broken(&reverting_to), [Promise::Newest]);
-    let is_lost = versions(&[(3, 200), (3, 404)]);
-    assert_eq!(broken(&is_lost), [Promise::Newest]);
-    let goes_on = versions(&[(2, 404), (1, 200), (2, 200), (2, 404), (3, 200), (2, 404)]);
-    assert_eq!(broken(&goes_on), []);
+    let going_back = with_answers(&[(2, 200), (3, 200), (2, 200)]);
+    assert_eq!(broken_promises(&going_back), [Promise::Newest]);
+    let losing_route = with_answers(&[(3, 200), (3, 404)]);
+    assert_eq!(broken_promises(&losing_route), [Promise::Newest]);
+    let going_forward = with_answers(&[(2, 404), (1, 200), (2, 200), (2, 404), (3, 200), (2, 404)]);
+    assert_eq!(broken_promises(&going_forward), []);
 }
 
 #[test]
-fn a_later_run_may_begin_with_an_older_route_table() {
-    let mut checker = versions(&[(3, 200)]);
+fn a_later_incarnation_may_begin_with_an_older_route_table() {
+    let mut checker = with_answers(&[(3, 200)]);
     checker.killed(ms(5_000), 0);
     checker.exited(ms(5_010), 0, None);
     checker.started(0);
     checker.sending(ms(6_000), "x", Kind::Version(2), 0, 1);
     checker.ended(ms(6_010), "x", answer(200));
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
 #[test]
 fn service_that_never_returns_is_found() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.did_not_recover(ms(90_000), "daemon 0 doesn't serve".to_owned());
-    assert_eq!(broken(&checker), [Promise::Recovers]);
+    assert_eq!(broken_promises(&checker), [Promise::Recovers]);
 }
 
 #[test]
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn plans_hold_every_sort_of_act_and_stops_in_series_twice_and_cut_short() {
+fn plans_hold_every_kind_of_action_and_serial_repeated_and_killed_stops() {
     let plans: Vec<SoakPlan> = (0..50)
         .map(|seed| SoakPlan::from_seed(seed, 30, 6))
         .collect();
@@ -342,8 +342,8 @@
         .iter()
         .flat_map(|plan| plan.actions.iter().map(|timed| timed.action))
         .collect();
-    let holds = |what: fn(&Action) -> bool| assert!(actions.iter().any(what));
-    holds(|action| {
+    let assert_contains = |predicate: fn(&Action) -> bool| assert!(actions.iter().any(predicate));
+    assert_contains(|action| {
         matches!(
             action,
             Action::Stop {
@@ -352,7 +352,7 @@
             }
         )
     });
-    holds(|action| {
+    assert_contains(|action| {
         matches!(
             action,
             Action::Stop {
@@ -361,14 +361,14 @@
             }
         )
     });
-    holds(|action| matches!(action, Action::Kill { .. }));
-    holds(|action| matches!(action, Action::Pause { .. }));
-    holds(|action| matches!(action, Action::Reread { .. }));
-    holds(|action| matches!(action, Action::Publish { older: true }));
-    holds(|action| matches!(action, Action::Store { .. }));
-    holds(|action| matches!(action, Action::Path { .. }));
-    holds(|action| matches!(action, Action::Leave { .. }));
-    holds(|action| matches!(action, Action::Misbehave { .. }));
+    assert_contains(|action| matches!(action, Action::Kill { .. }));
+    assert_contains(|action| matches!(action, Action::Pause { .. }));
+    assert_contains(|action| matches!(action, Action::Reread { .. }));
+    assert_contains(|action| matches!(action, Action::Publish { older: true }));
+    assert_contains(|action| matches!(action, Action::Store { .. }));
+    assert_contains(|action| matches!(action, Action::Path { .. }));
+    assert_contains(|action| matches!(action, Action::Leave { .. }));
+    assert_contains(|action| matches!(action, Action::Misbehave { .. }));
     let in_order = |actions: &[TimedAction]| {
         let mut daemons = actions.iter().enumerate();
         daemons
@@ -379,10 +379,10 @@
 }
 
 #[test]
-fn every_example_in_the_help_is_a_call_that_the_command_takes() {
+fn every_example_in_the_help_is_accepted_by_the_command() {
     let help = soak_command::signature()
         .get_after_help()
-        .expect("it has examples")
+        .expect("the help has examples")
         .to_string();
     let lines = help.lines().map(str::trim);
     let examples: Vec<&str> = lines.filter(|line| line.starts_with("soak ")).collect();
@@ -391,13 +391,13 @@
         let parsed = soak_command::signature().try_get_matches_from(example.split_whitespace());
         assert!(parsed.is_ok(), "{example}: {parsed:?}");
     }
-    // The daemons that it starts speak a dialect that the bench's own program doesn't know.
+    // The daemons under test use a dialect that the bench program doesn't know.
     assert!(root().find_subcommand("soak").is_none());
 }
 
-/// The request that crashes backend servers, sent to daemon 0, runs beside daemon 1 at these times.
-fn crashes_at(times: &[u64]) -> Checker {
-    let mut checker = two();
+/// Crashing requests that are sent to daemon 0 are executed at daemon 1's backend server at these times.
+fn with_crashes_at(times: &[u64]) -> Checker {
+    let mut checker = two_daemons();
     for at in times {
         let id = format!("x{at}");
         checker.sending(ms(*at), &id, Kind::Safe, 0, 0);
@@ -408,124 +408,133 @@
 }
 
 #[test]
-fn a_request_that_crashes_backend_servers_is_found_the_fourth_time_that_it_could_be_known() {
-    // The third crash at 3 s is known everywhere at 6 s.
-    let known = [1_000, 2_000, 3_000, 4_000, 5_999, 7_000, 8_000, 9_000];
-    assert_eq!(broken(&crashes_at(&known)), []);
-    let once_more = [&known[..], &[9_500]].concat();
-    assert_eq!(broken(&crashes_at(&once_more)), [Promise::Held]);
+fn a_crashing_request_is_found_at_the_fourth_crash_that_daemons_could_have_prevented() {
+    // All daemons know of the third crash, at 3 s, by 6 s.
+    let tolerated = [1_000, 2_000, 3_000, 4_000, 5_999, 7_000, 8_000, 9_000];
+    assert_eq!(broken_promises(&with_crashes_at(&tolerated)), []);
+    let one_too_many = [&tolerated[..], &[9_500]].concat();
+    assert_eq!(
+        broken_promises(&with_crashes_at(&one_too_many)),
+        [Promise::Held]
+    );
 }
 
 #[test]
-fn one_that_comes_by_a_daemon_that_was_disturbed_or_beside_trouble_of_the_store_is_no_breach() {
+fn a_crashing_request_is_no_breach_if_a_daemon_or_the_store_was_disturbed() {
     let times = [1_000, 2_000, 3_000, 7_000, 8_000, 9_000];
-    let last = |disturb: &dyn Fn(&mut Checker)| {
-        let mut checker = crashes_at(&times);
+    let promises_after_last_crash = |disturb: &dyn Fn(&mut Checker)| {
+        let mut checker = with_crashes_at(&times);
         disturb(&mut checker);
         checker.sending(ms(9_500), "last", Kind::Safe, 0, 0);
         checker.running_crashing_request(ms(9_500), "last", 1);
-        broken(&checker)
+        broken_promises(&checker)
     };
-    assert_eq!(last(&|_| ()), [Promise::Held]);
-    assert_eq!(last(&|checker| checker.killed(ms(7_000), 0)), []);
-    assert_eq!(last(&|checker| checker.stop_requested(ms(7_000), 1)), []);
+    assert_eq!(promises_after_last_crash(&|_| ()), [Promise::Held]);
+    assert_eq!(
+        promises_after_last_crash(&|checker| checker.killed(ms(7_000), 0)),
+        []
+    );
+    assert_eq!(
+        promises_after_last_crash(&|checker| checker.stop_requested(ms(7_000), 1)),
+        []
+    );
     assert_eq!(
-        last(&|checker| checker.path_faulted(ms(5_000), ms(7_000), 1)),
+        promises_after_last_crash(&|checker| checker.path_faulted(ms(5_000), ms(7_000), 1)),
         []
     );
     assert_eq!(
-        last(&|checker| checker.store_faulted(ms(6_000), ms(7_000))),
+        promises_after_last_crash(&|checker| checker.store_faulted(ms(6_000), ms(7_000))),
         []
     );
 }
 
 #[test]
 fn an_answer_that_is_cut_because_its_backend_server_crashed_is_no_breach() {
-    let mut checker = asked(Kind::Safe);
+    let mut checker = with_request(Kind::Safe);
     checker.reached_backend(ms(10_010), "x", runs_at(1));
     checker.sending(ms(10_020), "deadly", Kind::Safe, 0, 0);
     checker.running_crashing_request(ms(10_020), "deadly", 1);
     checker.ended(ms(10_100), "x", Ending::Cut);
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
-/// A request that shows a credential is sent and runs.
-fn runs_in_the_name_of(
+/// Sends and executes a request with a credential.
+fn execute_with_credential(
     checker: &mut Checker,
     id: &str,
-    shows: CredentialKind,
-    asked: u64,
-    ran: u64,
+    credential_kind: CredentialKind,
+    sent_at: u64,
+    ran_at: u64,
 ) {
-    checker.sending_with_credential(ms(asked), id, Kind::Safe, (0, 0), shows);
-    checker.reached_backend(ms(ran), id, runs_at(1));
+    checker.sending_with_credential(ms(sent_at), id, Kind::Safe, (0, 0), credential_kind);
+    checker.reached_backend(ms(ran_at), id, runs_at(1));
 }
 
 #[test]
-fn a_credential_that_runs_something_long_after_it_was_taken_away_is_found() {
-    let mut checker = two();
+fn a_credential_that_is_honoured_long_after_it_was_revoked_is_found() {
+    let mut checker = two_daemons();
     checker.table_confirmed(ms(1_000), 1);
     checker.table_confirmed(ms(10_000), 2);
-    runs_in_the_name_of(
+    execute_with_credential(
         &mut checker,
         "in time",
         CredentialKind::OfVersion(1),
         14_900,
         16_000,
     );
-    runs_in_the_name_of(
+    execute_with_credential(
         &mut checker,
         "the newest",
         CredentialKind::OfVersion(2),
         20_000,
         20_010,
     );
-    runs_in_the_name_of(
+    execute_with_credential(
         &mut checker,
         "always held",
         CredentialKind::Steady,
         20_000,
         20_010,
     );
-    assert_eq!(broken(&checker), []);
-    runs_in_the_name_of(
+    assert_eq!(broken_promises(&checker), []);
+    execute_with_credential(
         &mut checker,
         "too late",
         CredentialKind::OfVersion(1),
         15_100,
         15_110,
     );
-    assert_eq!(broken(&checker), [Promise::Revoked]);
+    assert_eq!(broken_promises(&checker), [Promise::Revoked]);
 }
 
 #[test]
 fn a_credential_of_a_table_that_was_written_again_is_no_breach() {
-    let mut checker = two();
+    let mut checker = two_daemons();
     checker.table_confirmed(ms(1_000), 1);
     checker.table_confirmed(ms(10_000), 2);
     checker.reverting_to(1);
     checker.table_confirmed(ms(11_000), 1);
-    runs_in_the_name_of(
+    execute_with_credential(
         &mut checker,
         "x",
         CredentialKind::OfVersion(1),
         20_000,
         20_010,
     );
-    assert_eq!(broken(&checker), []);
+    assert_eq!(broken_promises(&checker), []);
 }
 
 #[test]
-fn a_window_that_sees_more_of_a_workspace_than_its_quota_is_found() {
-    // Twenty a second and ten on top, a tenth over that, and twenty: 141 in five seconds.
-    let mut checker = two();
+fn a_window_that_exceeds_the_quota_of_a_workspace_is_found() {
+    // (5 s * 20/s + burst 10) * 1.1 overage + 20 slack = 141 requests.
+    let mut checker = two_daemons();
     for number in 0..142 {
         let id = format!("{number}");
-        runs_in_the_name_of(&mut checker, &id, CredentialKind::Limited, 1_000, 1_010);
-        let over = if number < 141 { 0 } else { 1 };
-        assert_eq!(broken(&checker).len(), over, "{number}");
+        execute_with_credential(&mut checker, &id, CredentialKind::Limited, 1_000, 1_010);
+        let expected = if number < 141 { 0 } else { 1 };
+        assert_eq!(broken_promises(&checker).len(), expected, "{number}");
     }
-    assert_eq!(broken(&checker), [Promise::Quota]);
-    runs_in_the_name_of(&mut checker, "later", CredentialKind::Limited, 7_000, 7_010);
-    assert_eq!(broken(&checker), [Promise::Quota]);
+    assert_eq!(broken_promises(&checker), [Promise::Quota]);
+    execute_with_credential(&mut checker, "later", CredentialKind::Limited, 7_000, 7_010);
+    assert_eq!(broken_promises(&checker), [Promise::Quota]);
 }
