--- a/crates/sorrelturn-bench/src/soak/checker.rs
+++ b/crates/sorrelturn-bench/src/soak/checker.rs
@@ -9,12 +9,12 @@
 /// The maximum time between sending a request and a close that crosses it; the connection may then be closed without
 /// a response.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_secs(1);
-/// The time within which a stopping daemon has to report that it isn't ready: one interval of the readiness checks.
+/// The time within which a stopping daemon has to report that it isn't ready: one readiness check of the platform.
 const NOT_READY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The tolerated delay of an exit after the stop timeout.
 const EXIT_SLACK: Duration = Duration::from_secs(1);
-/// The number of crashes that one request may cause, and of further crashes that daemons could have prevented, which
-/// come later than [`UNDISTURBED_AFTER`] after those.
+/// The number of crashes that a request may cause, and of further crashes which daemons could have prevented because
+/// they come later than [`UNDISTURBED_AFTER`] after those.
 const TOLERATED_CRASHES: usize = 3;
 /// The number of connections that a daemon may close without a byte because a response was cut off behind a fault
 /// before its head was written. The platform's rules allow a machine three.
