--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -44,7 +44,7 @@
     if version <= node.bundle_version() {
         return;
     }
-    let fetch = lock(&node.spread).version_announced(node.now(), version, source);
+    let fetch = lock(&node.bundle_tracker).version_announced(node.now(), version, source);
     if let Some(fetch) = fetch {
         let node = Arc::clone(node);
         let ex = Arc::clone(&node.ex);
@@ -69,7 +69,7 @@
                 ],
             );
         }
-        next = lock(&node.spread).fetch_finished(node.now(), &fetch);
+        next = lock(&node.bundle_tracker).fetch_finished(node.now(), &fetch);
     }
 }
 
@@ -109,7 +109,7 @@
         .ok_or(FetchError::Absent)?,
     };
     let manifest = signed.verify(&node.trusted).map_err(FetchError::Refused)?;
-    if manifest.version <= lock(&node.spread).in_force() {
+    if manifest.version <= lock(&node.bundle_tracker).in_force() {
         return Ok(());
     }
     let before = node.in_force.load_full();
--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -4,7 +4,7 @@
     config::fetch,
     config::in_force::Origin,
     fleet::gossip,
-    fleet::metered::Metered,
+    fleet::metered::MeteredStream,
     fleet::quota,
     fleet::suspects,
     net::serve::{Accepted, Closing},
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use smol::{future::FutureExt, stream::StreamExt};
 use sorrelturn_bundle::{ContentHash, SectionBytes, SignedManifest};
-use sorrelturn_fleet::{Digest, DigestReply, Report};
+use sorrelturn_fleet::{ExchangeReply, ExchangeRequest, Report};
 use sorrelturn_policy::LeavingCause;
 use sorrelturn_protocol::{CrashUpdate, Incarnation, MemberRecord};
 use sorrelturn_quota::{AcquireReply, AcquireRequest};
@@ -42,7 +42,7 @@
     #[tarpc::service]
     pub trait Control {
         /// Compares the membership, bundle version and crash reports of two daemons.
-        async fn exchange(digest: Digest) -> DigestReply;
+        async fn exchange(digest: ExchangeRequest) -> ExchangeReply;
         /// Returns the member records in the given buckets.
         async fn members(buckets: Vec<u8>) -> Vec<MemberRecord>;
         /// Delivers member records that are new to the sender or missing at this daemon.
@@ -78,9 +78,9 @@
 }
 
 impl Control for Server {
-    async fn exchange(self, _: context::Context, digest: Digest) -> DigestReply {
+    async fn exchange(self, _: context::Context, digest: ExchangeRequest) -> ExchangeReply {
         let from = digest.from.instance.clone();
-        gossip::record_visitor(&self.node, &from);
+        gossip::record_inbound_peer(&self.node, &from);
         gossip::receive_member_record(&self.node, digest.from);
         fetch::fetch_if_newer(
             &self.node,
@@ -89,12 +89,12 @@
         );
         let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
-        let differs = members.total() != digest.members;
+        let differs = members.checksum() != digest.members;
         let suspects = &self.node.suspected_requests;
         let crashes_differ = suspects.checksum(self.node.now()) != digest.crashes;
-        DigestReply {
+        ExchangeReply {
             knowledge_age_ms,
-            version: lock(&self.node.spread).in_force(),
+            version: lock(&self.node.bundle_tracker).in_force(),
             members: differs.then_some(members),
             crashes: crashes_differ.then(|| suspects.snapshot(self.node.now())),
         }
@@ -112,7 +112,7 @@
 
     async fn announce(self, _: context::Context, from: String, version: u64) -> u64 {
         fetch::fetch_if_newer(&self.node, version, sorrelturn_fleet::Source::Peer(from));
-        lock(&self.node.spread).in_force()
+        lock(&self.node.bundle_tracker).in_force()
     }
 
     async fn acquire(self, _: context::Context, request: AcquireRequest) -> AcquireReply {
@@ -160,7 +160,7 @@
     }
 
     async fn report(self, _: context::Context, report: Report) {
-        lock(&self.node.view).report(self.node.now(), report);
+        lock(&self.node.domain_view).record_report(self.node.now(), report);
     }
 
     async fn ping(self, _: context::Context) -> Incarnation {
@@ -206,8 +206,12 @@
     Compat::new(serve_calls.or(closed)).await;
 }
 
-type ControlTransport<Item, SinkItem> =
-    tarpc::serde_transport::Transport<Compat<Metered>, Item, SinkItem, Bincode<Item, SinkItem>>;
+type ControlTransport<Item, SinkItem> = tarpc::serde_transport::Transport<
+    Compat<MeteredStream>,
+    Item,
+    SinkItem,
+    Bincode<Item, SinkItem>,
+>;
 
 pub(crate) fn transport<Item, SinkItem>(
     node: &Arc<Node>,
@@ -220,7 +224,7 @@
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
-    let metered = Metered {
+    let metered = MeteredStream {
         node: Arc::clone(node),
         stream,
     };
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -13,7 +13,7 @@
     node::{Node, lock},
 };
 use smol::Timer;
-use sorrelturn_fleet::{Digest, PUSH_FAN_OUT, Source, push_targets};
+use sorrelturn_fleet::{ExchangeRequest, PUSH_FAN_OUT, Source, sample_peers};
 use sorrelturn_policy::LeavingCause;
 use sorrelturn_protocol::{CrashUpdate, MemberRecord, MemberState};
 use std::{collections::VecDeque, sync::Arc, time::Duration};
@@ -49,8 +49,8 @@
 }
 
 /// Records that another daemon chose this one as a neighbour, so that updates are also pushed to it.
-pub(crate) fn record_visitor(node: &Node, instance: &str) {
-    let mut visitors = lock(&node.visitors);
+pub(crate) fn record_inbound_peer(node: &Node, instance: &str) {
+    let mut visitors = lock(&node.inbound_peers);
     if visitors.len() < MAX_VISITORS || visitors.contains_key(instance) {
         visitors.insert(instance.to_owned(), node.now());
     }
@@ -89,7 +89,7 @@
 fn push_recipients(node: &Node) -> Vec<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
     refill_neighbours(node, &mut neighbours);
-    let mut visitors = lock(&node.visitors);
+    let mut visitors = lock(&node.inbound_peers);
     visitors.retain(|_, last_seen| node.now().saturating_sub(*last_seen) < VISITOR_TIMEOUT);
     let membership = lock(&node.membership);
     neighbours
@@ -181,7 +181,7 @@
     let own = node.own_record.load();
     let membership = lock(&node.membership);
     let mut rng = fastrand::Rng::new();
-    let fresh = push_targets(membership.present(), &own, 2 * NEIGHBOUR_COUNT, &mut rng);
+    let fresh = sample_peers(membership.present(), &own, 2 * NEIGHBOUR_COUNT, &mut rng);
     for record in fresh {
         if neighbours.len() < NEIGHBOUR_COUNT && !neighbours.contains(&record.instance) {
             neighbours.push_back(record.instance.clone());
@@ -193,10 +193,10 @@
 pub(crate) async fn exchange(node: &Arc<Node>, peer: &MemberRecord) -> Result<(), ControlError> {
     let sent = node.now();
     let own = lock(&node.membership).digest();
-    let digest = Digest {
+    let digest = ExchangeRequest {
         from: (**node.own_record.load()).clone(),
-        version: lock(&node.spread).in_force(),
-        members: own.total(),
+        version: lock(&node.bundle_tracker).in_force(),
+        members: own.checksum(),
         crashes: node.suspected_requests.checksum(node.now()),
     };
     let reply = control::call(node, peer, |client, cx| async move {
@@ -234,7 +234,7 @@
         })
         .collect();
     for record in &records {
-        if node.outrank_earlier_run(record) {
+        if node.outrank_earlier_incarnation(record) {
             push_own_record(node);
         }
     }
--- a/crates/sorrelturn-daemon/src/fleet/routes.rs
+++ b/crates/sorrelturn-daemon/src/fleet/instance_table.rs
@@ -11,7 +11,7 @@
 };
 
 /// An instance with its statistics and connections.
-pub(crate) struct Route {
+pub(crate) struct KnownInstance {
     /// Member record published by the instance.
     pub(crate) record: MemberRecord,
     /// Load and failures observed by this daemon.
@@ -24,14 +24,14 @@
 
 /// Snapshot of all instances.
 #[derive(Default)]
-pub(crate) struct Routes {
-    by_service: HashMap<String, Vec<Arc<Route>>>,
-    by_incarnation: HashMap<Incarnation, Arc<Route>>,
+pub(crate) struct InstanceTable {
+    by_service: HashMap<String, Vec<Arc<KnownInstance>>>,
+    by_incarnation: HashMap<Incarnation, Arc<KnownInstance>>,
     /// All services that have or had members.
     services: BTreeSet<String>,
 }
 
-impl Routes {
+impl InstanceTable {
     /// Number of services, including those without present instances.
     ///
     /// The detection of request origins relies on a number that doesn't fall during a restart or an outage.
@@ -40,14 +40,14 @@
     }
 
     /// Live instances of a service.
-    pub(crate) fn of_service(&self, service: &str) -> &[Arc<Route>] {
+    pub(crate) fn live_of_service(&self, service: &str) -> &[Arc<KnownInstance>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
     /// Fraction of all live instances that belong to a service, or 1 if the service has none.
-    pub(crate) fn share_of(&self, service: &str) -> f64 {
+    pub(crate) fn instance_fraction(&self, service: &str) -> f64 {
         let all: usize = self.by_service.values().map(Vec::len).sum();
-        let own = self.of_service(service).len();
+        let own = self.live_of_service(service).len();
         if own == 0 {
             return 1.0;
         }
@@ -55,7 +55,7 @@
     }
 
     /// Instance with the given incarnation, whether or not it accepts new calls.
-    pub(crate) fn of_incarnation(&self, incarnation: Incarnation) -> Option<&Arc<Route>> {
+    pub(crate) fn by_incarnation(&self, incarnation: Incarnation) -> Option<&Arc<KnownInstance>> {
         self.by_incarnation.get(&incarnation)
     }
 
@@ -87,7 +87,7 @@
                         Duration::ZERO
                     };
                     let is_near = record.failure_domain == own_domain;
-                    Arc::new(Route {
+                    Arc::new(KnownInstance {
                         stats: Instance::new(record.incarnation, is_near, warm_up, clock.now()),
                         link: PeerLink::new(record.peer_addr, clock),
                         is_incarnation_queried: AtomicBool::new(false),
--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -8,7 +8,7 @@
     store::{self, member_record, outcomes},
 };
 use smol::Timer;
-use sorrelturn_fleet::{Source, push_targets};
+use sorrelturn_fleet::{Source, sample_peers};
 use sorrelturn_platform::keys;
 use sorrelturn_protocol::{Incarnation, MemberRecord, MemberState};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -32,7 +32,7 @@
             .iter()
             .all(|record| record.instance != node.settings.instance);
         for record in &records {
-            node.outrank_earlier_run(record);
+            node.outrank_earlier_incarnation(record);
             if record.instance == node.settings.instance {
                 state::restore_leaving_state(node, record.backend.as_ref());
             }
@@ -73,7 +73,7 @@
             let own = node.own_record.load();
             let membership = lock(&node.membership);
             let mut rng = fastrand::Rng::new();
-            let targets = push_targets(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
+            let targets = sample_peers(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
             targets.into_iter().cloned().collect()
         };
         for peer in &peers {
--- a/crates/sorrelturn-daemon/src/fleet/metered.rs
+++ b/crates/sorrelturn-daemon/src/fleet/metered.rs
@@ -10,12 +10,12 @@
 };
 
 /// Stream that adds the bytes read and written to the node's counter of control traffic.
-pub(crate) struct Metered {
+pub(crate) struct MeteredStream {
     pub(crate) node: Arc<Node>,
     pub(crate) stream: BoxStream,
 }
 
-impl Metered {
+impl MeteredStream {
     fn count(&self, polled: &Poll<Result<usize>>) {
         if let Poll::Ready(Ok(len)) = polled {
             let counter = &self.node.counts.control_bytes;
@@ -24,7 +24,7 @@
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -36,7 +36,7 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
+++ b/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     fleet::gossip,
-    fleet::routes::Route,
+    fleet::instance_table::KnownInstance,
     node::{Node, lock},
 };
 use smol::Timer;
-use sorrelturn_fleet::successors;
+use sorrelturn_fleet::searchers_for;
 use sorrelturn_protocol::{MemberRecord, MemberState};
 use sorrelturn_telemetry::{Field, events};
 use std::{
@@ -26,7 +26,7 @@
 const DELAY_FACTOR: f64 = 1.5;
 const MAX_PROBES: u32 = 6;
 
-/// Starts searching for the next incarnation of a member that is gone, if this daemon is one of its successors.
+/// Starts searching for the next incarnation of a member that is gone, if this daemon is one of its searchers_for.
 pub(crate) fn start_search(node: &Arc<Node>, gone: &MemberRecord) {
     if !is_successor(node, &gone.instance) {
         return;
@@ -40,7 +40,7 @@
     let membership = lock(&node.membership);
     let own = node.own_record.load();
     let others = membership.present();
-    successors(others, &own, instance, SEARCHER_COUNT).contains(&node.settings.instance.as_str())
+    searchers_for(others, &own, instance, SEARCHER_COUNT).contains(&node.settings.instance.as_str())
 }
 
 async fn search(node: &Arc<Node>, gone: &MemberRecord) {
@@ -68,7 +68,7 @@
 }
 
 /// Runs an exchange with an instance that answered with another incarnation than expected.
-pub(crate) fn query_new_incarnation(node: &Arc<Node>, route: &Arc<Route>) {
+pub(crate) fn query_new_incarnation(node: &Arc<Node>, route: &Arc<KnownInstance>) {
     // Many concurrent calls may see the new incarnation; only the first one queries it.
     if route.is_incarnation_queried.swap(true, Ordering::Relaxed) {
         return;
--- a/crates/sorrelturn-daemon/src/fleet/reports.rs
+++ b/crates/sorrelturn-daemon/src/fleet/reports.rs
@@ -15,8 +15,8 @@
 pub(crate) async fn run_reports(node: Arc<Node>) {
     loop {
         let jitter = 0.75 + fastrand::f64() / 2.0;
-        let elapsed = node.counts.reported.elapsed_since(node.now());
-        if elapsed >= report_interval(node.domain_members()) {
+        let elapsed = node.counts.last_report.elapsed_since(node.now());
+        if elapsed >= report_interval(node.domain_member_count()) {
             report(&node).await;
         }
         Timer::after(CHECK_INTERVAL.mul_f64(jitter)).await;
@@ -37,14 +37,14 @@
     let report = Report {
         instance: node.settings.instance.clone(),
         state: node.own_record.load().state,
-        version: lock(&node.spread).in_force(),
+        version: lock(&node.bundle_tracker).in_force(),
         trouble: None,
     };
-    node.counts.reported.set(node.now());
+    node.counts.last_report.set(node.now());
     for watcher in watchers(node) {
         let report = report.clone();
         if watcher.instance == node.settings.instance {
-            lock(&node.view).report(node.now(), report);
+            lock(&node.domain_view).record_report(node.now(), report);
             continue;
         }
         let _ = control::call(node, &watcher, |client, cx| async move {
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -376,10 +376,10 @@
         Timer::after(STATUS_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let domain = &node.settings.failure_domain;
         let instance = &node.settings.instance;
-        let timeout = silence_timeout(node.domain_members());
+        let timeout = silence_timeout(node.domain_member_count());
         let status = {
             let membership = lock(&node.membership);
-            let mut view = lock(&node.view);
+            let mut view = lock(&node.domain_view);
             view.retain_members(|instance| {
                 membership
                     .get(instance)
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -10,8 +10,8 @@
     config::settings::Settings,
     ending::Ending,
     fleet::control_client::ControlLinks,
+    fleet::instance_table::InstanceTable,
     fleet::quota::Quota,
-    fleet::routes::Routes,
     fleet::suspects::SuspectedRequests,
     net::connections::Connections,
     net::stream::FleetKeys,
@@ -73,17 +73,17 @@
     pub(crate) route_staleness: RouteStaleness,
     /// Quotas of workspaces.
     pub(crate) quota: Quota,
-    pub(crate) routes: ArcSwap<Routes>,
+    pub(crate) instances: ArcSwap<InstanceTable>,
     pub(crate) ledger: Mutex<Ledger>,
     /// The attempts of other daemons here.
     pub(crate) attempts: Mutex<AttemptRegister>,
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
-    pub(crate) spread: Mutex<BundleTracker>,
-    pub(crate) view: Mutex<DomainView>,
+    pub(crate) bundle_tracker: Mutex<BundleTracker>,
+    pub(crate) domain_view: Mutex<DomainView>,
     pub(crate) control_links: ControlLinks,
     pub(crate) neighbours: Mutex<VecDeque<String>>,
-    pub(crate) visitors: Mutex<HashMap<String, Now>>,
+    pub(crate) inbound_peers: Mutex<HashMap<String, Now>>,
     pub(crate) leaving: Mutex<Leaving>,
     pub(crate) ending: Ending,
     pub(crate) own_record: ArcSwap<MemberRecord>,
@@ -105,7 +105,7 @@
     /// Whether the backend server could not be reached last.
     pub(crate) backend_lost: AtomicBool,
     /// When this daemon reported to its watchers last.
-    pub(crate) reported: LastTime,
+    pub(crate) last_report: LastTime,
     /// Whether this daemon watches the platform.
     pub(crate) watching: AtomicBool,
     /// Bytes sent and received for control, for the budget of 3 KB a second.
@@ -180,7 +180,7 @@
     }
 
     /// How many members the own failure domain has.
-    pub(crate) fn domain_members(&self) -> usize {
+    pub(crate) fn domain_member_count(&self) -> usize {
         let own = &self.settings.failure_domain;
         let membership = lock(&self.membership);
         let members = membership.present();
@@ -217,7 +217,7 @@
     /// Puts a bundle in force if its version is higher; returns whether it was.
     pub(crate) fn put_in_force(&self, bundle: Bundle, origin: Origin) -> bool {
         let version = bundle.version;
-        let mut spread = lock(&self.spread);
+        let mut spread = lock(&self.bundle_tracker);
         if !spread.put_in_force(version) {
             return false;
         }
@@ -301,7 +301,7 @@
     /// Somebody has a record of this instance. Returns whether the own record changed.
     fn hear_of_self(&self, record: &MemberRecord) -> bool {
         if record.incarnation != self.incarnation {
-            return self.outrank_earlier_run(record);
+            return self.outrank_earlier_incarnation(record);
         }
         let own = self.own_record.load();
         if !record.supersedes(&own) {
@@ -315,7 +315,7 @@
     /// An earlier run of this instance may look newer, if the clock was set back meanwhile. While
     /// this run is young, it puts its start behind the earlier one's; later it is the one that was
     /// replaced. Returns whether the own record changed.
-    pub(crate) fn outrank_earlier_run(&self, other: &MemberRecord) -> bool {
+    pub(crate) fn outrank_earlier_incarnation(&self, other: &MemberRecord) -> bool {
         let own = self.own_record.load();
         let is_earlier_run = other.instance == own.instance && other.incarnation != own.incarnation;
         // One that has said that it is gone has a later run, which it would outrank.
@@ -355,9 +355,9 @@
             Duration::from_millis(service.map_or(0, |service| service.cold_start_ms.into()))
         };
         let domain = &self.settings.failure_domain;
-        let before = self.routes.load();
+        let before = self.instances.load();
         let routes = before.rebuild(membership, domain, self.clock, cold_start);
-        self.routes.store(Arc::new(routes));
+        self.instances.store(Arc::new(routes));
     }
 
     /// Changes the own record's state; peers hear of it from the gossip task.
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -61,7 +61,7 @@
         .with_gate(|gate, now| (gate.in_flight(), gate.queued(), gate.steady_limit(now)));
     StatusReport {
         record: (**node.own_record.load()).clone(),
-        bundle_version: lock(&node.spread).in_force(),
+        bundle_version: lock(&node.bundle_tracker).in_force(),
         in_flight,
         waiting,
         limit,
--- a/crates/sorrelturn-daemon/src/operators/export.rs
+++ b/crates/sorrelturn-daemon/src/operators/export.rs
@@ -141,7 +141,7 @@
         .with_gate(|gate, now| (gate.in_flight(), gate.queued(), gate.steady_limit(now)));
     let members = lock(&node.membership).present().count();
     let tokens = lock(&node.ledger).unexpired_count();
-    let version = lock(&node.spread).in_force();
+    let version = lock(&node.bundle_tracker).in_force();
     for (metric, value) in [
         (&metrics::IN_FLIGHT, u64::from(in_flight)),
         (&metrics::WAITING, waiting as u64),
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -1,8 +1,8 @@
 //! One exchange with one instance, and the consequences of its failure.
 
 use crate::{
+    fleet::instance_table::KnownInstance,
     fleet::peers::{PeerLease, Runtime, SentAttempt},
-    fleet::routes::Route,
     net::pool::SendError,
     node::Node,
     request::answer::Reply,
@@ -63,7 +63,7 @@
 /// incarnation of the daemon sends its last answers.
 pub(crate) async fn exchange(
     node: &Arc<Node>,
-    route: &Route,
+    route: &KnownInstance,
     call: &Call,
     mut req: Request<Body>,
 ) -> Result<Reply, Failure> {
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -5,8 +5,8 @@
     config::fetch,
     config::in_force::{InForce, KindState},
     config::route_staleness,
+    fleet::instance_table::KnownInstance,
     fleet::next_incarnation,
-    fleet::routes::Route,
     node::{Node, lock},
     operators::export,
     request::answer::Reply,
@@ -218,7 +218,7 @@
 /// Counts a call as in flight at its instance. Dropping it before `finish` reports the call as cancelled.
 struct InFlightCall<'a> {
     node: &'a Node,
-    route: &'a Route,
+    route: &'a KnownInstance,
     kind_state: &'a KindState,
     request: RequestId,
     /// The time at which half of the call's time is over.
@@ -227,7 +227,12 @@
 }
 
 impl<'a> InFlightCall<'a> {
-    fn start(node: &'a Node, route: &'a Route, call: &Call, kind_state: &'a KindState) -> Self {
+    fn start(
+        node: &'a Node,
+        route: &'a KnownInstance,
+        call: &Call,
+        kind_state: &'a KindState,
+    ) -> Self {
         route.stats.started();
         let now = node.now();
         Self {
@@ -270,12 +275,12 @@
 ///
 /// A call with a token goes to the owner of the token only, any other call to the better of two
 /// instances.
-fn pick_route(node: &Node, call: &Call, progress: &CallProgress) -> Option<Arc<Route>> {
-    let routes = node.routes.load();
+fn pick_route(node: &Node, call: &Call, progress: &CallProgress) -> Option<Arc<KnownInstance>> {
+    let routes = node.instances.load();
     if let Some(token) = call.context.token {
-        return routes.of_incarnation(token.owner).cloned();
+        return routes.by_incarnation(token.owner).cloned();
     }
-    let instances = routes.of_service(&call.kind.service);
+    let instances = routes.live_of_service(&call.kind.service);
     let stats = instances.iter().map(|route| &route.stats);
     let mut rng = fastrand::Rng::new();
     let now = node.now();
@@ -327,7 +332,7 @@
 fn record_answer_context(
     node: &Arc<Node>,
     call: &Call,
-    route: &Arc<Route>,
+    route: &Arc<KnownInstance>,
     kind_state: &KindState,
     sent: Now,
     answer: &AnswerContext,
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -81,13 +81,13 @@
         let Some(routed) = &self.node.routed else {
             return false;
         };
-        let routes = self.node.routes.load();
+        let routes = self.node.instances.load();
         let now = self.node.now();
         let graph = lock(&routed.graph);
         graph.required_calls(&self.kind.name).any(|call| {
             let kind = self.in_force.bundle.kind(call);
             let state = self.in_force.kind_state_by_name(call);
-            kind.is_some_and(|kind| routes.of_service(&kind.service).is_empty())
+            kind.is_some_and(|kind| routes.live_of_service(&kind.service).is_empty())
                 || state.is_some_and(|state| state.had_no_instance_below_recently(now))
         })
     }
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -107,8 +107,8 @@
 
 /// Whether requests of a kind are calls from backend servers.
 fn is_call(node: &Node, routed: &Routed, kind: &str) -> bool {
-    let routes = node.routes.load();
-    let share_of = |service: &str| routes.share_of(service);
+    let routes = node.instances.load();
+    let share_of = |service: &str| routes.instance_fraction(service);
     lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -11,10 +11,10 @@
     ending::Ending,
     fleet::control_client::ControlLinks,
     fleet::gossip,
+    fleet::instance_table::InstanceTable,
     fleet::join,
     fleet::quota::{self, Quota},
     fleet::reports,
-    fleet::routes::Routes,
     fleet::suspects::SuspectedRequests,
     fleet::watch,
     net::connections::Connections,
@@ -173,7 +173,7 @@
         let spawn = |task: smol::future::Boxed<()>| node.ex.spawn(task).detach();
         spawn(Box::pin(join::find_bundle(Arc::clone(node))));
         spawn(Box::pin(gossip::run_exchanges(Arc::clone(node))));
-        spawn(Box::pin(quarantine::read(Arc::clone(node))));
+        spawn(Box::pin(quarantine::load(Arc::clone(node))));
         if node.routed.is_some() {
             spawn(Box::pin(announce::find_backend(Arc::clone(node))));
             spawn(Box::pin(quota::run(Arc::clone(node))));
@@ -274,8 +274,8 @@
 
 /// Whether no other instance of the own service is known to take calls.
 fn is_only_instance(node: &Node) -> bool {
-    let routes = node.routes.load();
-    let instances = routes.of_service(&node.settings.service);
+    let routes = node.instances.load();
+    let instances = routes.live_of_service(&node.settings.service);
     instances
         .iter()
         .all(|route| route.record.incarnation == node.incarnation)
@@ -352,16 +352,16 @@
             quota_terms.unwrap_or_default(),
             clock.now(),
         ),
-        routes: ArcSwap::from_pointee(Routes::default()),
+        instances: ArcSwap::from_pointee(InstanceTable::default()),
         ledger: Mutex::new(Ledger::new(incarnation, ledger, seal_key)),
         attempts: Mutex::default(),
         segment_versions: AsyncMutex::default(),
         membership: Mutex::new(Membership::default()),
-        spread: Mutex::new(BundleTracker::default()),
-        view: Mutex::new(DomainView::default()),
+        bundle_tracker: Mutex::new(BundleTracker::default()),
+        domain_view: Mutex::new(DomainView::default()),
         control_links: ControlLinks::default(),
         neighbours: Mutex::default(),
-        visitors: Mutex::default(),
+        inbound_peers: Mutex::default(),
         leaving: Mutex::new(Leaving::default()),
         ending,
         own_record: ArcSwap::from_pointee(record),
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -42,7 +42,7 @@
 }
 
 /// Loads the evidence saved by earlier incarnations, with retries until the store responds.
-pub(crate) async fn read(node: Arc<Node>) {
+pub(crate) async fn load(node: Arc<Node>) {
     let mut delay = INITIAL_RETRY_DELAY;
     let objects = loop {
         match node.platform.list(keys::QUARANTINE).await {
--- a/crates/sorrelturn-fleet/src/bundle_tracker.rs
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -90,7 +90,7 @@
 
 /// Chooses the peers to which an update is pushed: half in the daemon's own failure domain and half in others, so
 /// that an update reaches all failure domains quickly and then spreads within each.
-pub fn push_targets<'a>(
+pub fn sample_peers<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &MemberRecord,
     count: usize,
--- a/crates/sorrelturn-fleet/src/lib.rs
+++ b/crates/sorrelturn-fleet/src/lib.rs
@@ -7,10 +7,10 @@
 mod status;
 mod vm_list;
 
-pub use bundle_tracker::{BundleTracker, Fetch, PUSH_FAN_OUT, Source, push_targets};
+pub use bundle_tracker::{BundleTracker, Fetch, PUSH_FAN_OUT, Source, sample_peers};
 pub use membership::{Membership, MembershipDigest, bucket_of};
-pub use messages::{Digest, DigestReply, Report};
-pub use rank::{STANDBY_WATCHER_COUNT, WATCHER_COUNT, predecessors, ranked, successors};
+pub use messages::{ExchangeReply, ExchangeRequest, Report};
+pub use rank::{STANDBY_WATCHER_COUNT, WATCHER_COUNT, predecessors, ranked, searchers_for};
 pub use status::{DomainStatus, DomainView, MemberStatus, report_interval, silence_timeout};
 pub use vm_list::{VmListDiff, diff_vm_list};
 
--- a/crates/sorrelturn-fleet/src/messages.rs
+++ b/crates/sorrelturn-fleet/src/messages.rs
@@ -6,7 +6,7 @@
 
 /// The request of a periodic exchange between two daemons.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Digest {
+pub struct ExchangeRequest {
     /// The sender's own record.
     pub from: MemberRecord,
     /// The sender's bundle version in force.
@@ -17,9 +17,9 @@
     pub crashes: u64,
 }
 
-/// The reply to a [`Digest`]. If all checksums are equal, the exchange ends here.
+/// The reply to a [`ExchangeRequest`]. If all checksums are equal, the exchange ends here.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DigestReply {
+pub struct ExchangeReply {
     /// The receiver's bundle version in force.
     pub version: u64,
     /// The staleness of the receiver's configuration: the age of its last confirmation that no higher bundle version
@@ -33,7 +33,7 @@
 
 impl MembershipDigest {
     /// Returns one checksum over all buckets.
-    pub fn total(&self) -> u64 {
+    pub fn checksum(&self) -> u64 {
         self.buckets
             .iter()
             .enumerate()
--- a/crates/sorrelturn-fleet/src/rank.rs
+++ b/crates/sorrelturn-fleet/src/rank.rs
@@ -47,7 +47,7 @@
 /// Returns the names of the members that take care of an instance that has gone: those that follow it
 /// in the cyclic order of names. Daemons that know the same members choose the same successors, and
 /// the load is distributed because each instance has different ones.
-pub fn successors<'a>(
+pub fn searchers_for<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &'a MemberRecord,
     gone: &str,
--- a/crates/sorrelturn-fleet/src/status.rs
+++ b/crates/sorrelturn-fleet/src/status.rs
@@ -11,13 +11,13 @@
 /// The minimum interval between periodic reports of a daemon whose state is unchanged.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(20);
 /// Limits the periodic reports that a watcher receives; in a large failure domain each member reports less often.
-const MAX_IDLE_REPORTS_PER_SECOND: f64 = 2.0;
+const MAX_PERIODIC_REPORTS_PER_SECOND: f64 = 2.0;
 /// A member without a report for this many report intervals counts as silent.
 const SILENCE_TIMEOUT_INTERVALS: u32 = 3;
 
 /// Returns the interval between periodic reports of a daemon in a failure domain with `members` members.
 pub fn report_interval(members: usize) -> Duration {
-    let rate_limited = Duration::from_secs_f64(members as f64 / MAX_IDLE_REPORTS_PER_SECOND);
+    let rate_limited = Duration::from_secs_f64(members as f64 / MAX_PERIODIC_REPORTS_PER_SECOND);
     MIN_REPORT_INTERVAL.max(rate_limited)
 }
 
@@ -66,7 +66,7 @@
 
 impl DomainView {
     /// Stores a report, or forgets a member that reports that it has gone.
-    pub fn report(&mut self, now: Now, report: Report) {
+    pub fn record_report(&mut self, now: Now, report: Report) {
         if report.state == MemberState::Gone {
             self.reports.remove(&report.instance);
         } else {
--- a/crates/sorrelturn-fleet/tests/membership.rs
+++ b/crates/sorrelturn-fleet/tests/membership.rs
@@ -101,7 +101,7 @@
     let own = live(0);
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..100 {
-        let targets = push_targets(known.present(), &own, PUSH_FAN_OUT, &mut rng);
+        let targets = sample_peers(known.present(), &own, PUSH_FAN_OUT, &mut rng);
         let near = targets
             .iter()
             .filter(|t| t.failure_domain == own.failure_domain)
@@ -152,7 +152,7 @@
         rounds += 1;
         let mut next = Vec::new();
         for sender in newly_reached {
-            for target in push_targets(records.iter(), &records[sender], PUSH_FAN_OUT, &mut rng) {
+            for target in sample_peers(records.iter(), &records[sender], PUSH_FAN_OUT, &mut rng) {
                 let target = index_of(target).expect("a member");
                 if target >= cut_off && !knows[target] {
                     knows[target] = true;
@@ -223,7 +223,7 @@
     let names = |own: u64, gone: &str| {
         let others = known.present().filter(|r| r.instance != format!("i{own}"));
         let own = live(own);
-        let names = successors(others, &own, gone, 3);
+        let names = searchers_for(others, &own, gone, 3);
         names.into_iter().map(str::to_owned).collect::<Vec<_>>()
     };
     for own in 0..8 {
@@ -237,5 +237,5 @@
 #[test]
 fn in_a_fleet_of_two_the_other_member_is_the_only_successor() {
     let own = live(1);
-    assert_eq!(successors([].into_iter(), &own, "i0", 3), ["i1"]);
+    assert_eq!(searchers_for([].into_iter(), &own, "i0", 3), ["i1"]);
 }
--- a/crates/sorrelturn-fleet/tests/status.rs
+++ b/crates/sorrelturn-fleet/tests/status.rs
@@ -31,8 +31,8 @@
         let mut view = DomainView::default();
         // A daemon checks every few seconds whether a report is due.
         let late = report_interval(members) + Duration::from_secs(7);
-        view.report(Duration::ZERO, report("a", 2));
-        view.report(late, report("b", 1));
+        view.record_report(Duration::ZERO, report("a", 2));
+        view.record_report(late, report("b", 1));
         let silence = silence_timeout(members);
         let status = |now| view.status(now, silence, "d", "w", 0);
         assert_eq!(status(late).silent, 0);
