--- a/crates/sorrelturn-fleet/src/bundle_tracker.rs
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -5,7 +5,7 @@
 use sorrelturn_protocol::MemberRecord;
 use std::time::Duration;
 
-/// The number of peers to which each daemon pushes an update.
+/// The number of neighbours to which each daemon pushes an update, not counting peers that recently contacted it.
 pub const PUSH_FAN_OUT: usize = 5;
 /// After this time a new fetch may replace an unfinished one.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
@@ -88,8 +88,8 @@
     }
 }
 
-/// Chooses the peers to which an update is pushed: half in the daemon's own failure domain and half in others, so
-/// that an update reaches all failure domains quickly and then spreads within each.
+/// Chooses random peers: half in the daemon's own failure domain and half in others, so that an update pushed to them
+/// reaches all failure domains quickly and then spreads within each. If one half lacks members, the other is larger.
 pub fn sample_peers<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &MemberRecord,
--- a/crates/sorrelturn-fleet/src/membership.rs
+++ b/crates/sorrelturn-fleet/src/membership.rs
@@ -1,6 +1,7 @@
 //! The membership table, one daemon's view of the fleet. See `docs/design/membership.md`.
 //!
-//! Each daemon writes only its own record, so records never conflict: the newer one wins.
+//! Each daemon writes its own record; a watcher may mark another daemon's record as gone. Of two records of an
+//! instance, the newer one wins, see [`MemberRecord::supersedes`].
 
 use crate::Now;
 use sorrelturn_protocol::{MemberRecord, MemberState};
--- a/crates/sorrelturn-fleet/src/messages.rs
+++ b/crates/sorrelturn-fleet/src/messages.rs
@@ -17,7 +17,7 @@
     pub crashes: u64,
 }
 
-/// The reply to a [`ExchangeRequest`]. If all checksums are equal, the exchange ends here.
+/// The reply to an [`ExchangeRequest`]. If all checksums are equal, the exchange ends here.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExchangeReply {
     /// The receiver's bundle version in force.
--- a/crates/sorrelturn-fleet/src/rank.rs
+++ b/crates/sorrelturn-fleet/src/rank.rs
@@ -44,9 +44,9 @@
     u64::from_be_bytes(weight)
 }
 
-/// Returns the names of the members that take care of an instance that has gone: those that follow it
-/// in the cyclic order of names. Daemons that know the same members choose the same successors, and
-/// the load is distributed because each instance has different ones.
+/// Returns the names of the members that search for the next incarnation of an instance that has gone: those that
+/// follow it in the cyclic order of names. Daemons that know the same members choose the same searchers, and the load
+/// is distributed because each instance has different ones.
 pub fn searchers_for<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &'a MemberRecord,
--- a/crates/sorrelturn-fleet/src/status.rs
+++ b/crates/sorrelturn-fleet/src/status.rs
@@ -35,7 +35,7 @@
     pub version: u64,
     /// The time since its last report, in milliseconds.
     pub heard_ms: u64,
-    /// The reason that it reported, if any.
+    /// The reported reason why its bundle version is outdated, if any.
     pub trouble: Option<String>,
 }
 
--- a/crates/sorrelturn-fleet/tests/membership.rs
+++ b/crates/sorrelturn-fleet/tests/membership.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn with_the_first_watchers_gone_the_next_in_rank_stand_in() {
+fn the_next_ranked_members_replace_watchers_that_are_gone() {
     let known = membership((0..20).map(live));
     let ranked_before: Vec<String> = ranked(known.present(), "d0")
         .iter()
@@ -68,9 +68,9 @@
     let known = membership((0..40).map(live));
     let ranked = ranked(known.present(), "d0");
     for (position, record) in ranked.iter().enumerate() {
-        let before = predecessors(&ranked, &record.instance).map(<[_]>::len);
-        let stands_by = position < WATCHER_COUNT + STANDBY_WATCHER_COUNT;
-        assert_eq!(before, stands_by.then_some(position));
+        let predecessor_count = predecessors(&ranked, &record.instance).map(<[_]>::len);
+        let is_watcher_or_standby = position < WATCHER_COUNT + STANDBY_WATCHER_COUNT;
+        assert_eq!(predecessor_count, is_watcher_or_standby.then_some(position));
     }
 }
 
@@ -102,12 +102,15 @@
     let mut rng = fastrand::Rng::with_seed(1);
     for _ in 0..100 {
         let targets = sample_peers(known.present(), &own, PUSH_FAN_OUT, &mut rng);
-        let near = targets
+        let same_domain_count = targets
             .iter()
             .filter(|t| t.failure_domain == own.failure_domain)
             .count();
         assert_eq!(targets.len(), PUSH_FAN_OUT);
-        assert!((2..PUSH_FAN_OUT).contains(&near), "{near}");
+        assert!(
+            (2..PUSH_FAN_OUT).contains(&same_domain_count),
+            "{same_domain_count}"
+        );
         assert!(targets.iter().all(|target| target.instance != own.instance));
     }
 }
@@ -196,8 +199,8 @@
         }
         prop_assert_eq!(one.digest(), other.digest());
         prop_assert_eq!(one.digest().differing(&other.digest()), Vec::<u8>::new());
-        let names = |m: &Membership| m.all().cloned().collect::<Vec<_>>();
-        prop_assert_eq!(names(&one), names(&other));
+        let all_records = |m: &Membership| m.all().cloned().collect::<Vec<_>>();
+        prop_assert_eq!(all_records(&one), all_records(&other));
     }
 
     #[test]
@@ -218,24 +221,24 @@
 }
 
 #[test]
-fn the_same_few_look_for_the_next_run_of_an_instance_whoever_works_it_out() {
+fn all_members_choose_the_same_searchers() {
     let known = membership((0..8).map(live));
-    let names = |own: u64, gone: &str| {
+    let searchers = |own: u64, gone: &str| {
         let others = known.present().filter(|r| r.instance != format!("i{own}"));
         let own = live(own);
         let names = searchers_for(others, &own, gone, 3);
         names.into_iter().map(str::to_owned).collect::<Vec<_>>()
     };
     for own in 0..8 {
-        assert_eq!(names(own, "i2"), ["i3", "i4", "i5"]);
-        assert_eq!(names(own, "i6"), ["i7", "i0", "i1"]);
-        // An instance that was never a member has successors, too.
-        assert_eq!(names(own, "i55"), ["i6", "i7", "i0"]);
+        assert_eq!(searchers(own, "i2"), ["i3", "i4", "i5"]);
+        assert_eq!(searchers(own, "i6"), ["i7", "i0", "i1"]);
+        // An instance that was never a member has searchers, too.
+        assert_eq!(searchers(own, "i55"), ["i6", "i7", "i0"]);
     }
 }
 
 #[test]
-fn in_a_fleet_of_two_the_other_member_is_the_only_successor() {
+fn in_a_fleet_of_two_the_other_member_is_the_only_searcher() {
     let own = live(1);
     assert_eq!(searchers_for([].into_iter(), &own, "i0", 3), ["i1"]);
 }
