--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -26,7 +26,7 @@
         let records: Vec<MemberRecord> = changes
             .objects
             .iter()
-            .filter_map(|object| member_record::read(node, object))
+            .filter_map(|object| member_record::parse(node, object))
             .collect();
         is_new = records
             .iter()
@@ -73,8 +73,8 @@
             let own = node.own_record.load();
             let membership = lock(&node.membership);
             let mut rng = fastrand::Rng::new();
-            let targets = sample_peers(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
-            targets.into_iter().cloned().collect()
+            let sampled = sample_peers(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
+            sampled.into_iter().cloned().collect()
         };
         for peer in &peers {
             let _ = fetch::fetch_from_member(&node, Some(peer)).await;
--- a/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
+++ b/crates/sorrelturn-daemon/src/fleet/next_incarnation.rs
@@ -1,9 +1,9 @@
 //! Discovery of the next incarnation of a daemon that has stopped. See `docs/design/membership.md`.
 //!
 //! A starting daemon discovers the others through the platform's store. During an outage of the store it knows no
-//! members, and no member contacts it after its previous incarnation announced that it is gone. Therefore a few
-//! daemons that received this announcement probe its address for a while. A daemon that finds a new incarnation at a
-//! known address runs an exchange with it.
+//! members, and no member contacts it after its previous incarnation was announced as gone. Therefore a few daemons
+//! that received this announcement, the searchers, probe its address for a while. A daemon that finds a new incarnation
+//! at a known address runs an exchange with it.
 
 use crate::{
     fleet::gossip,
@@ -19,16 +19,16 @@
     time::Duration,
 };
 
-/// Several daemons search, since one of them may be unreachable or stop itself.
+/// Several daemons search, since one of them may be unreachable or may stop as well.
 const SEARCHER_COUNT: usize = 3;
 /// Delay before the first probe, about the time of a process restart.
-const INITIAL_DELAY: Duration = Duration::from_millis(700);
-const DELAY_FACTOR: f64 = 1.5;
+const INITIAL_PROBE_DELAY: Duration = Duration::from_millis(700);
+const PROBE_DELAY_FACTOR: f64 = 1.5;
 const MAX_PROBES: u32 = 6;
 
-/// Starts searching for the next incarnation of a member that is gone, if this daemon is one of its searchers_for.
+/// Starts searching for the next incarnation of a member that is gone, if this daemon is one of its searchers.
 pub(crate) fn start_search(node: &Arc<Node>, gone: &MemberRecord) {
-    if !is_successor(node, &gone.instance) {
+    if !is_searcher(node, &gone.instance) {
         return;
     }
     let (node, gone) = (Arc::clone(node), gone.clone());
@@ -36,7 +36,7 @@
     ex.spawn(async move { search(&node, &gone).await }).detach();
 }
 
-fn is_successor(node: &Node, instance: &str) -> bool {
+fn is_searcher(node: &Node, instance: &str) -> bool {
     let membership = lock(&node.membership);
     let own = node.own_record.load();
     let others = membership.present();
@@ -44,10 +44,10 @@
 }
 
 async fn search(node: &Arc<Node>, gone: &MemberRecord) {
-    let mut delay = INITIAL_DELAY;
+    let mut delay = INITIAL_PROBE_DELAY;
     for _ in 0..MAX_PROBES {
         Timer::after(delay).await;
-        delay = delay.mul_f64(DELAY_FACTOR);
+        delay = delay.mul_f64(PROBE_DELAY_FACTOR);
         if !is_still_gone(node, gone) {
             return;
         }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Whether no update about the member arrived since it was declared gone.
+/// Returns whether no update about the member arrived since it was declared gone.
 fn is_still_gone(node: &Node, gone: &MemberRecord) -> bool {
     let membership = lock(&node.membership);
     membership.get(&gone.instance).is_some_and(|known| {
@@ -68,18 +68,23 @@
 }
 
 /// Runs an exchange with an instance that answered with another incarnation than expected.
-pub(crate) fn query_new_incarnation(node: &Arc<Node>, route: &Arc<KnownInstance>) {
+pub(crate) fn query_new_incarnation(node: &Arc<Node>, instance: &Arc<KnownInstance>) {
     // Many concurrent calls may see the new incarnation; only the first one queries it.
-    if route.is_incarnation_queried.swap(true, Ordering::Relaxed) {
+    if instance
+        .is_incarnation_queried
+        .swap(true, Ordering::Relaxed)
+    {
         return;
     }
-    let (node, route) = (Arc::clone(node), Arc::clone(route));
+    let (node, instance) = (Arc::clone(node), Arc::clone(instance));
     let ex = Arc::clone(&node.ex);
     let query = async move {
-        if gossip::exchange(&node, &route.record).await.is_ok() {
-            log_found(&node, &route.record);
+        if gossip::exchange(&node, &instance.record).await.is_ok() {
+            log_found(&node, &instance.record);
         } else {
-            route.is_incarnation_queried.store(false, Ordering::Relaxed);
+            instance
+                .is_incarnation_queried
+                .store(false, Ordering::Relaxed);
         }
     };
     ex.spawn(query).detach();
--- a/crates/sorrelturn-daemon/src/fleet/watch.rs
+++ b/crates/sorrelturn-daemon/src/fleet/watch.rs
@@ -1,10 +1,13 @@
 //! Watching the platform's store and VM list on behalf of a failure domain. See `docs/design/spread.md`.
+//!
+//! A daemon with a route table runs on a platform that charges for each call and has no VM list. Its watchers
+//! therefore call the platform less often and ping the members themselves.
 
 use crate::{
     clock::unix_ms,
     config::fetch::{self, FetchError},
     config::route_staleness,
-    fleet::control_client as control,
+    fleet::control_client,
     fleet::gossip,
     node::{Node, lock},
     store::{self, member_record},
@@ -35,21 +38,21 @@
 const RANK_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Duration of one long-poll watch.
 const WATCH_DURATION: Duration = Duration::from_secs(10);
-/// Interval of direct reads, since a watch may have stalled without an error.
+/// Interval of direct reads of the VM list, which can't be watched, and of the bundle head, whose watch may have
+/// stalled without an error.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval of direct reads if calls to the platform are priced.
-const PRICED_READ_INTERVAL: Duration = Duration::from_secs(5);
-/// Duration of one long-poll watch if calls to the platform are priced.
-const PRICED_WATCH_DURATION: Duration = Duration::from_secs(30);
-/// Delay between two watches of the members if calls to the platform are priced. Batches the many updates at the start
-/// of a fleet.
-const PRICED_WATCH_DELAY: Duration = Duration::from_secs(1);
+/// Interval of direct reads of the route table, whose watch may have stalled without an error.
+const ROUTE_TABLE_READ_INTERVAL: Duration = Duration::from_secs(5);
+/// Duration of one long-poll watch with a route table.
+const ROUTE_TABLE_WATCH_DURATION: Duration = Duration::from_secs(30);
+/// Delay between two watches of the members with a route table. Batches the many updates at the start of a fleet.
+const ROUTE_TABLE_WATCH_DELAY: Duration = Duration::from_secs(1);
 const RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Interval at which one member is pinged.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between pings, each of which goes to one member.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without an answer after which a member is declared gone, longer than usual network partitions and VM pauses.
 const GONE_TIMEOUT: Duration = Duration::from_secs(15);
-const STATUS_INTERVAL: Duration = Duration::from_secs(5);
+const STATUS_WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Watches the platform whenever this daemon is one of the watchers of its failure domain.
 pub(crate) async fn run(node: Arc<Node>) {
@@ -70,19 +73,23 @@
     }
 }
 
-/// Whether fewer than [`WATCHER_COUNT`] daemons ranked before this one are alive.
+/// Returns whether fewer than [`WATCHER_COUNT`] daemons ranked before this one are alive.
 async fn should_watch(node: &Arc<Node>) -> bool {
-    let before: Option<Vec<MemberRecord>> = {
+    let higher_ranked: Option<Vec<MemberRecord>> = {
         let membership = lock(&node.membership);
         let ranked = ranked(membership.present(), &node.settings.failure_domain);
-        predecessors(&ranked, &node.settings.instance)
-            .map(|before| before.iter().map(|record| (*record).clone()).collect())
+        predecessors(&ranked, &node.settings.instance).map(|higher_ranked| {
+            higher_ranked
+                .iter()
+                .map(|record| (*record).clone())
+                .collect()
+        })
     };
-    let Some(before) = before else {
+    let Some(higher_ranked) = higher_ranked else {
         return false;
     };
     let mut alive_count = 0;
-    for record in before {
+    for record in higher_ranked {
         if alive_count == WATCHER_COUNT {
             break;
         }
@@ -92,7 +99,7 @@
 }
 
 async fn is_alive(node: &Arc<Node>, record: &MemberRecord) -> bool {
-    control::call(
+    control_client::call(
         node,
         record,
         |client, cx| async move { client.ping(cx).await },
@@ -110,11 +117,11 @@
         let _ = restart_head_tx.try_send(());
         let _ = restart_members_tx.try_send(());
     };
-    let watch_store = watch_head(node, &watched, &restart_head)
-        .or(read_head(node, &watched, restart_watches))
+    let watch_store = watch_config_head(node, &watched, &restart_head)
+        .or(read_config_head(node, &watched, restart_watches))
         .or(watch_members(node, &restart_members));
     if node.settings.routes.is_some() {
-        return watch_store.or(sweep(node)).await;
+        return watch_store.or(ping_members(node)).await;
     }
     watch_store
         .or(read_vm_list(node))
@@ -122,13 +129,13 @@
         .await;
 }
 
-/// Store revision up to which the watch of the head has reported changes.
+/// Store revision up to which the watch of the head, the object at [`config_head_key`], has reported changes.
 #[derive(Default)]
 struct WatchedRevision(AtomicU64);
 
 /// Watches a prefix indefinitely and passes changes to `on_changes`.
 ///
-/// A message on `restart` abandons the current watch, which has stalled, and starts with a new list.
+/// A message on `restart` abandons the current watch, which has probably stalled, and starts over with a list.
 async fn watch_prefix(
     node: &Arc<Node>,
     prefix: &str,
@@ -137,9 +144,9 @@
     on_changes: impl Fn(Changes),
 ) {
     let mut since = None;
-    let mut is_lost = false;
+    let mut is_unreachable = false;
     let duration = match node.settings.routes {
-        Some(_) => PRICED_WATCH_DURATION,
+        Some(_) => ROUTE_TABLE_WATCH_DURATION,
         None => WATCH_DURATION,
     };
     loop {
@@ -156,7 +163,7 @@
                     .await
             }
         };
-        log_platform_state(node, &mut is_lost, result.as_ref().err());
+        log_platform_state(node, &mut is_unreachable, result.as_ref().err());
         match result {
             Ok(changes) => {
                 since = Some(changes.revision);
@@ -176,23 +183,23 @@
     Timer::after(RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
 }
 
-fn log_platform_state(node: &Node, is_lost: &mut bool, error: Option<&PlatformError>) {
-    match (error, *is_lost) {
+fn log_platform_state(node: &Node, is_unreachable: &mut bool, error: Option<&PlatformError>) {
+    match (error, *is_unreachable) {
         (Some(error), false) => {
             node.note(&events::PLATFORM_LOST, vec![Field::new("error", error)]);
         }
         (None, true) => node.note(&events::PLATFORM_BACK, Vec::new()),
         _ => {}
     }
-    *is_lost = error.is_some();
+    *is_unreachable = error.is_some();
 }
 
-async fn watch_head(node: &Arc<Node>, watched: &WatchedRevision, restart: &Receiver<()>) {
-    let head = head_key(node).to_owned();
+async fn watch_config_head(node: &Arc<Node>, watched: &WatchedRevision, restart: &Receiver<()>) {
+    let head = config_head_key(node).to_owned();
     watch_prefix(node, &head, Duration::ZERO, restart, |changes| {
         watched.0.store(changes.revision, Ordering::Relaxed);
         for object in changes.objects {
-            receive_head(node, &object);
+            receive_config_head(node, &object);
         }
     })
     .await;
@@ -201,9 +208,9 @@
 /// Reads the head periodically and restarts all watches if it is newer than what the watch has reported.
 ///
 /// If one watch has stalled, the other watches have probably stalled too.
-async fn read_head(node: &Arc<Node>, watched: &WatchedRevision, restart_watches: impl Fn()) {
+async fn read_config_head(node: &Arc<Node>, watched: &WatchedRevision, restart_watches: impl Fn()) {
     let interval = match node.settings.routes {
-        Some(_) => PRICED_READ_INTERVAL,
+        Some(_) => ROUTE_TABLE_READ_INTERVAL,
         None => READ_INTERVAL,
     };
     loop {
@@ -216,22 +223,22 @@
             if let Err(FetchError::RoutesRefused(error)) = read {
                 node.note(&events::BUNDLE_REFUSED, vec![Field::new("error", error)]);
             }
-        } else if let Ok(Some(object)) = node.platform.get(head_key(node)).await {
+        } else if let Ok(Some(object)) = node.platform.get(config_head_key(node)).await {
             if object.version > watched.0.load(Ordering::Relaxed) {
                 restart_watches();
             }
-            receive_head(node, &object);
+            receive_config_head(node, &object);
         }
     }
 }
 
-/// Key of the object that changes with each new bundle or route table.
-fn head_key(node: &Node) -> &str {
+/// Returns the key of the head: the signed manifest of the newest bundle, or the route table if one is configured.
+fn config_head_key(node: &Node) -> &str {
     let routes = node.settings.routes.as_ref();
     routes.map_or(keys::BUNDLE_HEAD, |routes| &routes.object)
 }
 
-fn receive_head(node: &Arc<Node>, object: &Object) {
+fn receive_config_head(node: &Arc<Node>, object: &Object) {
     let value = object.value.as_str();
     if node.settings.routes.is_some() {
         match fetch::accept_routes(node, value) {
@@ -257,12 +264,12 @@
 
 async fn watch_members(node: &Arc<Node>, restart: &Receiver<()>) {
     let delay_after = match node.settings.routes {
-        Some(_) => PRICED_WATCH_DELAY,
+        Some(_) => ROUTE_TABLE_WATCH_DELAY,
         None => Duration::ZERO,
     };
     watch_prefix(node, keys::MEMBERS, delay_after, restart, |changes| {
         for object in changes.objects {
-            if let Some(record) = member_record::read(node, &object) {
+            if let Some(record) = member_record::parse(node, &object) {
                 gossip::receive_member_record(node, record);
             }
         }
@@ -297,18 +304,18 @@
     }
 }
 
-/// Removes unresponsive members if the platform has no VM list.
+/// Pings members and declares unresponsive ones gone. Used with a route table, for which there is no VM list.
 ///
 /// Pings one member of the own failure domain at a time, so that the cost doesn't grow with the fleet.
-async fn sweep(node: &Arc<Node>) {
+async fn ping_members(node: &Arc<Node>) {
     let mut unresponsive_since: BTreeMap<String, Now> = BTreeMap::new();
-    let mut last = String::new();
+    let mut last_pinged = String::new();
     loop {
-        Timer::after(SWEEP_INTERVAL).await;
-        let Some(record) = next_member(node, &last) else {
+        Timer::after(PING_INTERVAL).await;
+        let Some(record) = next_member(node, &last_pinged) else {
             continue;
         };
-        last.clone_from(&record.instance);
+        last_pinged.clone_from(&record.instance);
         if is_alive(node, &record).await {
             unresponsive_since.remove(&record.instance);
             continue;
@@ -344,7 +351,7 @@
         for instance in instances {
             let record = lock(&node.membership).get(instance).cloned();
             if let Some(record) = record {
-                let _ = control::call(node, &record, |client, cx| async move {
+                let _ = control_client::call(node, &record, |client, cx| async move {
                     client.vm_state(cx, leaving).await
                 })
                 .await;
@@ -373,7 +380,7 @@
 
 async fn write_status(node: &Arc<Node>) {
     loop {
-        Timer::after(STATUS_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
+        Timer::after(STATUS_WRITE_INTERVAL.mul_f64(0.75 + fastrand::f64() / 2.0)).await;
         let domain = &node.settings.failure_domain;
         let instance = &node.settings.instance;
         let timeout = silence_timeout(node.domain_member_count());
--- a/crates/sorrelturn-daemon/src/store/member_record.rs
+++ b/crates/sorrelturn-daemon/src/store/member_record.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Parses a member record. Logs and skips an object that is unreadable or stored under the key of another instance.
-pub(crate) fn read(node: &Node, object: &Object) -> Option<MemberRecord> {
+pub(crate) fn parse(node: &Node, object: &Object) -> Option<MemberRecord> {
     let record = serde_json::from_str::<MemberRecord>(&object.value)
         .map_err(|error| error.to_string())
         .and_then(
--- a/crates/sorrelturn-daemon/src/store/outcomes.rs
+++ b/crates/sorrelturn-daemon/src/store/outcomes.rs
@@ -10,13 +10,14 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 const MIN_WRITE_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum rate of write rounds in the whole fleet, which leaves capacity of the store for bindings of callers' keys.
-const MAX_FLEET_ROUNDS_PER_SECOND: usize = 50;
+/// Maximum rate of write rounds in the whole fleet, which leaves capacity of the store for bindings of idempotency
+/// keys to tokens.
+const MAX_FLEET_WRITE_ROUNDS_PER_SECOND: usize = 50;
 const MAX_CLOSING_ATTEMPTS: u32 = 5;
 /// Attempts per segment and round. A lost response costs two, since the stored version is then unknown.
 const MAX_SEGMENT_ATTEMPTS: u32 = 3;
 
-/// Versions of the segments in the store. The lock on them serializes all writes.
+/// Store versions of the outcome segments by segment number. The lock on them serializes all writes.
 #[derive(Default)]
 pub(crate) struct SegmentVersions(BTreeMap<u64, u64>);
 
@@ -45,7 +46,7 @@
 pub(crate) async fn close(node: &Node) {
     lock(&node.ledger).close();
     for _ in 0..MAX_CLOSING_ATTEMPTS {
-        // The lock waits until another task has written the segments that it took.
+        // The lock waits until another task has written the segments that it took from the ledger.
         let mut versions = node.segment_versions.lock().await;
         if save(node, &mut versions).await && write_closing_record(node).await {
             return;
@@ -67,7 +68,7 @@
 
 fn write_delay(node: &Node) -> Duration {
     let members = lock(&node.membership).present().count();
-    let fleet_interval = Duration::from_secs((members / MAX_FLEET_ROUNDS_PER_SECOND) as u64);
+    let fleet_interval = Duration::from_secs((members / MAX_FLEET_WRITE_ROUNDS_PER_SECOND) as u64);
     let delay = MIN_WRITE_INTERVAL.max(fleet_interval);
     delay.mul_f64(0.75 + fastrand::f64() / 2.0)
 }
--- a/crates/sorrelturn-daemon/src/store/quarantine.rs
+++ b/crates/sorrelturn-daemon/src/store/quarantine.rs
@@ -12,8 +12,8 @@
 /// Delay after the first failed call to the store; doubles with each further failure.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_secs(1);
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Age at which a record is removed when read. Longer than crash reports are valid, to tolerate clock differences
-/// between VMs.
+/// Age at which a record is removed when it is loaded. Longer than crash reports are valid, to tolerate clock
+/// differences between VMs.
 const RECORD_RETENTION: Duration = Duration::from_secs(1_200);
 
 /// Evidence saved for one crash: all crashes during which the same requests were in progress.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Loads the evidence saved by earlier incarnations, with retries until the store responds.
+/// Loads the evidence saved by all daemons, with retries until the store responds.
 pub(crate) async fn load(node: Arc<Node>) {
     let mut delay = INITIAL_RETRY_DELAY;
     let objects = loop {
@@ -50,7 +50,7 @@
                 store::log_unreadable_entries(&node, keys::QUARANTINE, &changes);
                 break changes.objects;
             }
-            // The watch of the store logs the outage.
+            // Not logged here: the watchers log an outage of the store.
             Err(_) => Timer::after(delay).await,
         };
         delay = (delay * 2).min(MAX_RETRY_DELAY);
--- a/crates/sorrelturn-telemetry/src/events.rs
+++ b/crates/sorrelturn-telemetry/src/events.rs
@@ -75,7 +75,7 @@
     WATCHER_ENDED = 404 "watcher-ended" Info "This daemon stopped watching the platform.";
     VM_LIST_NOT_BELIEVED = 405 "vm-list-not-believed" Warn "The list of VMs would remove more than half of a service and was ignored for that service.";
     PAUSE_NOTICED = 406 "pause-noticed" Warn "The process was paused and discards state that may be out of date.";
-    MEMBER_SWEPT = 407 "member-swept" Warn "A member did not answer any peer for some time and is considered gone.";
+    MEMBER_SWEPT = 407 "member-swept" Warn "A member did not answer the pings of a watcher for some time and is considered gone.";
     NEXT_RUN_FOUND = 408 "next-run-found" Info "The next incarnation of a daemon that had stopped was found at its address.";
 
     PLATFORM_LOST = 500 "platform-lost" Warn "The platform doesn't answer; the daemon continues with the data it has.";
