--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -31,6 +31,7 @@
 
 /// Leaves ample space for bundle sections, which are limited to one megabyte.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
+
 /// Calls between daemons. Methods are identified by position on the wire, so their order is fixed.
 #[allow(
     missing_docs,
@@ -42,12 +43,12 @@
     #[tarpc::service]
     pub trait Control {
         /// Compares the membership, bundle version and crash reports of two daemons.
-        async fn exchange(digest: ExchangeRequest) -> ExchangeReply;
+        async fn exchange(request: ExchangeRequest) -> ExchangeReply;
         /// Returns the member records in the given buckets.
         async fn members(buckets: Vec<u8>) -> Vec<MemberRecord>;
-        /// Delivers member records that are new to the sender or missing at this daemon.
+        /// Delivers member records that are new to the sender or missing at the receiver.
         async fn update_members(records: Vec<MemberRecord>);
-        /// Announces the bundle version in force at the sender and returns the version in force here.
+        /// Announces the bundle version in force at the sender and returns the version in force at the receiver.
         async fn announce(from: String, version: u64) -> u64;
         /// Leases quota shares to the allocator and acquires grants from it.
         async fn acquire(request: AcquireRequest) -> AcquireReply;
@@ -59,7 +60,7 @@
         async fn routes() -> Option<String>;
         /// Returns the sections with the given hashes that are part of the bundle in force.
         async fn sections(hashes: Vec<ContentHash>) -> Vec<SectionBytes>;
-        /// Reports whether the VM list marks this instance as leaving.
+        /// Notifies the receiver whether the VM list marks its VM as leaving.
         async fn vm_state(leaving: bool);
         /// Delivers the status report of a member to a watcher.
         async fn report(report: Report);
@@ -78,20 +79,20 @@
 }
 
 impl Control for Server {
-    async fn exchange(self, _: context::Context, digest: ExchangeRequest) -> ExchangeReply {
-        let from = digest.from.instance.clone();
+    async fn exchange(self, _: context::Context, request: ExchangeRequest) -> ExchangeReply {
+        let from = request.from.instance.clone();
         gossip::record_inbound_peer(&self.node, &from);
-        gossip::receive_member_record(&self.node, digest.from);
+        gossip::receive_member_record(&self.node, request.from);
         fetch::fetch_if_newer(
             &self.node,
-            digest.version,
+            request.version,
             sorrelturn_fleet::Source::Peer(from),
         );
         let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
-        let differs = members.checksum() != digest.members;
+        let differs = members.checksum() != request.members;
         let suspects = &self.node.suspected_requests;
-        let crashes_differ = suspects.checksum(self.node.now()) != digest.crashes;
+        let crashes_differ = suspects.checksum(self.node.now()) != request.crashes;
         ExchangeReply {
             knowledge_age_ms,
             version: lock(&self.node.bundle_tracker).in_force(),
@@ -184,7 +185,7 @@
 pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     // Control messages may arrive at any time, so the connection never counts as idle.
-    let _carries = conn.mark_active();
+    let _active_guard = conn.mark_active();
     let Ok(stream) = node.keys.accept(tcp).await else {
         node.note(&events::BAD_PEER, vec![Field::new("port", "control")]);
         return;
--- a/crates/sorrelturn-daemon/src/fleet/control_client.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control_client.rs
@@ -1,4 +1,5 @@
-//! Client for control calls to other daemons. Connections are reused until they are idle.
+//! Client for control calls to other daemons. Connections are reused, and closed after [`IDLE_TIMEOUT`]
+//! without a call.
 
 pub(crate) use crate::fleet::control::ControlClient;
 use crate::{
@@ -19,6 +20,7 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+
 /// Reasons why a control call failed.
 #[derive(Debug, Display)]
 pub(crate) enum ControlError {
--- a/crates/sorrelturn-daemon/src/fleet/gossip.rs
+++ b/crates/sorrelturn-daemon/src/fleet/gossip.rs
@@ -6,7 +6,7 @@
     config::fetch,
     config::route_staleness,
     fleet::control::ControlClient,
-    fleet::control_client::{self as control, ControlError},
+    fleet::control_client::{self, ControlError},
     fleet::next_incarnation,
     fleet::reports,
     fleet::suspects,
@@ -24,21 +24,22 @@
 const EXCHANGE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Number of neighbours that a daemon keeps connections to and pushes updates to.
 const NEIGHBOUR_COUNT: usize = PUSH_FAN_OUT;
-/// How long a visitor receives updates after its last exchange.
-const VISITOR_TIMEOUT: Duration = Duration::from_secs(15);
-const MAX_VISITORS: usize = 10;
-/// One neighbour is replaced after this many exchanges, so that the gossip graph keeps changing.
-const EXCHANGES_PER_NEIGHBOUR: u32 = 30;
+/// How long an inbound peer, a daemon that started an exchange with this one, receives updates after its last exchange.
+const INBOUND_PEER_TIMEOUT: Duration = Duration::from_secs(15);
+const MAX_INBOUND_PEERS: usize = 10;
+/// One neighbour is replaced after this many exchanges in total, so that the gossip graph keeps changing.
+const EXCHANGES_PER_REPLACEMENT: u32 = 30;
+
 /// Merges a member record from any source and pushes it to the neighbours if it is new.
 pub(crate) fn receive_member_record(node: &Arc<Node>, record: MemberRecord) {
-    let own = record.instance == node.settings.instance;
-    if own && record.incarnation != node.incarnation {
+    let is_own = record.instance == node.settings.instance;
+    if is_own && record.incarnation != node.incarnation {
         state::restore_leaving_state(node, record.backend.as_ref());
     }
     if !node.merge_member(record.clone()) {
         return;
     }
-    if own {
+    if is_own {
         push_own_record(node);
         return;
     }
@@ -48,11 +49,11 @@
     push_members(node, vec![record]);
 }
 
-/// Records that another daemon chose this one as a neighbour, so that updates are also pushed to it.
+/// Records the sender of an incoming exchange, up to [`MAX_INBOUND_PEERS`], so that updates are also pushed to it.
 pub(crate) fn record_inbound_peer(node: &Node, instance: &str) {
-    let mut visitors = lock(&node.inbound_peers);
-    if visitors.len() < MAX_VISITORS || visitors.contains_key(instance) {
-        visitors.insert(instance.to_owned(), node.now());
+    let mut inbound_peers = lock(&node.inbound_peers);
+    if inbound_peers.len() < MAX_INBOUND_PEERS || inbound_peers.contains_key(instance) {
+        inbound_peers.insert(instance.to_owned(), node.now());
     }
 }
 
@@ -77,25 +78,26 @@
 }
 
 fn push_members(node: &Arc<Node>, records: Vec<MemberRecord>) {
-    push_to_targets(node, move |client, cx| async move {
+    push_to_recipients(node, move |client, cx| async move {
         client.update_members(cx, records).await
     });
 }
 
-/// Returns the recipients of updates: the neighbours and recent visitors.
+/// Returns the recipients of updates: the neighbours and recent inbound peers.
 ///
-/// Visitors are included because a daemon that no other daemon chose as a neighbour would otherwise receive updates
-/// last.
+/// Inbound peers are included because a daemon that no other daemon chose as a neighbour would otherwise receive
+/// updates last.
 fn push_recipients(node: &Node) -> Vec<MemberRecord> {
     let mut neighbours = lock(&node.neighbours);
     refill_neighbours(node, &mut neighbours);
-    let mut visitors = lock(&node.inbound_peers);
-    visitors.retain(|_, last_seen| node.now().saturating_sub(*last_seen) < VISITOR_TIMEOUT);
+    let mut inbound_peers = lock(&node.inbound_peers);
+    inbound_peers
+        .retain(|_, last_seen| node.now().saturating_sub(*last_seen) < INBOUND_PEER_TIMEOUT);
     let membership = lock(&node.membership);
     neighbours
         .iter()
         .chain(
-            visitors
+            inbound_peers
                 .keys()
                 .filter(|instance| !neighbours.contains(instance)),
         )
@@ -108,31 +110,31 @@
 /// Announces a bundle version that came in force at this daemon.
 pub(crate) fn announce(node: &Arc<Node>, version: u64) {
     let from = node.settings.instance.clone();
-    push_to_targets(node, move |client, cx| async move {
+    push_to_recipients(node, move |client, cx| async move {
         client.announce(cx, from, version).await
     });
 }
 
 /// Pushes new crashes of backend servers and cleared requests.
 pub(crate) fn push_crash_update(node: &Arc<Node>, update: CrashUpdate) {
-    push_to_targets(node, move |client, cx| async move {
+    push_to_recipients(node, move |client, cx| async move {
         client.update_crashes(cx, update).await
     });
 }
 
-/// Makes one control call to each push target in the background and ignores failures.
-fn push_to_targets<T, F>(
+/// Makes one control call to each recipient in the background and ignores failures.
+fn push_to_recipients<T, F>(
     node: &Arc<Node>,
     call: impl FnOnce(ControlClient, Context) -> F + Clone + Send + 'static,
 ) where
     T: Send + 'static,
     F: Future<Output = Result<T, RpcError>> + Send + 'static,
 {
-    for target in push_recipients(node) {
+    for recipient in push_recipients(node) {
         let (node, call) = (Arc::clone(node), call.clone());
         let ex = Arc::clone(&node.ex);
         let push = async move {
-            let _ = control::call(&node, &target, call).await;
+            let _ = control_client::call(&node, &recipient, call).await;
         };
         ex.spawn(push).detach();
     }
@@ -148,7 +150,7 @@
         if let Some(record) = next_neighbour(&node) {
             exchange_count += 1;
             answered = exchange(&node, &record).await.is_ok();
-            if !answered || exchange_count % EXCHANGES_PER_NEIGHBOUR == 0 {
+            if !answered || exchange_count % EXCHANGES_PER_REPLACEMENT == 0 {
                 lock(&node.neighbours).retain(|instance| *instance != record.instance);
             }
         }
@@ -181,8 +183,8 @@
     let own = node.own_record.load();
     let membership = lock(&node.membership);
     let mut rng = fastrand::Rng::new();
-    let fresh = sample_peers(membership.present(), &own, 2 * NEIGHBOUR_COUNT, &mut rng);
-    for record in fresh {
+    let candidates = sample_peers(membership.present(), &own, 2 * NEIGHBOUR_COUNT, &mut rng);
+    for record in candidates {
         if neighbours.len() < NEIGHBOUR_COUNT && !neighbours.contains(&record.instance) {
             neighbours.push_back(record.instance.clone());
         }
@@ -192,15 +194,15 @@
 /// Synchronizes members and crash reports with a peer and starts fetching its bundle if the version is higher.
 pub(crate) async fn exchange(node: &Arc<Node>, peer: &MemberRecord) -> Result<(), ControlError> {
     let sent = node.now();
-    let own = lock(&node.membership).digest();
-    let digest = ExchangeRequest {
+    let own_digest = lock(&node.membership).digest();
+    let request = ExchangeRequest {
         from: (**node.own_record.load()).clone(),
         version: lock(&node.bundle_tracker).in_force(),
-        members: own.checksum(),
+        members: own_digest.checksum(),
         crashes: node.suspected_requests.checksum(node.now()),
     };
-    let reply = control::call(node, peer, |client, cx| async move {
-        client.exchange(cx, digest).await
+    let reply = control_client::call(node, peer, |client, cx| async move {
+        client.exchange(cx, request).await
     })
     .await?;
     fetch::fetch_if_newer(node, reply.version, Source::Peer(peer.instance.clone()));
@@ -208,7 +210,7 @@
     if let Some(theirs) = reply.crashes {
         suspects::receive_update(node, &theirs);
         let ours = node.suspected_requests.snapshot(node.now());
-        control::call(node, peer, |client, cx| async move {
+        control_client::call(node, peer, |client, cx| async move {
             client.update_crashes(cx, ours).await
         })
         .await?;
@@ -219,18 +221,18 @@
     // The peer may have learned of this daemon through this exchange, so compare the digests again.
     let differing = lock(&node.membership).digest().differing(&theirs);
     let requested = differing.clone();
-    let records = control::call(node, peer, |client, cx| async move {
+    let records = control_client::call(node, peer, |client, cx| async move {
         client.members(cx, requested).await
     })
     .await?;
     let ours = lock(&node.membership).in_buckets(&differing);
     let newer_records: Vec<MemberRecord> = ours
         .into_iter()
-        .filter(|own| {
+        .filter(|our_record| {
             records
                 .iter()
-                .find(|other| other.instance == own.instance)
-                .is_none_or(|other| own.supersedes(other))
+                .find(|their_record| their_record.instance == our_record.instance)
+                .is_none_or(|their_record| our_record.supersedes(their_record))
         })
         .collect();
     for record in &records {
@@ -240,7 +242,7 @@
     }
     node.merge_members(records);
     if !newer_records.is_empty() {
-        control::call(node, peer, |client, cx| async move {
+        control_client::call(node, peer, |client, cx| async move {
             client.update_members(cx, newer_records).await
         })
         .await?;
--- a/crates/sorrelturn-daemon/src/fleet/instance_table.rs
+++ b/crates/sorrelturn-daemon/src/fleet/instance_table.rs
@@ -22,7 +22,7 @@
     pub(crate) is_incarnation_queried: AtomicBool,
 }
 
-/// Snapshot of all instances.
+/// Snapshot of the instances that are not gone, and of all services.
 #[derive(Default)]
 pub(crate) struct InstanceTable {
     by_service: HashMap<String, Vec<Arc<KnownInstance>>>,
@@ -32,19 +32,20 @@
 }
 
 impl InstanceTable {
-    /// Number of services, including those without present instances.
+    /// Returns the number of services, including those without present instances.
     ///
-    /// The detection of request origins relies on a number that doesn't fall during a restart or an outage.
+    /// Deciding whether requests are nested calls (`are_calls`) needs a number that doesn't fall during a restart or an
+    /// outage.
     pub(crate) fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Live instances of a service.
+    /// Returns the live instances of a service.
     pub(crate) fn live_of_service(&self, service: &str) -> &[Arc<KnownInstance>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Fraction of all live instances that belong to a service, or 1 if the service has none.
+    /// Returns the fraction of all live instances that belong to a service, or 1 if the service has none.
     pub(crate) fn instance_fraction(&self, service: &str) -> f64 {
         let all: usize = self.by_service.values().map(Vec::len).sum();
         let own = self.live_of_service(service).len();
@@ -54,59 +55,64 @@
         own as f64 / all as f64
     }
 
-    /// Instance with the given incarnation, whether or not it accepts new calls.
+    /// Returns the instance with the given incarnation, whether or not it accepts new calls.
     pub(crate) fn by_incarnation(&self, incarnation: Incarnation) -> Option<&Arc<KnownInstance>> {
         self.by_incarnation.get(&incarnation)
     }
 
-    /// Builds a new snapshot from the membership and reuses the routes of unchanged members.
+    /// Builds a new snapshot from the membership and reuses the entries of unchanged members.
     ///
-    /// `cold_start` returns the warm-up time of a service.
+    /// `warm_up_time` returns the warm-up time of a service.
     pub(crate) fn rebuild(
         &self,
         membership: &Membership,
         own_domain: &str,
         clock: Clock,
-        cold_start: impl Fn(&str) -> Duration,
+        warm_up_time: impl Fn(&str) -> Duration,
     ) -> Self {
-        let mut routes = Self {
+        let mut table = Self {
             services: self.services.clone(),
             ..Self::default()
         };
         let had_members = !self.by_incarnation.is_empty();
         for record in membership.present() {
             let known = self.by_incarnation.get(&record.incarnation);
-            let route = match known {
-                Some(route) if route.record == *record => Arc::clone(route),
+            let instance = match known {
+                Some(instance) if instance.record == *record => Arc::clone(instance),
                 _ => {
                     // For a daemon that has just started, all members are new but count as warmed up.
                     let is_new = known.is_none() && had_members;
                     let warm_up = if is_new {
-                        cold_start(&record.service)
+                        warm_up_time(&record.service)
                     } else {
                         Duration::ZERO
                     };
-                    let is_near = record.failure_domain == own_domain;
+                    let in_same_domain = record.failure_domain == own_domain;
                     Arc::new(KnownInstance {
-                        stats: Instance::new(record.incarnation, is_near, warm_up, clock.now()),
+                        stats: Instance::new(
+                            record.incarnation,
+                            in_same_domain,
+                            warm_up,
+                            clock.now(),
+                        ),
                         link: PeerLink::new(record.peer_addr, clock),
                         is_incarnation_queried: AtomicBool::new(false),
                         record: record.clone(),
                     })
                 }
             };
-            if !routes.services.contains(&record.service) {
-                routes.services.insert(record.service.clone());
+            if !table.services.contains(&record.service) {
+                table.services.insert(record.service.clone());
             }
             if record.state == MemberState::Live {
-                routes
+                table
                     .by_service
                     .entry(record.service.clone())
                     .or_default()
-                    .push(Arc::clone(&route));
+                    .push(Arc::clone(&instance));
             }
-            routes.by_incarnation.insert(record.incarnation, route);
+            table.by_incarnation.insert(record.incarnation, instance);
         }
-        routes
+        table
     }
 }
--- a/crates/sorrelturn-daemon/src/fleet/peers.rs
+++ b/crates/sorrelturn-daemon/src/fleet/peers.rs
@@ -19,9 +19,10 @@
 
 /// Shorter than the kernel's first SYN retransmission, so that a call moves on to another instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Largest message that the peer's daemon buffers completely.
+/// Largest message that the receiving daemon buffers completely.
 ///
-/// A slow reader can stall the connection for a longer message, which the options below would treat as a failure.
+/// A longer message can stall the connection while its receiver reads slowly, which the timeouts set by
+/// [`enable_timeouts`] would treat as a failure.
 const MAX_BUFFERED_MESSAGE_BYTES: u64 = MAX_BUF_BYTES as u64;
 /// Time without an acknowledgement after which a peer counts as unresponsive. Two consecutive losses of a packet are
 /// tolerated.
@@ -34,7 +35,7 @@
 const MAX_STATUS_QUERY_DELAY: Duration = Duration::from_secs(2);
 /// Time for a response in transit to arrive after the attempt is reported as finished.
 const RESPONSE_TRANSIT_TIME: Duration = Duration::from_millis(50);
-/// Maximum per daemon and pool, above the slots of a backend server.
+/// Maximum number of connections in each pool of a peer; higher than the number of slots of a backend server.
 const MAX_CONNECTIONS: usize = 1_024;
 
 /// Connections to one daemon, opened on demand.
@@ -90,17 +91,18 @@
 
     /// Sends a call and waits for the head of its response.
     ///
-    /// An unresponsive peer is detected up to that point; the body of a long response may be as slow as its reader.
+    /// Up to that point an unresponsive peer is detected, unless the request is long. The body of a long response may
+    /// be as slow as its reader.
     ///
-    /// The kernels don't detect it if a device on the path acknowledges packets and then loses them. If the response is
-    /// overdue, the status of the attempt is therefore queried from its owner.
+    /// The TCP timeouts don't detect an unresponsive peer if a device on the path acknowledges packets and then drops
+    /// them. If the response is overdue, the status of the attempt is therefore queried from its owner.
     pub(crate) async fn send(
         &self,
         runtime: &Runtime<'_>,
         req: Request<Body>,
         attempt: SentAttempt,
     ) -> Result<(Response<Incoming>, PeerLease), SendError> {
-        let has_timeouts = is_buffered_by_reader(req.body());
+        let has_timeouts = is_buffered_by_receiver(req.body());
         let connect = || self.connect(runtime.keys, has_timeouts);
         let pool = if has_timeouts {
             &self.pool_with_timeouts
@@ -116,12 +118,12 @@
             }
             pool.wait_until_suspect(runtime.timers, sent).await;
             // Boxed because it is rare and would enlarge the future of each request.
-            let error = Box::pin(self.attempt_outcome(runtime, attempt, sent)).await;
+            let error = Box::pin(self.wait_for_lost_response(runtime, attempt, sent)).await;
             pool.drop_idle_unanswered_since(sent);
             Err(error)
         };
         let (res, lease) = response.or(unresponsive).await?;
-        let reenable_timeouts = has_timeouts && !is_buffered_by_reader(res.body());
+        let reenable_timeouts = has_timeouts && !is_buffered_by_receiver(res.body());
         if reenable_timeouts && disable_timeouts(lease.socket()).is_err() {
             return Err(SendError::Interrupted);
         }
@@ -147,7 +149,7 @@
     }
 
     /// Queries the status of an attempt until it is certain that its response won't arrive.
-    async fn attempt_outcome(
+    async fn wait_for_lost_response(
         &self,
         runtime: &Runtime<'_>,
         attempt: SentAttempt,
@@ -204,7 +206,8 @@
     }
 }
 
-fn is_buffered_by_reader(body: &impl hyper::body::Body) -> bool {
+/// Returns whether the daemon that receives the message buffers it completely.
+fn is_buffered_by_receiver(body: &impl hyper::body::Body) -> bool {
     let max_bytes = body.size_hint().upper();
     max_bytes.is_some_and(|bytes| bytes <= MAX_BUFFERED_MESSAGE_BYTES)
 }
--- a/crates/sorrelturn-daemon/src/fleet/quota.rs
+++ b/crates/sorrelturn-daemon/src/fleet/quota.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::in_force::InForce,
-    fleet::control_client as control,
+    fleet::control_client,
     node::{Node, lock},
     operators::workspaces::WorkspaceCounts,
     request::answer::Reply,
@@ -23,9 +23,9 @@
     time::Duration,
 };
 
-/// Interval of renewals as a fraction of the lease duration.
-const RENEWAL_INTERVAL_FRACTION: f64 = 0.2;
-const MAX_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of checks for due renewals, as a fraction of the lease duration.
+const RENEWAL_CHECK_INTERVAL_FRACTION: f64 = 0.2;
+const MAX_RENEWAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const ACQUIRE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Number of allocators that are tried before a request is refused.
 const MAX_ACQUIRE_ATTEMPTS: u32 = 2;
@@ -80,7 +80,7 @@
 
 /// Consumes one grant of a workspace's quota for a request.
 ///
-/// Returns the refusal if the quota is used up or no allocator answers.
+/// Returns the refusal if the quota is used up or no allocator gives a usable reply.
 pub(crate) async fn consume(
     node: &Arc<Node>,
     workspace: &WorkspaceEntry,
@@ -174,8 +174,8 @@
         let lease_duration = node.quota.lease_duration();
         Timer::after(
             lease_duration
-                .mul_f64(RENEWAL_INTERVAL_FRACTION)
-                .min(MAX_RENEWAL_INTERVAL),
+                .mul_f64(RENEWAL_CHECK_INTERVAL_FRACTION)
+                .min(MAX_RENEWAL_CHECK_INTERVAL),
         )
         .await;
         let in_force = node.in_force.load();
@@ -227,10 +227,11 @@
             candidates.map(|record| (record.instance.as_str(), record.incarnation)),
         )
     };
-    client.set_preferred(member_count(&membership), allocator_of);
+    client.set_preferred(count_members(&membership), allocator_of);
     let allocators = Shard::all().filter_map(allocator_of);
     let mut known = lock(&node.quota.allocators);
-    // An allocator that is no longer preferred may still hold a lease, so older records are retained for a while.
+    // An allocator that is no longer preferred may still hold a lease, so older records are retained until there
+    // are too many.
     if known.len() > 4 * sorrelturn_quota::SHARD_COUNT {
         known.clear();
     }
@@ -246,8 +247,8 @@
     target: AcquireTarget,
     workspace: Option<CallerId>,
 ) -> Option<AcquireReply> {
-    let members = member_count(&lock(&node.membership));
-    let request = lock(&node.quota.client).acquire_request(target, members, workspace);
+    let member_count = count_members(&lock(&node.membership));
+    let request = lock(&node.quota.client).acquire_request(target, member_count, workspace);
     if target.allocator == node.incarnation {
         return Some(answer(node, &request));
     }
@@ -259,18 +260,19 @@
         None
     };
     let reply = async {
-        let call =
-            |client: control::ControlClient, cx| async move { client.acquire(cx, request).await };
-        control::call(node, &record, call).await.ok()
+        let call = |client: control_client::ControlClient, cx| async move {
+            client.acquire(cx, request).await
+        };
+        control_client::call(node, &record, call).await.ok()
     };
     reply.or(timeout).await
 }
 
-/// Number of members that the quotas are divided among.
+/// Returns the number of members that the quotas are divided among.
 ///
 /// Members that have recently gone count: otherwise, when a whole fleet restarts, the first members would each divide
 /// the quotas among too few.
-fn member_count(membership: &Membership) -> u32 {
+fn count_members(membership: &Membership) -> u32 {
     membership.all().count() as u32
 }
 
@@ -283,6 +285,6 @@
     });
     let quota = workspace.and_then(|workspace| workspace.quota);
     let limit = quota.map(|quota| node.quota.bucket(quota));
-    let members = member_count(&lock(&node.membership));
-    lock(&node.quota.allocator).acquire(node.now(), request, limit, members)
+    let member_count = count_members(&lock(&node.membership));
+    lock(&node.quota.allocator).acquire(node.now(), request, limit, member_count)
 }
--- a/crates/sorrelturn-daemon/src/fleet/reports.rs
+++ b/crates/sorrelturn-daemon/src/fleet/reports.rs
@@ -1,7 +1,7 @@
 //! Status reports to the watchers of the own failure domain, which aggregate them.
 
 use crate::{
-    fleet::control_client as control,
+    fleet::control_client,
     node::{Node, lock},
 };
 use smol::Timer;
@@ -9,7 +9,7 @@
 use sorrelturn_protocol::MemberRecord;
 use std::{sync::Arc, time::Duration};
 
-const CHECK_INTERVAL: Duration = Duration::from_secs(5);
+const REPORT_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Reports to the watchers whenever the report interval has elapsed since the last report.
 pub(crate) async fn run_reports(node: Arc<Node>) {
@@ -19,7 +19,7 @@
         if elapsed >= report_interval(node.domain_member_count()) {
             report(&node).await;
         }
-        Timer::after(CHECK_INTERVAL.mul_f64(jitter)).await;
+        Timer::after(REPORT_CHECK_INTERVAL.mul_f64(jitter)).await;
     }
 }
 
@@ -47,7 +47,7 @@
             lock(&node.domain_view).record_report(node.now(), report);
             continue;
         }
-        let _ = control::call(node, &watcher, |client, cx| async move {
+        let _ = control_client::call(node, &watcher, |client, cx| async move {
             client.report(cx, report).await
         })
         .await;
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -20,7 +20,7 @@
 };
 
 /// Number of slots for fingerprints of completed requests.
-const COMPLETED_CAPACITY: usize = 4_096;
+const COMPLETED_REQUEST_CAPACITY: usize = 4_096;
 /// Maximum number of fingerprints in one log line.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
@@ -32,7 +32,7 @@
     /// Last crash of this daemon's backend server.
     own_crash: Mutex<Option<CrashId>>,
     /// Fingerprints of requests completed here, indexed by fingerprint. A later one overwrites an earlier one.
-    completed: Box<[AtomicU64; COMPLETED_CAPACITY]>,
+    completed: Box<[AtomicU64; COMPLETED_REQUEST_CAPACITY]>,
 }
 
 impl Default for SuspectedRequests {
@@ -59,7 +59,7 @@
         let quarantine = lock(&self.quarantine);
         let remaining = request
             .iter()
-            .filter_map(|name| quarantine.remaining_quarantine(now, name));
+            .filter_map(|fingerprint| quarantine.remaining_quarantine(now, fingerprint));
         remaining.max()
     }
 
@@ -77,12 +77,12 @@
         lock(&self.quarantine).snapshot(now)
     }
 
-    fn slot(&self, request: RequestFingerprint) -> &AtomicU64 {
-        &self.completed[request.0 as usize % COMPLETED_CAPACITY]
+    fn completed_slot(&self, request: RequestFingerprint) -> &AtomicU64 {
+        &self.completed[request.0 as usize % COMPLETED_REQUEST_CAPACITY]
     }
 
     fn is_completed(&self, request: RequestFingerprint) -> bool {
-        self.slot(request).load(Ordering::Relaxed) == request.0
+        self.completed_slot(request).load(Ordering::Relaxed) == request.0
     }
 }
 
@@ -96,7 +96,7 @@
     receive_update(node, &update);
 }
 
-/// Merges an update from another daemon and pushes what is new to the neighbours.
+/// Merges crash reports and cleared requests from any source and pushes what is new to other daemons.
 pub(crate) fn receive_update(node: &Arc<Node>, update: &CrashUpdate) {
     let now = node.now();
     let suspects = &node.suspected_requests;
@@ -141,8 +141,10 @@
 /// Records that a request completed here, with any response, and clears it if it is quarantined.
 pub(crate) fn record_completed(node: &Arc<Node>, request: RequestFingerprints) {
     let suspects = &node.suspected_requests;
-    for name in request.iter() {
-        suspects.slot(name).store(name.0, Ordering::Relaxed);
+    for fingerprint in request.iter() {
+        suspects
+            .completed_slot(fingerprint)
+            .store(fingerprint.0, Ordering::Relaxed);
     }
     if !suspects.has_suspects.load(Ordering::Relaxed) {
         return;
@@ -150,7 +152,9 @@
     let mut quarantine = lock(&suspects.quarantine);
     let cleared: Vec<RequestFingerprint> = request
         .iter()
-        .filter(|name| quarantine.is_quarantined(*name) && quarantine.clear(node.now(), *name))
+        .filter(|fingerprint| {
+            quarantine.is_quarantined(*fingerprint) && quarantine.clear(node.now(), *fingerprint)
+        })
         .collect();
     drop(quarantine);
     if cleared.is_empty() {
