--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -91,13 +91,13 @@
         let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
         let differs = members.checksum() != request.members;
-        let suspects = &self.node.suspected_requests;
-        let crashes_differ = suspects.checksum(self.node.now()) != request.crashes;
+        let suspected_requests = &self.node.suspected_requests;
+        let crashes_differ = suspected_requests.checksum(self.node.now()) != request.crashes;
         ExchangeReply {
             knowledge_age_ms,
             version: lock(&self.node.bundle_tracker).in_force(),
             members: differs.then_some(members),
-            crashes: crashes_differ.then(|| suspects.snapshot(self.node.now())),
+            crashes: crashes_differ.then(|| suspected_requests.snapshot(self.node.now())),
         }
     }
 
--- a/crates/sorrelturn-daemon/src/fleet/suspects.rs
+++ b/crates/sorrelturn-daemon/src/fleet/suspects.rs
@@ -28,7 +28,7 @@
 pub(crate) struct SuspectedRequests {
     quarantine: Mutex<Quarantine>,
     /// Whether any request is suspected. Lets requests skip the lock in the usual case.
-    has_suspects: AtomicBool,
+    has_suspected_requests: AtomicBool,
     /// Last crash of this daemon's backend server.
     own_crash: Mutex<Option<CrashId>>,
     /// Fingerprints of requests completed here, indexed by fingerprint. A later one overwrites an earlier one.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         Self {
             quarantine: Mutex::default(),
-            has_suspects: AtomicBool::new(false),
+            has_suspected_requests: AtomicBool::new(false),
             own_crash: Mutex::default(),
             completed: Box::new(array::from_fn(|_| AtomicU64::new(0))),
         }
@@ -53,7 +53,7 @@
         now: Now,
         request: RequestFingerprints,
     ) -> Option<Duration> {
-        if !self.has_suspects.load(Ordering::Relaxed) {
+        if !self.has_suspected_requests.load(Ordering::Relaxed) {
             return None;
         }
         let quarantine = lock(&self.quarantine);
@@ -67,7 +67,7 @@
     pub(crate) fn checksum(&self, now: Now) -> u64 {
         let mut quarantine = lock(&self.quarantine);
         quarantine.remove_expired(now);
-        self.has_suspects
+        self.has_suspected_requests
             .store(!quarantine.is_empty(), Ordering::Relaxed);
         quarantine.checksum()
     }
@@ -99,18 +99,18 @@
 /// Merges crash reports and cleared requests from any source and pushes what is new to other daemons.
 pub(crate) fn receive_update(node: &Arc<Node>, update: &CrashUpdate) {
     let now = node.now();
-    let suspects = &node.suspected_requests;
-    let mut quarantine = lock(&suspects.quarantine);
+    let suspected_requests = &node.suspected_requests;
+    let mut quarantine = lock(&suspected_requests.quarantine);
     let QuarantineUpdate {
         mut new_reports,
         mut quarantined,
     } = quarantine.receive(now, update);
-    suspects
-        .has_suspects
+    suspected_requests
+        .has_suspected_requests
         .store(!quarantine.is_empty(), Ordering::Relaxed);
     // A completion seen here outweighs reports that the request was in progress during crashes.
     let cleared: Vec<RequestFingerprint> = quarantined
-        .extract_if(.., |request| suspects.is_completed(*request))
+        .extract_if(.., |request| suspected_requests.is_completed(*request))
         .filter(|request| quarantine.clear(now, *request))
         .collect();
     let evidence = quarantine.evidence_for(now, &quarantined);
@@ -140,16 +140,19 @@
 
 /// Records that a request completed here, with any response, and clears it if it is quarantined.
 pub(crate) fn record_completed(node: &Arc<Node>, request: RequestFingerprints) {
-    let suspects = &node.suspected_requests;
+    let suspected_requests = &node.suspected_requests;
     for fingerprint in request.iter() {
-        suspects
+        suspected_requests
             .completed_slot(fingerprint)
             .store(fingerprint.0, Ordering::Relaxed);
     }
-    if !suspects.has_suspects.load(Ordering::Relaxed) {
+    if !suspected_requests
+        .has_suspected_requests
+        .load(Ordering::Relaxed)
+    {
         return;
     }
-    let mut quarantine = lock(&suspects.quarantine);
+    let mut quarantine = lock(&suspected_requests.quarantine);
     let cleared: Vec<RequestFingerprint> = request
         .iter()
         .filter(|fingerprint| {
