--- a/crates/sorrelturn-daemon/src/fleet/control.rs
+++ b/crates/sorrelturn-daemon/src/fleet/control.rs
@@ -4,7 +4,7 @@
     config::fetch,
     config::in_force::Origin,
     fleet::gossip,
-    fleet::metered::Metered,
+    fleet::metered::MeteredStream,
     fleet::quota,
     fleet::suspects,
     net::serve::{Accepted, Closing},
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use smol::{future::FutureExt, stream::StreamExt};
 use sorrelturn_bundle::{ContentHash, SectionBytes, SignedManifest};
-use sorrelturn_fleet::{Digest, DigestReply, Report};
+use sorrelturn_fleet::{ExchangeReply, ExchangeRequest, Report};
 use sorrelturn_policy::LeavingCause;
 use sorrelturn_protocol::{CrashUpdate, Incarnation, MemberRecord};
 use sorrelturn_quota::{AcquireReply, AcquireRequest};
@@ -31,6 +31,7 @@
 
 /// Leaves ample space for bundle sections, which are limited to one megabyte.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
+
 /// Calls between daemons. Methods are identified by position on the wire, so their order is fixed.
 #[allow(
     missing_docs,
@@ -42,12 +43,12 @@
     #[tarpc::service]
     pub trait Control {
         /// Compares the membership, bundle version and crash reports of two daemons.
-        async fn exchange(digest: Digest) -> DigestReply;
+        async fn exchange(request: ExchangeRequest) -> ExchangeReply;
         /// Returns the member records in the given buckets.
         async fn members(buckets: Vec<u8>) -> Vec<MemberRecord>;
-        /// Delivers member records that are new to the sender or missing at this daemon.
+        /// Delivers member records that are new to the sender or missing at the receiver.
         async fn update_members(records: Vec<MemberRecord>);
-        /// Announces the bundle version in force at the sender and returns the version in force here.
+        /// Announces the bundle version in force at the sender and returns the version in force at the receiver.
         async fn announce(from: String, version: u64) -> u64;
         /// Leases quota shares to the allocator and acquires grants from it.
         async fn acquire(request: AcquireRequest) -> AcquireReply;
@@ -59,7 +60,7 @@
         async fn routes() -> Option<String>;
         /// Returns the sections with the given hashes that are part of the bundle in force.
         async fn sections(hashes: Vec<ContentHash>) -> Vec<SectionBytes>;
-        /// Reports whether the VM list marks this instance as leaving.
+        /// Notifies the receiver whether the VM list marks its VM as leaving.
         async fn vm_state(leaving: bool);
         /// Delivers the status report of a member to a watcher.
         async fn report(report: Report);
@@ -78,25 +79,25 @@
 }
 
 impl Control for Server {
-    async fn exchange(self, _: context::Context, digest: Digest) -> DigestReply {
-        let from = digest.from.instance.clone();
-        gossip::record_visitor(&self.node, &from);
-        gossip::receive_member_record(&self.node, digest.from);
+    async fn exchange(self, _: context::Context, request: ExchangeRequest) -> ExchangeReply {
+        let from = request.from.instance.clone();
+        gossip::record_inbound_peer(&self.node, &from);
+        gossip::receive_member_record(&self.node, request.from);
         fetch::fetch_if_newer(
             &self.node,
-            digest.version,
+            request.version,
             sorrelturn_fleet::Source::Peer(from),
         );
         let knowledge_age_ms = self.node.route_staleness.age_ms(self.node.now());
         let members = lock(&self.node.membership).digest();
-        let differs = members.total() != digest.members;
-        let suspects = &self.node.suspected_requests;
-        let crashes_differ = suspects.checksum(self.node.now()) != digest.crashes;
-        DigestReply {
+        let differs = members.checksum() != request.members;
+        let suspected_requests = &self.node.suspected_requests;
+        let crashes_differ = suspected_requests.checksum(self.node.now()) != request.crashes;
+        ExchangeReply {
             knowledge_age_ms,
             version: lock(&self.node.bundle_tracker).in_force(),
             members: differs.then_some(members),
-            crashes: crashes_differ.then(|| suspects.snapshot(self.node.now())),
+            crashes: crashes_differ.then(|| suspected_requests.snapshot(self.node.now())),
         }
     }
 
@@ -160,7 +161,7 @@
     }
 
     async fn report(self, _: context::Context, report: Report) {
-        lock(&self.node.domain_view).report(self.node.now(), report);
+        lock(&self.node.domain_view).record_report(self.node.now(), report);
     }
 
     async fn ping(self, _: context::Context) -> Incarnation {
@@ -184,7 +185,7 @@
 pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let Accepted { tcp, conn } = accepted;
     // Control messages may arrive at any time, so the connection never counts as idle.
-    let _carries = conn.mark_active();
+    let _active_guard = conn.mark_active();
     let Ok(stream) = node.keys.accept(tcp).await else {
         node.record_event(&events::BAD_PEER, vec![Field::new("port", "control")]);
         return;
@@ -206,8 +207,12 @@
     Compat::new(serve_calls.or(closed)).await;
 }
 
-type ControlTransport<Item, SinkItem> =
-    tarpc::serde_transport::Transport<Compat<Metered>, Item, SinkItem, Bincode<Item, SinkItem>>;
+type ControlTransport<Item, SinkItem> = tarpc::serde_transport::Transport<
+    Compat<MeteredStream>,
+    Item,
+    SinkItem,
+    Bincode<Item, SinkItem>,
+>;
 
 pub(crate) fn transport<Item, SinkItem>(
     node: &Arc<Node>,
@@ -220,7 +225,7 @@
     let codec = LengthDelimitedCodec::builder()
         .max_frame_length(MAX_MESSAGE_BYTES)
         .new_codec();
-    let metered = Metered {
+    let metered = MeteredStream {
         node: Arc::clone(node),
         stream,
     };
--- a/crates/sorrelturn-daemon/src/fleet/join.rs
+++ b/crates/sorrelturn-daemon/src/fleet/join.rs
@@ -8,7 +8,7 @@
     store::{self, member_record, outcomes},
 };
 use smol::Timer;
-use sorrelturn_fleet::{Source, push_targets};
+use sorrelturn_fleet::{Source, sample_peers};
 use sorrelturn_platform::keys;
 use sorrelturn_protocol::{Incarnation, MemberRecord, MemberState};
 use std::{net::SocketAddr, sync::Arc, time::Duration};
@@ -26,7 +26,7 @@
         let records: Vec<MemberRecord> = changes
             .objects
             .iter()
-            .filter_map(|object| member_record::read(node, object))
+            .filter_map(|object| member_record::parse(node, object))
             .collect();
         is_new = records
             .iter()
@@ -73,8 +73,8 @@
             let own = node.own_record.load();
             let membership = lock(&node.membership);
             let mut rng = fastrand::Rng::new();
-            let targets = push_targets(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
-            targets.into_iter().cloned().collect()
+            let sampled = sample_peers(membership.present(), &own, BUNDLE_PEER_COUNT, &mut rng);
+            sampled.into_iter().cloned().collect()
         };
         for peer in &peers {
             let _ = fetch::fetch_from_member(&node, Some(peer)).await;
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -9,8 +9,8 @@
     config::route_staleness::RouteStaleness,
     config::settings::Settings,
     fleet::control_client::ControlLinks,
+    fleet::instance_table::InstanceTable,
     fleet::quota::Quota,
-    fleet::routes::Routes,
     fleet::suspects::SuspectedRequests,
     net::connections::Connections,
     net::stream::FleetKeys,
@@ -73,7 +73,7 @@
     pub(crate) route_staleness: RouteStaleness,
     /// The quotas of workspaces.
     pub(crate) quota: Quota,
-    pub(crate) routes: ArcSwap<Routes>,
+    pub(crate) instances: ArcSwap<InstanceTable>,
     pub(crate) ledger: Mutex<Ledger>,
     /// Attempts that other daemons sent here.
     pub(crate) attempts: Mutex<AttemptRegister>,
@@ -83,7 +83,7 @@
     pub(crate) domain_view: Mutex<DomainView>,
     pub(crate) control_links: ControlLinks,
     pub(crate) neighbours: Mutex<VecDeque<String>>,
-    pub(crate) inbound_neighbours: Mutex<HashMap<String, Now>>,
+    pub(crate) inbound_peers: Mutex<HashMap<String, Now>>,
     pub(crate) leaving: Mutex<Leaving>,
     pub(crate) shutdown: Shutdown,
     pub(crate) own_record: ArcSwap<MemberRecord>,
@@ -182,7 +182,7 @@
     }
 
     /// Returns the number of members in this daemon's failure domain.
-    pub(crate) fn domain_members(&self) -> usize {
+    pub(crate) fn domain_member_count(&self) -> usize {
         let own = &self.settings.failure_domain;
         let membership = lock(&self.membership);
         let members = membership.present();
@@ -363,9 +363,9 @@
             Duration::from_millis(service.map_or(0, |service| service.cold_start_ms.into()))
         };
         let domain = &self.settings.failure_domain;
-        let before = self.routes.load();
+        let before = self.instances.load();
         let routes = before.rebuild(membership, domain, self.clock, cold_start);
-        self.routes.store(Arc::new(routes));
+        self.instances.store(Arc::new(routes));
     }
 
     /// Changes the state in the own record. The gossip task sends it to peers.
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -108,8 +108,8 @@
 
 /// Returns whether requests of a kind are nested calls, judging by the services that they come from.
 fn is_nested_kind(node: &Node, routed: &Routed, kind: &str) -> bool {
-    let routes = node.routes.load();
-    let share_of = |service: &str| routes.share_of(service);
+    let routes = node.instances.load();
+    let share_of = |service: &str| routes.instance_fraction(service);
     lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
