--- a/crates/sorrelturn-bench/src/backend.rs
+++ b/crates/sorrelturn-bench/src/backend.rs
@@ -42,7 +42,7 @@
 struct State {
     plan: Plan,
     slots: Arc<Semaphore>,
-    ran: HashMap<String, u32>,
+    executions_by_key: HashMap<String, u32>,
     clients: Option<Client>,
 }
 
@@ -51,7 +51,7 @@
         Self {
             plan: Plan::default(),
             slots: Arc::new(Semaphore::new(1)),
-            ran: HashMap::new(),
+            executions_by_key: HashMap::new(),
             clients: None,
         }
     }
@@ -130,8 +130,8 @@
     }
 
     /// How often each request that carried `x-execution-key` was begun.
-    pub fn ran(&self) -> HashMap<String, u32> {
-        self.lock().ran.clone()
+    pub fn executions_by_key(&self) -> HashMap<String, u32> {
+        self.lock().executions_by_key.clone()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -147,7 +147,7 @@
         Ok(match (req.method(), path.as_str()) {
             (&Method::PUT, "/fake/plan") => self.take_plan(req).await,
             (&Method::GET, "/fake/ran") => {
-                let text = serde_json::to_vec(&self.ran()).unwrap_or_default();
+                let text = serde_json::to_vec(&self.executions_by_key()).unwrap_or_default();
                 whole(StatusCode::OK, text)
             }
             (&Method::GET, "/fake/counts") => {
@@ -208,7 +208,7 @@
         self.executions.fetch_add(1, Ordering::Relaxed);
         if let Some(key) = text(&parts.headers, "x-execution-key") {
             let name = format!("{key} {}", kind.name);
-            *self.lock().ran.entry(name).or_default() += 1;
+            *self.lock().executions_by_key.entry(name).or_default() += 1;
         }
         let _ = body.collect().await;
         let _slot = slots.acquire().await;
--- a/crates/sorrelturn-bench/src/client.rs
+++ b/crates/sorrelturn-bench/src/client.rs
@@ -59,7 +59,7 @@
 }
 
 /// Whether a body is one of [`answer_body`], with the words that were sent.
-pub(crate) fn is_own_and_whole(body: &[u8], expected: &Expected) -> bool {
+pub(crate) fn is_expected_body(body: &[u8], expected: &Expected) -> bool {
     let Some(split) = body.len().checked_sub(64) else {
         return false;
     };
@@ -170,7 +170,7 @@
     let (head, body) = res.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
     let good = head.status.is_success();
-    let wrong = expected.is_some_and(|expected| good && !is_own_and_whole(&body, expected));
+    let wrong = expected.is_some_and(|expected| good && !is_expected_body(&body, expected));
     Ok(Answer {
         status: head.status.as_u16(),
         headers: head.headers,
--- a/crates/sorrelturn-bench/src/commands/exchanges.rs
+++ b/crates/sorrelturn-bench/src/commands/exchanges.rs
@@ -2,7 +2,7 @@
 
 use super::CommandEntry;
 use crate::{
-    exchanges::{Exchanges, exchange_many},
+    exchanges::{ExchangeConfig, exchange_many},
     fleet::{FleetPlan, LocalFleet},
     run_on,
 };
@@ -52,13 +52,13 @@
 }
 
 fn run(args: &ArgMatches) -> ExitCode {
-    let exchanges = Exchanges {
+    let exchanges = ExchangeConfig {
         count: *args.get_one::<u32>("count").expect("clap fills it in"),
-        at_once: AT_ONCE,
-        most_bytes: MOST_BYTES,
+        concurrency: AT_ONCE,
+        body_size_range_bytes: MOST_BYTES,
     };
     let counts = run_on(THREADS, async |ex| {
-        let plan = FleetPlan::of(bundle(), &[("s0", 2), ("s1", 2)], &["a", "b"], &[]);
+        let plan = FleetPlan::new(bundle(), &[("s0", 2), ("s1", 2)], &["a", "b"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
         exchange_many(&fleet, exchanges).await
     });
--- a/crates/sorrelturn-bench/src/commands/fleet.rs
+++ b/crates/sorrelturn-bench/src/commands/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::CommandEntry;
 use crate::{
-    idle_fleet::{Reading, start},
+    idle_fleet::{UsageSnapshot, start},
     processes::memory,
     run_on,
 };
@@ -125,12 +125,12 @@
     let folder = std::env::temp_dir().join(format!("sorrelturn-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
     let fleet = start(size, &folder).await;
-    fleet.settle(size).await;
+    fleet.wait_until_ready(size).await;
     Timer::after(SETTLE_TIME).await;
 
-    let before = fleet.reading().await;
+    let before = fleet.usage().await;
     Timer::after(IDLE_TIME).await;
-    let idle = fleet.reading().await;
+    let idle = fleet.usage().await;
     let seconds = (idle.at - before.at).as_secs_f64();
     let (bytes_per_s, most_bytes_per_s) = rates(&before.bytes, &idle.bytes, seconds);
     let (cpu, most_cpu) = rates(&before.cpu_s, &idle.cpu_s, seconds);
@@ -144,9 +144,9 @@
         version += 1;
         healthy.extend(fleet.publish(version, false).await);
     }
-    let published = fleet.reading().await;
+    let published = fleet.usage().await;
     // What publications cost is what came on top of an idle time of the same length.
-    let each = |of: fn(&Reading) -> &[f64], idle_rate: f64| {
+    let each = |of: fn(&UsageSnapshot) -> &[f64], idle_rate: f64| {
         let length = (published.at - idle.at).as_secs_f64();
         let (rate, _) = rates(of(&idle), of(&published), length);
         (rate - idle_rate) * length / f64::from(PUBLICATIONS)
--- a/crates/sorrelturn-bench/src/commands/latency.rs
+++ b/crates/sorrelturn-bench/src/commands/latency.rs
@@ -88,7 +88,7 @@
 }
 
 async fn measure(ex: Arc<Executor<'static>>, rate: u32, seconds: u32) -> Vec<Row> {
-    let plan = FleetPlan::of(
+    let plan = FleetPlan::new(
         example_bundle("protokols-riga"),
         &[("archive", 1), ("scheduling", 1)],
         &["riga-a"],
@@ -98,7 +98,7 @@
     std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
     let fleet = ProcessFleet::start(Arc::clone(&ex), plan, &folder).await;
     let work = BTreeMap::from([("calendar-view".to_owned(), 0.0)]);
-    let mut no_work: Plan = plan_for(&fleet.plan.indexed(), "scheduling", &work);
+    let mut no_work: Plan = plan_for(&fleet.plan.indexed_bundle(), "scheduling", &work);
     no_work.local = Some(fleet.daemons[1].addresses.local);
     fleet.daemons[1].set_plan(&no_work).await;
     let direct = Client::new(Arc::clone(&ex), fleet.daemons[1].backend_addr);
--- a/crates/sorrelturn-bench/src/exchanges.rs
+++ b/crates/sorrelturn-bench/src/exchanges.rs
@@ -28,13 +28,13 @@
 
 /// How many exchanges to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Exchanges {
+pub struct ExchangeConfig {
     /// Requests in all.
     pub count: u32,
     /// Requests that are under way at once.
-    pub at_once: usize,
+    pub concurrency: usize,
     /// Answers are smaller than this, in bytes.
-    pub most_bytes: usize,
+    pub body_size_range_bytes: usize,
 }
 
 /// What came of them.
@@ -58,8 +58,8 @@
 }
 
 /// Sends `GET /k0/7` through the daemons in turn.
-pub async fn exchange_many(fleet: &LocalFleet, exchanges: Exchanges) -> ExchangeCounts {
-    let places = Arc::new(Semaphore::new(exchanges.at_once));
+pub async fn exchange_many(fleet: &LocalFleet, exchanges: ExchangeConfig) -> ExchangeCounts {
+    let places = Arc::new(Semaphore::new(exchanges.concurrency));
     let mut tasks = Vec::new();
     let mut counts = ExchangeCounts::default();
     for number in 0..exchanges.count {
@@ -72,7 +72,7 @@
         let place = places.acquire_arc().await;
         let caller = fleet.caller(number as usize % fleet.daemons.len());
         tasks.push(fleet.ex.spawn(async move {
-            let end = one(caller, number, exchanges.most_bytes).await;
+            let end = one(caller, number, exchanges.body_size_range_bytes).await;
             drop(place);
             end
         }));
@@ -90,11 +90,11 @@
     }
 }
 
-async fn one(caller: crate::Client, number: u32, most_bytes: usize) -> End {
+async fn one(caller: crate::Client, number: u32, body_size_range_bytes: usize) -> End {
     let expected = Expected {
         echo: format!("request {number}"),
     };
-    let bytes = LEAST_BYTES + (number as usize * SIZE_STEP) % most_bytes;
+    let bytes = LEAST_BYTES + (number as usize * SIZE_STEP) % body_size_range_bytes;
     let req = Request::get(format!("/k0/7?bytes={bytes}")).body(Bytes::new());
     let req = req.expect("a request");
     if number.is_multiple_of(LEAVERS) {
--- a/crates/sorrelturn-bench/src/fleet.rs
+++ b/crates/sorrelturn-bench/src/fleet.rs
@@ -62,7 +62,7 @@
 
 impl FleetPlan {
     /// A fleet with so many instances of each service, spread over failure domains in turn.
-    pub fn of(
+    pub fn new(
         bundle: BundleSource,
         instances: &[(&str, usize)],
         failure_domains: &[&str],
@@ -139,7 +139,7 @@
     }
 
     /// The bundle as version 1, for plans of backend servers.
-    pub fn indexed(&self) -> Bundle {
+    pub fn indexed_bundle(&self) -> Bundle {
         Bundle::new(1, self.bundle.clone())
     }
 }
@@ -189,7 +189,7 @@
             let daemon = Daemon::start(settings, Dialect::own(), Arc::clone(&ex))
                 .await
                 .expect("the daemon starts on free ports");
-            let mut work = plan_for(&plan.indexed(), &instance.service, &plan.work_ms);
+            let mut work = plan_for(&plan.indexed_bundle(), &instance.service, &plan.work_ms);
             work.local = Some(daemon.addresses.local);
             backend.set_plan(work);
             daemons.push(daemon);
--- a/crates/sorrelturn-bench/src/idle_fleet.rs
+++ b/crates/sorrelturn-bench/src/idle_fleet.rs
@@ -55,7 +55,7 @@
 }
 
 fn plan(size: usize) -> FleetPlan {
-    let mut plan = FleetPlan::of(bundle(0), &[], &["-"], &[]);
+    let mut plan = FleetPlan::new(bundle(0), &[], &["-"], &[]);
     plan.instances = (0..size)
         .map(|number| InstancePlan {
             instance: format!("i{number}"),
@@ -67,7 +67,7 @@
 }
 
 /// What all daemons had used at one moment.
-pub(crate) struct Reading {
+pub(crate) struct UsageSnapshot {
     /// Control bytes of each daemon.
     pub(crate) bytes: Vec<f64>,
     /// Processor seconds of each daemon.
@@ -116,7 +116,7 @@
 
 impl IdleFleet {
     /// Waits until everybody knows everybody.
-    pub(crate) async fn settle(&self, size: usize) {
+    pub(crate) async fn wait_until_ready(&self, size: usize) {
         for (_, addresses) in &self.daemons {
             let until = Instant::now() + WAIT;
             loop {
@@ -131,7 +131,7 @@
     }
 
     /// Control bytes and processor seconds of each daemon, and the store's counters.
-    pub(crate) async fn reading(&self) -> Reading {
+    pub(crate) async fn usage(&self) -> UsageSnapshot {
         let mut bytes = Vec::new();
         for (_, addresses) in &self.daemons {
             let status: StatusReport = get(addresses.admin, "/status").await;
@@ -143,7 +143,7 @@
             .map(|(process, _)| cpu_time(process.pid()).as_secs_f64())
             .collect();
         let counters = get(self.platform, "/stand-in/counters").await;
-        Reading {
+        UsageSnapshot {
             bytes,
             cpu_s: cpu,
             counters,
--- a/crates/sorrelturn-bench/src/load.rs
+++ b/crates/sorrelturn-bench/src/load.rs
@@ -20,20 +20,20 @@
 
 /// How callers behave after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Retries {
+pub struct RetryConfig {
     /// How often a caller asks in all.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// The pause before it asks again; hard retries don't look at Retry-After.
-    pub pause: Duration,
+    pub interval: Duration,
 }
 
 /// How a caller reaches at-most-once kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnceWay {
+pub enum TokenMode {
     /// It gets a token first.
-    Token,
+    WithToken,
     /// There is nothing that it could get.
-    Plain,
+    WithoutToken,
 }
 
 /// One root request as its caller saw it in the end.
@@ -52,7 +52,7 @@
     /// Whether the answer was another caller's or cut.
     pub wrong: bool,
     /// How often it was sent.
-    pub tries: u32,
+    pub attempts: u32,
     /// The last status; 0 where there was none.
     pub status: u16,
     /// What the last refusal said.
@@ -60,7 +60,7 @@
     /// The key under which backend servers counted its executions.
     pub key: String,
     /// Tries that were answered "not run".
-    pub told_not_run: u32,
+    pub not_run_answers: u32,
 }
 
 /// The callers of one run.
@@ -72,26 +72,26 @@
     /// What they send.
     pub workload: Arc<Workload>,
     /// How they retry.
-    pub retries: Retries,
+    pub retries: RetryConfig,
     /// How they reach at-most-once kinds.
-    pub once: OnceWay,
+    pub token_mode: TokenMode,
 }
 
-/// A stretch of time with a steady rate of root requests a second.
+/// A phase of time with a steady rate of root requests a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stretch {
+pub struct LoadPhase {
     /// The rate.
     pub rate: f64,
     /// Its length.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 impl Load {
-    /// Sends the stretches one after another; `at_stretch` is called when each begins.
+    /// Sends the phases one after another; `on_phase_start` is called when each begins.
     pub async fn run(
         &self,
-        stretches: &[Stretch],
-        mut at_stretch: impl FnMut(usize),
+        phases: &[LoadPhase],
+        mut on_phase_start: impl FnMut(usize),
     ) -> Vec<Record> {
         let records = Arc::new(Mutex::new(Vec::new()));
         let start = Instant::now();
@@ -99,16 +99,16 @@
         let mut tasks = Vec::new();
         let mut begin = Duration::ZERO;
         let mut number = 0;
-        for (at, stretch) in stretches.iter().enumerate() {
-            at_stretch(at);
+        for (at, phase) in phases.iter().enumerate() {
+            on_phase_start(at);
             let mut next = begin;
-            while next < begin + stretch.length {
+            while next < begin + phase.duration {
                 Timer::at(start + next).await;
                 let caller = Caller {
                     client: self.entries[number % self.entries.len()].clone(),
                     part: self.workload.random_kind(&mut rng).clone(),
                     retries: self.retries,
-                    once: self.once,
+                    token_mode: self.token_mode,
                     key: format!("k{number}"),
                     start,
                 };
@@ -120,9 +120,9 @@
                 }));
                 number += 1;
                 // Poisson arrivals: independent callers don't come in step.
-                next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / stretch.rate);
+                next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / phase.rate);
             }
-            begin += stretch.length;
+            begin += phase.duration;
         }
         for task in tasks {
             task.await;
@@ -135,8 +135,8 @@
 struct Caller {
     client: Client,
     part: MixPart,
-    retries: Retries,
-    once: OnceWay,
+    retries: RetryConfig,
+    token_mode: TokenMode,
     key: String,
     start: Instant,
 }
@@ -151,15 +151,15 @@
             kind: self.part.kind.clone(),
             good: false,
             wrong: false,
-            tries: 0,
+            attempts: 0,
             status: 0,
             reason: String::new(),
             key: self.key.clone(),
-            told_not_run: 0,
+            not_run_answers: 0,
         };
         let mut token = None;
-        while record.tries < self.retries.tries {
-            record.tries += 1;
+        while record.attempts < self.retries.max_attempts {
+            record.attempts += 1;
             let answer = self.try_once(&mut token).await;
             if let Some(answer) = &answer {
                 record.status = answer.status;
@@ -168,7 +168,7 @@
                 if answer.verdict() == "not-run" {
                     // A refused token stays refused, so the next try takes a fresh one.
                     token = None;
-                    record.told_not_run += 1;
+                    record.not_run_answers += 1;
                 }
             }
             if answer.is_some_and(|answer| answer.status == 200 && !answer.wrong) {
@@ -178,14 +178,14 @@
             if sent.elapsed() > USEFUL_TIME {
                 break;
             }
-            Timer::after(self.retries.pause).await;
+            Timer::after(self.retries.interval).await;
         }
         record.done = self.start.elapsed();
         record
     }
 
     async fn try_once(&self, token: &mut Option<String>) -> Option<Answer> {
-        if self.part.at_most_once && self.once == OnceWay::Token && token.is_none() {
+        if self.part.at_most_once && self.token_mode == TokenMode::WithToken && token.is_none() {
             let answer = self.get_token().await?;
             match answer.header("sorrelturn-token") {
                 Some(given) => *token = Some(given.to_owned()),
--- a/crates/sorrelturn-bench/src/processes.rs
+++ b/crates/sorrelturn-bench/src/processes.rs
@@ -248,7 +248,7 @@
             settings,
         };
         let service = &daemon.settings.service;
-        let mut plan = plan_for(&self.plan.indexed(), service, &self.plan.work_ms);
+        let mut plan = plan_for(&self.plan.indexed_bundle(), service, &self.plan.work_ms);
         plan.local = Some(addresses.local);
         daemon.set_plan(&plan).await;
         daemon
--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -5,7 +5,7 @@
     baseline::{Baseline, BaselineKind},
     client::Client,
     fleet::LocalFleet,
-    load::{Load, OnceWay, Retries, Stretch},
+    load::{Load, LoadPhase, RetryConfig, TokenMode},
     plan::plan_for,
     summary::{Summary, SummaryInput},
     workload::Workload,
@@ -112,16 +112,16 @@
 
 impl PhaseDurations {
     /// The phases: normal and overload in turn, beginning and ending with a normal phase.
-    fn stretches(&self, normal: f64, scenario: &Scenario) -> Vec<Stretch> {
+    fn phases(&self, normal: f64, scenario: &Scenario) -> Vec<LoadPhase> {
         let last = 2 * scenario.overloads;
         (0..=last)
-            .map(|at| Stretch {
+            .map(|at| LoadPhase {
                 rate: if is_overload(at) {
                     normal * scenario.surge
                 } else {
                     normal
                 },
-                length: match at {
+                duration: match at {
                     0 => self.before,
                     at if is_overload(at) => self.overload,
                     at if at == last => self.after,
@@ -138,11 +138,11 @@
 }
 
 /// The time ranges of the overload phases, since the start of the load.
-fn overloads(stretches: &[Stretch]) -> Vec<Range<Duration>> {
+fn overloads(phases: &[LoadPhase]) -> Vec<Range<Duration>> {
     let mut begin = Duration::ZERO;
     let mut overloads = Vec::new();
-    for (at, stretch) in stretches.iter().enumerate() {
-        let end = begin + stretch.length;
+    for (at, phase) in phases.iter().enumerate() {
+        let end = begin + phase.duration;
         if is_overload(at) {
             overloads.push(begin..end);
         }
@@ -162,23 +162,23 @@
 ) -> Summary {
     let running = start(&ex, workload, system).await;
     let normal = workload.capacity * NORMAL_LOAD_FRACTION;
-    let stretches = durations.stretches(normal, scenario);
+    let phases = durations.phases(normal, scenario);
     let load = Load {
         ex: Arc::clone(&ex),
         entries: running.entries.clone(),
         workload: Arc::clone(workload),
-        retries: Retries {
-            tries: scenario.tries,
-            pause: Duration::from_millis(20),
+        retries: RetryConfig {
+            max_attempts: scenario.tries,
+            interval: Duration::from_millis(20),
         },
-        once: match system {
-            System::Sorrelturn => OnceWay::Token,
-            System::Baseline(_) => OnceWay::Plain,
+        token_mode: match system {
+            System::Sorrelturn => TokenMode::WithToken,
+            System::Baseline(_) => TokenMode::WithoutToken,
         },
     };
     let deep = running.backends_of(workload.deep_service);
     let records = load
-        .run(&stretches, |at| {
+        .run(&phases, |at| {
             let slow = if is_overload(at) { scenario.slow } else { 1.0 };
             for backend in &deep {
                 backend.change_plan(|plan| plan.slow = slow);
@@ -190,7 +190,7 @@
             });
         })
         .await;
-    let overloads = overloads(&stretches);
+    let overloads = overloads(&phases);
     let max_goodput = workload.max_goodput(normal * scenario.surge, scenario.slow);
     summarize(
         &running,
@@ -210,10 +210,10 @@
     max_goodput: BTreeMap<Importance, f64>,
     records: &[crate::load::Record],
 ) -> Summary {
-    let bundle = workload.fleet.indexed();
+    let bundle = workload.fleet.indexed_bundle();
     let mut executions_by_key: HashMap<String, u32> = HashMap::new();
     for (_, backend) in &running.backends {
-        for (name, count) in backend.ran() {
+        for (name, count) in backend.executions_by_key() {
             *executions_by_key.entry(name).or_default() += count;
         }
     }
@@ -301,7 +301,7 @@
     workload: &Workload,
     kind: BaselineKind,
 ) -> RunningSystem {
-    let bundle = workload.fleet.indexed();
+    let bundle = workload.fleet.indexed_bundle();
     let proxy = Baseline::new(kind, bundle.clone());
     let (mut tasks, mut backends, mut entries) = (Vec::new(), Vec::new(), Vec::new());
     let bind = async || {
--- a/crates/sorrelturn-bench/src/soak/caller.rs
+++ b/crates/sorrelturn-bench/src/soak/caller.rs
@@ -1,7 +1,7 @@
 //! A caller that writes and reads bytes itself, so that it sees where an answer ends or breaks off.
 
 use super::checker::Ending;
-use crate::client::{Expected, is_own_and_whole};
+use crate::client::{Expected, is_expected_body};
 use smol::{
     Timer,
     future::FutureExt,
@@ -122,7 +122,7 @@
         }
         let body = &self.unread[head_end..whole];
         let echo = question.id.to_owned();
-        let own = is_own_and_whole(body, &Expected { echo });
+        let own = is_expected_body(body, &Expected { echo });
         let another = head.id.is_some_and(|id| id != question.id);
         self.unread.drain(..whole);
         Heard {
--- a/crates/sorrelturn-bench/src/summary.rs
+++ b/crates/sorrelturn-bench/src/summary.rs
@@ -113,7 +113,10 @@
             .map(|record| u64::from(input.min_executions.get(&record.kind).copied().unwrap_or(1)))
             .sum();
         let wasted = input.executions.saturating_sub(useful);
-        let tries: u64 = records.iter().map(|record| u64::from(record.tries)).sum();
+        let tries: u64 = records
+            .iter()
+            .map(|record| u64::from(record.attempts))
+            .sum();
         let per_second = |good: usize, length: Duration| good as f64 / length.as_secs_f64();
         let good = |record: &&Record| record.good;
         Self {
@@ -211,7 +214,7 @@
 fn false_not_run(records: &[Record], input: &SummaryInput) -> u64 {
     records
         .iter()
-        .filter(|record| record.told_not_run == record.tries)
+        .filter(|record| record.not_run_answers == record.attempts)
         .filter(|record| {
             let name = format!("{} {}", record.key, record.kind);
             input
--- a/crates/sorrelturn-bench/src/workload.rs
+++ b/crates/sorrelturn-bench/src/workload.rs
@@ -102,7 +102,7 @@
             .iter()
             .map(|(service, count)| ((*service).to_owned(), *count))
             .collect();
-        let mut fleet = FleetPlan::of(bundle, instances, &domains, &[]);
+        let mut fleet = FleetPlan::new(bundle, instances, &domains, &[]);
         fleet.work_ms = work_ms;
         let mut workload = Self {
             fleet,
--- a/crates/sorrelturn-bench/tests/at_most_once.rs
+++ b/crates/sorrelturn-bench/tests/at_most_once.rs
@@ -18,7 +18,7 @@
 const ENTRY: usize = 2;
 
 async fn start(ex: Arc<Executor<'static>>, test: &str) -> ProcessFleet {
-    let plan = FleetPlan::of(
+    let plan = FleetPlan::new(
         bundle("protokols-riga.jsonc"),
         &[("scheduling", OWNERS), ("certification", 1)],
         &["riga-a", "riga-b"],
@@ -229,7 +229,11 @@
     run_on(1, async |ex| {
         let fleet = start(ex, "once_gone").await;
         for daemon in &fleet.daemons[..OWNERS] {
-            let mut plan = plan_for(&fleet.plan.indexed(), "scheduling", &fleet.plan.work_ms);
+            let mut plan = plan_for(
+                &fleet.plan.indexed_bundle(),
+                "scheduling",
+                &fleet.plan.work_ms,
+            );
             plan.local = Some(daemon.addresses.local);
             plan.slow = 300.0;
             daemon.set_plan(&plan).await;
--- a/crates/sorrelturn-bench/tests/bad_input.rs
+++ b/crates/sorrelturn-bench/tests/bad_input.rs
@@ -13,7 +13,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 async fn start(ex: Arc<Executor<'static>>, test: &str) -> ProcessFleet {
-    let plan = FleetPlan::of(
+    let plan = FleetPlan::new(
         bundle("protokols-riga.jsonc"),
         &[("scheduling", 1), ("certification", 1)],
         &["riga-a"],
--- a/crates/sorrelturn-bench/tests/bundles_spread.rs
+++ b/crates/sorrelturn-bench/tests/bundles_spread.rs
@@ -19,7 +19,7 @@
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
 async fn start(ex: Arc<Executor<'static>>, test: &str, count: usize) -> ProcessFleet {
-    let plan = FleetPlan::of(chain(1, 2), &[("s0", count)], &DOMAINS, &[]);
+    let plan = FleetPlan::new(chain(1, 2), &[("s0", count)], &DOMAINS, &[]);
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
--- a/crates/sorrelturn-bench/tests/connections.rs
+++ b/crates/sorrelturn-bench/tests/connections.rs
@@ -38,7 +38,7 @@
         let service = deployment.services.get_mut("s0").expect("the chain has it");
         service.slots = 2;
         service.connections = 2;
-        let plan = FleetPlan::of(deployment, &[("s0", 1)], &["a"], &[]);
+        let plan = FleetPlan::new(deployment, &[("s0", 1)], &["a"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
         let caller = fleet.caller(0);
         assert_eq!(status(&caller).await, (200, "ran".to_owned()));
--- a/crates/sorrelturn-bench/tests/cut_network.rs
+++ b/crates/sorrelturn-bench/tests/cut_network.rs
@@ -95,7 +95,7 @@
         let kind = scheduling.kinds.get_mut("stenographer-book");
         kind.expect("the example has it").deadline_ms = 1_000;
         let services = [("certification", 1), ("scheduling", 1)];
-        let plan = FleetPlan::of(deployment, &services, &["riga-a"], &[]);
+        let plan = FleetPlan::new(deployment, &services, &["riga-a"], &[]);
         let (fleet, paths) = start(ex, plan, "cut_booking").await;
         let caller = fleet.caller(0);
         let wanted = r#"{ "method": "POST", "path": "/bookings/h1" }"#;
@@ -138,7 +138,7 @@
         let service = deployment.services.get_mut("s0").expect("the chain has it");
         let kind = service.kinds.get_mut("k0").expect("the chain has it");
         kind.deadline_ms = 500;
-        let plan = FleetPlan::of(deployment, &[("s0", 4)], &["a"], &[]);
+        let plan = FleetPlan::new(deployment, &[("s0", 4)], &["a"], &[]);
         let (fleet, paths) = start(ex, plan, "cut_calls").await;
         let caller = fleet.caller(0);
         paths.cut();
@@ -155,7 +155,7 @@
 #[test]
 fn a_daemon_that_neither_platform_nor_peers_reach_asks_and_has_the_bundle_in_force() {
     run_on(1, async |ex| {
-        let plan = FleetPlan::of(chain(1, 2), &[("s0", 4)], &["a", "b"], &[]);
+        let plan = FleetPlan::new(chain(1, 2), &[("s0", 4)], &["a", "b"], &[]);
         let (fleet, paths) = start(ex, plan, "cut_daemon").await;
         paths.cut();
         let mut bundle = chain(1, 2);
--- a/crates/sorrelturn-bench/tests/leaving.rs
+++ b/crates/sorrelturn-bench/tests/leaving.rs
@@ -22,7 +22,7 @@
 };
 
 async fn start(ex: Arc<Executor<'static>>, test: &str) -> ProcessFleet {
-    let mut plan = FleetPlan::of(chain(2, 6), &[("s1", 3), ("s0", 3)], &["a", "b"], &[]);
+    let mut plan = FleetPlan::new(chain(2, 6), &[("s1", 3), ("s0", 3)], &["a", "b"], &[]);
     plan.work_ms.insert("k1".to_owned(), 30.0);
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
@@ -155,7 +155,7 @@
             assert!(asked.await.is_ok_and(|res| res.status().is_success()));
         }
         Signal::Backend => {
-            let mut plan: Plan = plan_for(&fleet.plan.indexed(), "s1", &fleet.plan.work_ms);
+            let mut plan: Plan = plan_for(&fleet.plan.indexed_bundle(), "s1", &fleet.plan.work_ms);
             plan.local = Some(leaver.addresses.local);
             plan.fault = Fault::Drains;
             leaver.set_plan(&plan).await;
--- a/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
+++ b/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
@@ -25,7 +25,7 @@
         let platform = platform_listener.local_addr().expect("address");
         let stand_in = serve(Arc::clone(&ex), platform_listener, StandIn::default());
         let _stand_in = ex.spawn(stand_in);
-        let plan = FleetPlan::of(chain(1, 1), &[("s0", 1)], &["a"], &[]);
+        let plan = FleetPlan::new(chain(1, 1), &[("s0", 1)], &["a"], &[]);
         publish_bundle(
             &Platform::new(platform, Duration::from_secs(20)),
             &plan.bundle,
@@ -84,7 +84,7 @@
 #[test]
 fn refusals_before_the_work_are_not_run_and_failures_after_it_are_not() {
     run_on(2, async |ex| {
-        let plan = FleetPlan::of(chain(1, 1), &[("s0", 1)], &["a"], &[]);
+        let plan = FleetPlan::new(chain(1, 1), &[("s0", 1)], &["a"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
         let caller = fleet.caller(0);
         let backend = &fleet.backends[0];
@@ -124,7 +124,7 @@
 #[test]
 fn a_parent_whose_child_was_not_run_has_itself_run() {
     run_on(2, async |ex| {
-        let plan = FleetPlan::of(chain(2, 2), &[("s0", 1), ("s1", 1)], &["a"], &[]);
+        let plan = FleetPlan::new(chain(2, 2), &[("s0", 1), ("s1", 1)], &["a"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
         fleet.backends[1].change_plan(|plan| plan.fault = Fault::Refuses);
         let answer = fleet.caller(0).send(request("GET", "/k0/7"), None).await;
--- a/crates/sorrelturn-bench/tests/own_whole_answers.rs
+++ b/crates/sorrelturn-bench/tests/own_whole_answers.rs
@@ -4,21 +4,21 @@
 
 use common::{chain, request};
 use smol::Timer;
-use sorrelturn_bench::{Exchanges, FleetPlan, LocalFleet, exchange_many, run_on};
+use sorrelturn_bench::{ExchangeConfig, FleetPlan, LocalFleet, exchange_many, run_on};
 use std::time::Duration;
 
 fn fleet_plan() -> FleetPlan {
-    FleetPlan::of(chain(2, 6), &[("s0", 2), ("s1", 2)], &["a", "b"], &[])
+    FleetPlan::new(chain(2, 6), &[("s0", 2), ("s1", 2)], &["a", "b"], &[])
 }
 
 #[test]
 fn under_concurrency_cuts_and_cancellations_no_answer_is_mixed_up_or_cut_as_whole() {
     run_on(4, async |ex| {
         let fleet = LocalFleet::start(ex, fleet_plan()).await;
-        let exchanges = Exchanges {
+        let exchanges = ExchangeConfig {
             count: 3_000,
-            at_once: 128,
-            most_bytes: 200_000,
+            concurrency: 128,
+            body_size_range_bytes: 200_000,
         };
         let counts = exchange_many(&fleet, exchanges).await;
         assert_eq!(counts.wrong, 0, "{counts:?}");
--- a/crates/sorrelturn-bench/tests/rerouting.rs
+++ b/crates/sorrelturn-bench/tests/rerouting.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_call_that_is_turned_away_asks_each_instance_once() {
     run_on(4, async |ex| {
-        let plan = FleetPlan::of(chain(1, ATTEMPTS), &[("s0", 2)], &["a", "b"], &[]);
+        let plan = FleetPlan::new(chain(1, ATTEMPTS), &[("s0", 2)], &["a", "b"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
         for backend in &fleet.backends {
             backend.change_plan(|plan| plan.fault = Fault::Refuses);
--- a/crates/sorrelturn-bench/tests/retries_over_the_chain.rs
+++ b/crates/sorrelturn-bench/tests/retries_over_the_chain.rs
@@ -11,7 +11,7 @@
 fn fleet_plan() -> FleetPlan {
     let names: Vec<String> = (0..DEPTH).map(|at| format!("s{at}")).collect();
     let instances: Vec<(&str, usize)> = names.iter().map(|name| (name.as_str(), 1)).collect();
-    FleetPlan::of(chain(DEPTH, ATTEMPTS), &instances, &["a", "b"], &[])
+    FleetPlan::new(chain(DEPTH, ATTEMPTS), &instances, &["a", "b"], &[])
 }
 
 async fn executions(fleet: &LocalFleet) -> u64 {
--- a/crates/sorrelturn-bench/tests/security.rs
+++ b/crates/sorrelturn-bench/tests/security.rs
@@ -40,7 +40,7 @@
 }
 
 async fn start(ex: Arc<Executor<'static>>, keys: &Path, test: &str) -> ProcessFleet {
-    let mut plan = FleetPlan::of(chain(2, 6), &[("s0", 1), ("s1", 2)], &["a"], &[]);
+    let mut plan = FleetPlan::new(chain(2, 6), &[("s0", 1), ("s1", 2)], &["a"], &[]);
     plan.fleet_keys = Some(settings(keys));
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
--- a/crates/sorrelturn-bench/tests/streaming.rs
+++ b/crates/sorrelturn-bench/tests/streaming.rs
@@ -39,7 +39,7 @@
         pack.attempts = 1;
         // The one thread of the fake backend server makes six packs one after another.
         pack.deadline_ms = 120_000;
-        let plan = FleetPlan::of(deployment, &[("audio", 1), ("archive", 1)], &["a"], &[]);
+        let plan = FleetPlan::new(deployment, &[("audio", 1), ("archive", 1)], &["a"], &[]);
         let fleet = ProcessFleet::start(ex, plan, &folder("streaming")).await;
         let entry = fleet.daemons[1].addresses.callers;
         let before: Vec<u64> = fleet
--- a/crates/sorrelturn-bench/tests/telemetry.rs
+++ b/crates/sorrelturn-bench/tests/telemetry.rs
@@ -53,7 +53,7 @@
             }
         });
         let statsd = UdpSocket::bind("127.0.0.1:0").await.expect("bind");
-        let mut plan = FleetPlan::of(chain(3, 6), &[("s0", 1), ("s1", 1), ("s2", 1)], &["a"], &[]);
+        let mut plan = FleetPlan::new(chain(3, 6), &[("s0", 1), ("s1", 1), ("s2", 1)], &["a"], &[]);
         plan.trace = Some(TraceSettings {
             collector,
             buffer: 1_000,
--- a/crates/sorrelturn-bench/tests/whole_path.rs
+++ b/crates/sorrelturn-bench/tests/whole_path.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn a_callers_request_crosses_two_services_and_brings_its_own_whole_answer() {
-    let plan = FleetPlan::of(
+    let plan = FleetPlan::new(
         bundle("protokols-riga.jsonc"),
         &[("archive", 2), ("certification", 2)],
         &["riga-a", "riga-b"],
