--- a/crates/sorrelturn-bench/src/backend.rs
+++ b/crates/sorrelturn-bench/src/backend.rs
@@ -1,4 +1,4 @@
-//! A fake backend server: slots, work, nested calls, faults on command, and a count of what ran.
+//! A fake backend server with configurable slots, work, nested calls and faults; it counts executions.
 
 use crate::{
     client::{self, Client},
@@ -27,10 +27,10 @@
 
 type Body = BoxBody<Bytes, io::Error>;
 
-/// The size of the pieces in which answers are sent.
-const PIECE_BYTES: usize = 64 << 10;
+/// The size of the chunks in which answers are sent.
+const CHUNK_BYTES: usize = 64 << 10;
 
-/// A fake backend server's state.
+/// A fake backend server. Clones share their state.
 #[derive(Clone, Default)]
 pub struct FakeBackend {
     state: Arc<Mutex<State>>,
@@ -43,7 +43,7 @@
     plan: Plan,
     slots: Arc<Semaphore>,
     executions_by_key: HashMap<String, u32>,
-    clients: Option<Client>,
+    local_client: Option<Client>,
 }
 
 impl Default for State {
@@ -52,12 +52,12 @@
             plan: Plan::default(),
             slots: Arc::new(Semaphore::new(1)),
             executions_by_key: HashMap::new(),
-            clients: None,
+            local_client: None,
         }
     }
 }
 
-/// Serves on `listener` until the task is dropped.
+/// Serves requests on `listener` until the future is dropped.
 pub async fn serve_backend(
     ex: Arc<Executor<'static>>,
     listener: TcpListener,
@@ -69,9 +69,9 @@
             continue;
         };
         let _ = tcp.set_nodelay(true);
-        let (backend, nested) = (backend.clone(), Arc::clone(&ex));
+        let (backend, ex_of_conn) = (backend.clone(), Arc::clone(&ex));
         let conn = async move {
-            let service = service_fn(|req| backend.answer(&nested, req));
+            let service = service_fn(|req| backend.handle(&ex_of_conn, req));
             let _ = http1::Builder::new()
                 .serve_connection(hyper_io(tcp), service)
                 .await;
@@ -80,13 +80,13 @@
     }
 }
 
-/// Counts a request that was dropped before its end as cancelled.
-struct Running {
+/// Counts a request as cancelled if it is dropped before it has finished.
+struct CancellationGuard {
     cancelled: Arc<AtomicU64>,
     finished: bool,
 }
 
-impl Drop for Running {
+impl Drop for CancellationGuard {
     fn drop(&mut self) {
         if !self.finished {
             self.cancelled.fetch_add(1, Ordering::Relaxed);
@@ -95,41 +95,41 @@
 }
 
 impl FakeBackend {
-    /// Replaces the plan; requests under way go on with the old one.
+    /// Replaces the plan; requests in progress continue with the old one.
     pub fn set_plan(&self, plan: Plan) {
         let mut state = self.lock();
         if plan.slots != state.plan.slots {
             state.slots = Arc::new(Semaphore::new(plan.slots.max(1)));
         }
         if plan.local != state.plan.local {
-            state.clients = None;
+            state.local_client = None;
         }
         state.plan = plan;
     }
 
-    /// Changes a part of the plan.
+    /// Updates the plan in place.
     pub fn change_plan(&self, change: impl FnOnce(&mut Plan)) {
         let mut plan = self.lock().plan.clone();
         change(&mut plan);
         self.set_plan(plan);
     }
 
-    /// How many requests were begun.
+    /// The number of requests whose execution began.
     pub fn executions(&self) -> u64 {
         self.executions.load(Ordering::Relaxed)
     }
 
-    /// How many requests were refused before any work.
+    /// The number of requests refused before execution.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
-    /// How many requests were dropped by their caller.
+    /// The number of requests cancelled by their caller.
     pub fn cancelled(&self) -> u64 {
         self.cancelled.load(Ordering::Relaxed)
     }
 
-    /// How often each request that carried `x-execution-key` was begun.
+    /// The number of executions by `x-execution-key` and kind, as `"{key} {kind}"`.
     pub fn executions_by_key(&self) -> HashMap<String, u32> {
         self.lock().executions_by_key.clone()
     }
@@ -138,30 +138,30 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(
+    async fn handle(
         &self,
         ex: &Arc<Executor<'static>>,
         req: Request<Incoming>,
     ) -> Result<Response<Body>, Infallible> {
         let path = req.uri().path().to_owned();
         Ok(match (req.method(), path.as_str()) {
-            (&Method::PUT, "/fake/plan") => self.take_plan(req).await,
+            (&Method::PUT, "/fake/plan") => self.receive_plan(req).await,
             (&Method::GET, "/fake/ran") => {
-                let text = serde_json::to_vec(&self.executions_by_key()).unwrap_or_default();
-                whole(StatusCode::OK, text)
+                let json = serde_json::to_vec(&self.executions_by_key()).unwrap_or_default();
+                full_response(StatusCode::OK, json)
             }
             (&Method::GET, "/fake/counts") => {
                 let counts = [self.executions(), self.cancelled()];
-                whole(
+                full_response(
                     StatusCode::OK,
                     serde_json::to_vec(&counts).unwrap_or_default(),
                 )
             }
-            _ => self.work(ex, req).await,
+            _ => self.execute(ex, req).await,
         })
     }
 
-    async fn take_plan(&self, req: Request<Incoming>) -> Response<Body> {
+    async fn receive_plan(&self, req: Request<Incoming>) -> Response<Body> {
         let body = req.into_body().collect().await.map(|body| body.to_bytes());
         let plan = body
             .ok()
@@ -169,30 +169,30 @@
         match plan {
             Some(plan) => {
                 self.set_plan(plan);
-                whole(StatusCode::OK, "{}")
+                full_response(StatusCode::OK, "{}")
             }
-            None => whole(StatusCode::BAD_REQUEST, "no plan"),
+            None => full_response(StatusCode::BAD_REQUEST, "the body is not a valid plan"),
         }
     }
 
-    async fn work(&self, ex: &Arc<Executor<'static>>, req: Request<Incoming>) -> Response<Body> {
+    async fn execute(&self, ex: &Arc<Executor<'static>>, req: Request<Incoming>) -> Response<Body> {
         let (plan, slots, client) = {
             let mut state = self.lock();
             let local = state.plan.local;
-            if state.clients.is_none() {
-                state.clients = local.map(|local| Client::new(Arc::clone(ex), local));
+            if state.local_client.is_none() {
+                state.local_client = local.map(|local| Client::new(Arc::clone(ex), local));
             }
             (
                 state.plan.clone(),
                 Arc::clone(&state.slots),
-                state.clients.clone(),
+                state.local_client.clone(),
             )
         };
         if plan.fault == Fault::Refuses {
             self.refused.fetch_add(1, Ordering::Relaxed);
-            return whole(StatusCode::SERVICE_UNAVAILABLE, "busy");
+            return full_response(StatusCode::SERVICE_UNAVAILABLE, "busy");
         }
-        let mut running = Running {
+        let mut guard = CancellationGuard {
             cancelled: Arc::clone(&self.cancelled),
             finished: false,
         };
@@ -202,29 +202,37 @@
             .iter()
             .find(|kind| kind.matches(parts.method.as_str(), parts.uri.path()));
         let Some(kind) = kind else {
-            running.finished = true;
-            return whole(StatusCode::NOT_FOUND, "no such kind");
+            guard.finished = true;
+            return full_response(
+                StatusCode::NOT_FOUND,
+                "no kind matches this method and path",
+            );
         };
         self.executions.fetch_add(1, Ordering::Relaxed);
-        if let Some(key) = text(&parts.headers, "x-execution-key") {
-            let name = format!("{key} {}", kind.name);
-            *self.lock().executions_by_key.entry(name).or_default() += 1;
+        if let Some(key) = header_text(&parts.headers, "x-execution-key") {
+            let key_and_kind = format!("{key} {}", kind.name);
+            *self
+                .lock()
+                .executions_by_key
+                .entry(key_and_kind)
+                .or_default() += 1;
         }
         let _ = body.collect().await;
         let _slot = slots.acquire().await;
         Timer::after(Duration::from_secs_f64(kind.work_ms * plan.slow / 1000.0)).await;
-        let nested = nested_calls(client.as_ref(), kind, &plan, &parts.headers).await;
-        running.finished = true;
-        if !nested {
-            return whole(StatusCode::BAD_GATEWAY, "a nested call failed");
+        let nested_calls_succeeded =
+            make_nested_calls(client.as_ref(), kind, &plan, &parts.headers).await;
+        guard.finished = true;
+        if !nested_calls_succeeded {
+            return full_response(StatusCode::BAD_GATEWAY, "a nested call failed");
         }
         let query = parts.uri.query().unwrap_or("");
-        finish(&plan, query, text(&parts.headers, "x-echo"))
+        answer_response(&plan, query, header_text(&parts.headers, "x-echo"))
     }
 }
 
-/// Makes the nested calls as a well-behaved backend server does: with the headers of its request.
-async fn nested_calls(
+/// Makes the nested calls of a kind with the headers of the request; returns whether all succeeded.
+async fn make_nested_calls(
     client: Option<&Client>,
     kind: &KindPlan,
     plan: &Plan,
@@ -234,7 +242,7 @@
         return kind.calls.is_empty();
     };
     for call in &kind.calls {
-        let mut good = false;
+        let mut succeeded = false;
         for _ in 0..plan.nested_tries.max(1) {
             let mut req = Request::new(Bytes::new());
             *req.method_mut() = call.method.parse().unwrap_or(Method::GET);
@@ -245,38 +253,38 @@
                 }
             }
             let answer = client.send(req, None).await;
-            good = answer.is_ok_and(|answer| answer.status < 400);
-            if good {
+            succeeded = answer.is_ok_and(|answer| answer.status < 400);
+            if succeeded {
                 break;
             }
         }
-        if !good {
+        if !succeeded {
             return false;
         }
     }
     true
 }
 
-/// The answer: the caller's own words, then bytes with a checksum.
-fn finish(plan: &Plan, query: &str, echo: Option<&str>) -> Response<Body> {
+/// The answer according to the plan's fault; the body holds the caller's echo text and a checksum.
+fn answer_response(plan: &Plan, query: &str, echo: Option<&str>) -> Response<Body> {
     let bytes: usize = query
         .strip_prefix("bytes=")
         .and_then(|bytes| bytes.parse().ok())
         .unwrap_or(64);
     let body = client::answer_body(echo.unwrap_or("-"), bytes);
     let mut res = match plan.fault {
-        Fault::AnswersError => return whole(StatusCode::INTERNAL_SERVER_ERROR, "broken"),
+        Fault::AnswersError => return full_response(StatusCode::INTERNAL_SERVER_ERROR, "broken"),
         Fault::BreaksBeforeHead => {
             let broken = stream::once(Err(io::ErrorKind::BrokenPipe.into()));
             let mut res = Response::new(BodyExt::boxed(StreamBody::new(broken)));
-            // An impossible head makes the server give the connection up before it answers.
+            // An invalid final status makes hyper close the connection without an answer.
             *res.status_mut() = StatusCode::CONTINUE;
             return res;
         }
         Fault::BreaksInBody => {
             let half = body.slice(..body.len() / 2);
-            let pieces = [Ok(Frame::data(half)), Err(io::ErrorKind::BrokenPipe.into())];
-            let broken = stream::iter(pieces);
+            let chunks = [Ok(Frame::data(half)), Err(io::ErrorKind::BrokenPipe.into())];
+            let broken = stream::iter(chunks);
             let mut res = Response::new(BodyExt::boxed(StreamBody::new(broken)));
             res.headers_mut()
                 .insert(hyper::header::CONTENT_LENGTH, body.len().into());
@@ -284,12 +292,12 @@
         }
         _ => {
             let len = body.len();
-            let pieces = (0..len.div_ceil(PIECE_BYTES)).map(move |piece| {
-                let start = piece * PIECE_BYTES;
-                let end = (start + PIECE_BYTES).min(len);
+            let chunks = (0..len.div_ceil(CHUNK_BYTES)).map(move |chunk| {
+                let start = chunk * CHUNK_BYTES;
+                let end = (start + CHUNK_BYTES).min(len);
                 Ok(Frame::data(body.slice(start..end)))
             });
-            let mut res = Response::new(BodyExt::boxed(StreamBody::new(stream::iter(pieces))));
+            let mut res = Response::new(BodyExt::boxed(StreamBody::new(stream::iter(chunks))));
             res.headers_mut()
                 .insert(hyper::header::CONTENT_LENGTH, len.into());
             res
@@ -302,12 +310,12 @@
     res
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn whole(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
-    let body = http_body_util::Full::new(text.into()).map_err(|never| match never {});
+fn full_response(status: StatusCode, content: impl Into<Bytes>) -> Response<Body> {
+    let body = http_body_util::Full::new(content.into()).map_err(|never| match never {});
     let mut res = Response::new(body.boxed());
     *res.status_mut() = status;
     res
--- a/crates/sorrelturn-bench/src/bin/sorrelturn-bench.rs
+++ b/crates/sorrelturn-bench/src/bin/sorrelturn-bench.rs
@@ -1,4 +1,4 @@
-//! The load driver and the fake backend server.
+//! The command line of the benchmarks, which include a load generator and a fake backend server.
 
 use sorrelturn_bench::{COMMANDS, root};
 use std::process::ExitCode;
@@ -10,6 +10,6 @@
     let entry = COMMANDS
         .iter()
         .find(|entry| entry.name == name)
-        .expect("every command of the signature is in the list");
+        .expect("every subcommand comes from COMMANDS");
     (entry.run)(args)
 }
--- a/crates/sorrelturn-bench/src/client.rs
+++ b/crates/sorrelturn-bench/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: pooled HTTP/1.1 connections, and a check that each answer is the own one and whole.
+//! An HTTP/1.1 client with pooled connections that checks that each answer is complete and its own.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -17,39 +17,40 @@
     time::Duration,
 };
 
-/// What a caller expects of a good answer.
+/// What a caller expects in a successful answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// The words that it sent in `x-echo`.
+    /// The text sent in `x-echo`, which the body starts with.
     pub echo: String,
 }
 
-/// An answer as its caller sees it.
+/// An answer as its caller receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Whether the body is another caller's, or cut and given as whole.
+    /// Whether a successful answer has an unexpected body: another caller's, or truncated without an error.
     pub wrong: bool,
 }
 
 impl Answer {
-    /// A header as text.
+    /// A header's value, if it is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The value of `sorrelturn-verdict`.
+    /// The value of `sorrelturn-verdict`, or `none`.
     pub fn verdict(&self) -> &str {
         self.header("sorrelturn-verdict").unwrap_or("none")
     }
 }
 
-/// The body that a fake backend server answers: the caller's words, padding, and a checksum.
+/// The body that a fake backend server answers: the echo text, padding, and a checksum.
+/// `bytes` is the length without the checksum.
 pub(crate) fn answer_body(echo: &str, bytes: usize) -> Bytes {
     let mut body = format!("{echo}\n").into_bytes();
     body.resize(bytes.max(body.len()), b'.');
@@ -58,17 +59,17 @@
     body.into()
 }
 
-/// Whether a body is one of [`answer_body`], with the words that were sent.
+/// Whether a body was made by [`answer_body`] with the expected echo text.
 pub(crate) fn is_expected_body(body: &[u8], expected: &Expected) -> bool {
     let Some(split) = body.len().checked_sub(64) else {
         return false;
     };
-    let (text, sum) = body.split_at(split);
-    let own = text.starts_with(format!("{}\n", expected.echo).as_bytes());
-    own && blake3::hash(text).to_hex().as_bytes() == sum
+    let (text, checksum) = body.split_at(split);
+    let has_own_echo = text.starts_with(format!("{}\n", expected.echo).as_bytes());
+    has_own_echo && blake3::hash(text).to_hex().as_bytes() == checksum
 }
 
-/// Connections to one address.
+/// A client of one address. Clones share its idle connections.
 #[derive(Clone)]
 pub struct Client {
     ex: Arc<Executor<'static>>,
@@ -77,7 +78,7 @@
 }
 
 impl Client {
-    /// A caller of `addr`.
+    /// Creates a client of `addr` without connecting.
     pub fn new(ex: Arc<Executor<'static>>, addr: SocketAddr) -> Self {
         Self {
             ex,
@@ -86,7 +87,11 @@
         }
     }
 
-    /// Sends a request and reads the whole answer; checks it if `expected` says how.
+    /// Sends a request and reads the complete answer; checks its body if `expected` is given.
+    ///
+    /// # Errors
+    ///
+    /// An I/O error if the connection fails before the answer is complete.
     pub async fn send(
         &self,
         mut req: Request<Bytes>,
@@ -113,8 +118,8 @@
             }
             match sender.try_send_request(req).await {
                 Ok(res) => {
-                    let answer = read(res, expected).await?;
-                    self.give_back(sender);
+                    let answer = read_answer(res, expected).await?;
+                    self.return_idle(sender);
                     return Ok(answer);
                 }
                 Err(mut error) => match error.take_message() {
@@ -125,18 +130,18 @@
         }
     }
 
-    /// As [`Client::send`], given up after `timeout`.
+    /// Like [`Client::send`], but fails with [`io::ErrorKind::TimedOut`] after `timeout`.
     pub async fn send_within(
         &self,
         req: Request<Bytes>,
         expected: Option<&Expected>,
         timeout: Duration,
     ) -> io::Result<Answer> {
-        let too_late = async {
+        let timed_out = async {
             Timer::after(timeout).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        self.send(req, expected).or(too_late).await
+        self.send(req, expected).or(timed_out).await
     }
 
     fn take_idle(&self) -> Option<SendRequest<Full<Bytes>>> {
@@ -149,7 +154,7 @@
         None
     }
 
-    fn give_back(&self, sender: SendRequest<Full<Bytes>>) {
+    fn return_idle(&self, sender: SendRequest<Full<Bytes>>) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.push(sender);
     }
@@ -158,19 +163,22 @@
         let tcp = TcpStream::connect(self.addr).await?;
         tcp.set_nodelay(true)?;
         let (sender, conn) = handshake(hyper_io(tcp)).await.map_err(io::Error::other)?;
-        let drive = async move {
+        let connection_task = async move {
             let _ = conn.await;
         };
-        self.ex.spawn(drive).detach();
+        self.ex.spawn(connection_task).detach();
         Ok(sender)
     }
 }
 
-async fn read(res: hyper::Response<Incoming>, expected: Option<&Expected>) -> io::Result<Answer> {
+async fn read_answer(
+    res: hyper::Response<Incoming>,
+    expected: Option<&Expected>,
+) -> io::Result<Answer> {
     let (head, body) = res.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let good = head.status.is_success();
-    let wrong = expected.is_some_and(|expected| good && !is_expected_body(&body, expected));
+    let is_success = head.status.is_success();
+    let wrong = expected.is_some_and(|expected| is_success && !is_expected_body(&body, expected));
     Ok(Answer {
         status: head.status.as_u16(),
         headers: head.headers,
--- a/crates/sorrelturn-bench/src/exec.rs
+++ b/crates/sorrelturn-bench/src/exec.rs
@@ -1,9 +1,9 @@
-//! An executor with threads for a while.
+//! A multi-threaded executor for the duration of one call.
 
 use smol::{Executor, channel};
 use std::{sync::Arc, thread};
 
-/// Runs `f` with an executor that has so many threads besides the caller's own, which works too.
+/// Runs `f` on an executor with `threads` threads in addition to the calling thread.
 pub fn run_on<T, F>(threads: usize, f: impl FnOnce(Arc<Executor<'static>>) -> F) -> T
 where
     F: Future<Output = T>,
@@ -18,8 +18,8 @@
             })
         })
         .collect();
-    // Boxed: that of a test that starts a fleet has tens of kilobytes, of which a debug build keeps seven copies on the
-    // stack, 1.5 of its 2 MB.
+    // Boxed because a debug build keeps several copies of this large future on the stack, which
+    // would nearly fill the stack of a test thread.
     let f = Box::pin(f(Arc::clone(&ex)));
     let result = smol::block_on(ex.run(f));
     drop(stop);
--- a/crates/sorrelturn-bench/src/fleet.rs
+++ b/crates/sorrelturn-bench/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet in one process, on loopback: the platform's stand-in, daemons, fake backends.
+//! A small fleet in one process, on loopback: a stand-in for the platform, daemons, fake backends.
 
 use crate::{
     backend::{FakeBackend, serve_backend},
@@ -21,47 +21,48 @@
     time::{Duration, Instant},
 };
 
-/// The name of the operator who signs in tests and measurements.
+/// The operator whose key signs bundles in tests and measurements.
 const OPERATOR: &str = "bench";
-/// The longest time for a small fleet to know itself.
-const READY_TIME: Duration = Duration::from_secs(60);
+/// The time limit for all daemons to discover one another and put the bundle in force.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A key that is the same in every run; it protects nothing.
+/// A fixed operator key for tests and measurements. It is not secret.
 pub fn operator_key() -> OperatorKey {
     let secret = "42".repeat(32);
-    OperatorKey::from_hex(OPERATOR, &secret).expect("the text has the form of a key")
+    OperatorKey::from_hex(OPERATOR, &secret).expect("the fixed key is valid hex")
 }
 
-/// One instance of a fleet.
+/// One instance of a [`FleetPlan`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstancePlan {
-    /// Its name.
+    /// The instance name.
     pub instance: String,
-    /// Its service.
+    /// The service it belongs to.
     pub service: String,
-    /// Its failure domain.
+    /// The failure domain it runs in.
     pub failure_domain: String,
 }
 
-/// A fleet to start.
+/// The configuration of a fleet to start.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     /// The bundle to publish.
     pub bundle: BundleSource,
-    /// The instances.
+    /// The instances to start.
     pub instances: Vec<InstancePlan>,
-    /// The work of each kind, in milliseconds; 1 where it is absent.
+    /// The processing time of each kind in milliseconds; 1 for kinds that are absent.
     pub work_ms: BTreeMap<String, f64>,
-    /// Where the daemons send traces.
+    /// The trace settings of the daemons.
     pub trace: Option<TraceSettings>,
-    /// Where the daemons send metrics.
+    /// The metrics settings of the daemons.
     pub metrics: Option<MetricsSettings>,
-    /// The keys by which the daemons recognise one another.
+    /// The keys with which the daemons authenticate one another.
     pub fleet_keys: Option<FleetKeySettings>,
 }
 
 impl FleetPlan {
-    /// A fleet with so many instances of each service, spread over failure domains in turn.
+    /// Creates a plan from the instance count of each service, with the instances of each service
+    /// assigned to the failure domains in turn.
     pub fn new(
         bundle: BundleSource,
         instances: &[(&str, usize)],
@@ -91,25 +92,25 @@
         }
     }
 
-    /// The settings of one instance's daemon, with free ports.
+    /// The settings of one instance's daemon, which listens on free loopback ports.
     pub fn settings(
         &self,
         instance: &InstancePlan,
         platform: SocketAddr,
         backend: SocketAddr,
     ) -> Settings {
-        let free = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let key = operator_key();
         Settings {
             instance: instance.instance.clone(),
             service: instance.service.clone(),
             failure_domain: instance.failure_domain.clone(),
             listen: ListenSettings {
-                callers: free,
-                local: free,
-                peers: free,
-                control: free,
-                admin: free,
+                callers: any_port,
+                local: any_port,
+                peers: any_port,
+                control: any_port,
+                admin: any_port,
                 routed: None,
                 announce: None,
                 ready: None,
@@ -138,13 +139,13 @@
         }
     }
 
-    /// The bundle as version 1, for plans of backend servers.
+    /// The indexed bundle, as version 1, for the plans of backend servers.
     pub fn indexed_bundle(&self) -> Bundle {
         Bundle::new(1, self.bundle.clone())
     }
 }
 
-/// Publishes a bundle on top of whatever there is.
+/// Publishes a bundle as the version after the current one.
 pub async fn publish_bundle(platform: &Platform, bundle: &BundleSource) -> SignedManifest {
     let head = read_head(platform).await.expect("the stand-in answers");
     let next = head.as_ref().map_or(1, |head| head.manifest.version + 1);
@@ -152,46 +153,47 @@
         Publication::sign(bundle, next, "bench", &operator_key()).expect("signing works");
     publish(platform, head.as_ref(), &publication)
         .await
-        .expect("nobody else publishes");
+        .expect("no concurrent publication");
     publication.manifest
 }
 
-/// A fleet in this process.
+/// A running fleet in this process.
 pub struct LocalFleet {
-    /// Runs everything.
+    /// The executor that runs all parts.
     pub ex: Arc<Executor<'static>>,
-    /// The stand-in.
+    /// The address of the platform stand-in.
     pub platform: SocketAddr,
     /// The daemons, in the order of the plan.
     pub daemons: Vec<Daemon>,
-    /// Their backend servers.
+    /// The backend servers of the daemons, in the same order.
     pub backends: Vec<FakeBackend>,
-    /// The plan.
+    /// The plan the fleet was started from.
     pub plan: FleetPlan,
     _tasks: Vec<Task<()>>,
 }
 
 impl LocalFleet {
-    /// Starts everything, publishes the bundle, and waits until it is in force everywhere.
+    /// Publishes the bundle, starts all parts, and waits until the bundle is in force at all daemons.
     pub async fn start(ex: Arc<Executor<'static>>, plan: FleetPlan) -> Self {
-        let listener = bind().await;
+        let listener = bind_listener().await;
         let platform = listener.local_addr().expect("a bound address");
         let stand_in = serve(Arc::clone(&ex), listener, StandIn::default());
         let mut tasks = vec![ex.spawn(stand_in)];
-        publish_bundle(&Platform::new(platform, READY_TIME), &plan.bundle).await;
+        publish_bundle(&Platform::new(platform, READY_TIMEOUT), &plan.bundle).await;
         let (mut daemons, mut backends) = (Vec::new(), Vec::new());
         for instance in &plan.instances {
             let backend = FakeBackend::default();
-            let listener = bind().await;
+            let listener = bind_listener().await;
             let addr = listener.local_addr().expect("a bound address");
             tasks.push(ex.spawn(serve_backend(Arc::clone(&ex), listener, backend.clone())));
             let settings = plan.settings(instance, platform, addr);
             let daemon = Daemon::start(settings, Dialect::own(), Arc::clone(&ex))
                 .await
                 .expect("the daemon starts on free ports");
-            let mut work = plan_for(&plan.indexed_bundle(), &instance.service, &plan.work_ms);
-            work.local = Some(daemon.addresses.local);
-            backend.set_plan(work);
+            let mut backend_plan =
+                plan_for(&plan.indexed_bundle(), &instance.service, &plan.work_ms);
+            backend_plan.local = Some(daemon.addresses.local);
+            backend.set_plan(backend_plan);
             daemons.push(daemon);
             backends.push(backend);
         }
@@ -203,17 +205,17 @@
             plan,
             _tasks: tasks,
         };
-        fleet.until_ready().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
-    /// A caller of one instance's daemon.
+    /// A client of one instance's daemon, by its index in the plan.
     pub fn caller(&self, instance: usize) -> Client {
         let addr = self.daemons[instance].addresses.callers;
         Client::new(Arc::clone(&self.ex), addr)
     }
 
-    /// The backend servers of a service.
+    /// The backend servers of one service.
     pub fn backends_of(&self, service: &str) -> Vec<&FakeBackend> {
         self.plan
             .instances
@@ -224,21 +226,24 @@
             .collect()
     }
 
-    async fn until_ready(&self) {
-        let until = Instant::now() + READY_TIME;
-        let all = self.daemons.len();
+    async fn wait_until_ready(&self) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        let daemon_count = self.daemons.len();
         while !self
             .daemons
             .iter()
-            .all(|daemon| daemon.discovery_state() == (all, true))
+            .all(|daemon| daemon.discovery_state() == (daemon_count, true))
         {
-            assert!(Instant::now() < until, "the fleet doesn't know itself");
+            assert!(
+                Instant::now() < deadline,
+                "the daemons did not discover one another in time"
+            );
             Timer::after(Duration::from_millis(20)).await;
         }
     }
 }
 
-async fn bind() -> TcpListener {
+async fn bind_listener() -> TcpListener {
     TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
         .await
         .expect("a free port on loopback")
--- a/crates/sorrelturn-bench/src/idle_fleet.rs
+++ b/crates/sorrelturn-bench/src/idle_fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of real daemons without backend servers, to see what control costs as they grow.
+//! Fleets of daemon processes without backend servers, to measure the cost of control traffic by
+//! fleet size.
 
 use crate::{
     fleet::{FleetPlan, InstancePlan, publish_bundle},
@@ -17,19 +18,18 @@
     time::{Duration, Instant, SystemTime, UNIX_EPOCH},
 };
 
-/// Services of the bundle, as many as at the size that is aimed at.
-const SERVICES: usize = 75;
-/// Failure domains.
-const DOMAINS: usize = 5;
-/// The longest time for anything that is waited for.
-const WAIT: Duration = Duration::from_secs(60);
+/// The number of services in the bundle, as in a fleet of the target size.
+const SERVICE_COUNT: usize = 75;
+const DOMAIN_COUNT: usize = 5;
+/// The time limit for each request and each state that is waited for.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A bundle of the size that is aimed at; `round` changes one service of it.
-fn bundle(round: u32) -> BundleSource {
+/// A bundle of the target size. Each `revision` changes one service.
+fn bundle(revision: u32) -> BundleSource {
     let mut bundle = crate::example_bundle("protokols-riga");
     let template = bundle.services["archive"].clone();
     bundle.services.clear();
-    for number in 0..SERVICES {
+    for number in 0..SERVICE_COUNT {
         let mut service = template.clone();
         service.kinds = template
             .kinds
@@ -47,9 +47,9 @@
     for caller in bundle.callers.values_mut() {
         caller.kinds.clear();
     }
-    let changed = format!("service-{}", round as usize % SERVICES);
-    if let Some(service) = bundle.services.get_mut(&changed) {
-        service.slots += round;
+    let changed_service = format!("service-{}", revision as usize % SERVICE_COUNT);
+    if let Some(service) = bundle.services.get_mut(&changed_service) {
+        service.slots += revision;
     }
     bundle
 }
@@ -59,45 +59,45 @@
     plan.instances = (0..size)
         .map(|number| InstancePlan {
             instance: format!("i{number}"),
-            service: format!("service-{}", number % SERVICES),
-            failure_domain: format!("d{}", number % DOMAINS),
+            service: format!("service-{}", number % SERVICE_COUNT),
+            failure_domain: format!("d{}", number % DOMAIN_COUNT),
         })
         .collect();
     plan
 }
 
-/// What all daemons had used at one moment.
+/// The resources that all daemons have used up to one moment.
 pub(crate) struct UsageSnapshot {
-    /// Control bytes of each daemon.
+    /// Bytes of control traffic of each daemon.
     pub(crate) bytes: Vec<f64>,
-    /// Processor seconds of each daemon.
+    /// CPU seconds of each daemon.
     pub(crate) cpu_s: Vec<f64>,
-    /// The store's calls.
+    /// The call counters of the store.
     pub(crate) counters: Counters,
-    /// When it was read.
+    /// When the values were read.
     pub(crate) at: Instant,
 }
 
-/// Daemons that carry no calls, and the platform's stand-in.
+/// Daemon processes that carry no requests, and the platform stand-in.
 pub(crate) struct IdleFleet {
     pub(crate) daemons: Vec<(Process, ListenSettings)>,
     platform: SocketAddr,
     _platform: Process,
 }
 
-/// Starts so many daemons, spread over failure domains in turn.
+/// Starts `size` daemons, assigned to the failure domains in turn.
 pub(crate) async fn start(size: usize, folder: &Path) -> IdleFleet {
     let platform = Process::start("sorrelturn-platform", &["--listen", "127.0.0.1:0"]);
     let addr: SocketAddr = platform.first_line.parse().expect("an address");
-    publish_bundle(&Platform::new(addr, WAIT), &bundle(0)).await;
+    publish_bundle(&Platform::new(addr, TIMEOUT), &bundle(0)).await;
     let plan = plan(size);
-    // No call goes to a backend server here, so none is started.
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    // No request reaches a backend server, so none is started.
+    let unused_addr: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let daemons = plan
         .instances
         .iter()
         .map(|instance| {
-            let settings = plan.settings(instance, addr, nobody);
+            let settings = plan.settings(instance, addr, unused_addr);
             let file = folder.join(format!("{}.jsonc", instance.instance));
             let text = serde_json::to_string(&settings).expect("settings are JSON");
             std::fs::write(&file, text).expect("the folder can be written");
@@ -115,50 +115,53 @@
 }
 
 impl IdleFleet {
-    /// Waits until everybody knows everybody.
+    /// Waits until each daemon knows all members and has a bundle in force.
     pub(crate) async fn wait_until_ready(&self, size: usize) {
         for (_, addresses) in &self.daemons {
-            let until = Instant::now() + WAIT;
+            let deadline = Instant::now() + TIMEOUT;
             loop {
-                let status: StatusReport = get(addresses.admin, "/status").await;
+                let status: StatusReport = get_json(addresses.admin, "/status").await;
                 if status.members == size && status.bundle_version > 0 {
                     break;
                 }
-                assert!(Instant::now() < until, "the fleet doesn't know itself");
+                assert!(
+                    Instant::now() < deadline,
+                    "the daemons did not discover one another in time"
+                );
                 Timer::after(Duration::from_millis(100)).await;
             }
         }
     }
 
-    /// Control bytes and processor seconds of each daemon, and the store's counters.
+    /// Reads the resource usage of each daemon and the counters of the store.
     pub(crate) async fn usage(&self) -> UsageSnapshot {
         let mut bytes = Vec::new();
         for (_, addresses) in &self.daemons {
-            let status: StatusReport = get(addresses.admin, "/status").await;
+            let status: StatusReport = get_json(addresses.admin, "/status").await;
             bytes.push(status.control_bytes as f64);
         }
-        let cpu = self
+        let cpu_seconds = self
             .daemons
             .iter()
             .map(|(process, _)| cpu_time(process.pid()).as_secs_f64())
             .collect();
-        let counters = get(self.platform, "/stand-in/counters").await;
+        let counters = get_json(self.platform, "/stand-in/counters").await;
         UsageSnapshot {
             bytes,
-            cpu_s: cpu,
+            cpu_s: cpu_seconds,
             counters,
             at: Instant::now(),
         }
     }
 
-    /// Publishes, and returns for each daemon the milliseconds until the bundle was in force.
+    /// Publishes a bundle and returns, for each daemon, the milliseconds until it was in force.
     ///
-    /// In an outage the platform goes down right after the acceptance, and the operator's command
-    /// hands the bundle to one daemon.
+    /// With `outage`, the platform goes down right after accepting the bundle, and the bundle is
+    /// uploaded to one daemon instead, as the operator's command does.
     pub(crate) async fn publish(&self, version: u64, outage: bool) -> Vec<u64> {
         let source = bundle(version as u32);
-        let manifest = publish_bundle(&Platform::new(self.platform, WAIT), &source).await;
-        let accepted = unix_ms();
+        let manifest = publish_bundle(&Platform::new(self.platform, TIMEOUT), &source).await;
+        let accepted_ms = unix_ms();
         if outage {
             play_faults(
                 self.platform,
@@ -168,55 +171,58 @@
                 },
             )
             .await;
-            self.bring(&manifest, &source).await;
+            self.upload_bundle(&manifest, &source).await;
         }
-        let mut times = Vec::new();
+        let mut delays_ms = Vec::new();
         for (_, addresses) in &self.daemons {
-            times.push(
-                in_force_at(addresses.admin, version)
+            delays_ms.push(
+                wait_until_in_force(addresses.admin, version)
                     .await
-                    .saturating_sub(accepted),
+                    .saturating_sub(accepted_ms),
             );
         }
         play_faults(self.platform, &Faults::default()).await;
-        times
+        delays_ms
     }
 
-    async fn bring(&self, manifest: &SignedManifest, source: &BundleSource) {
-        let brought = serde_json::json!({ "manifest": manifest, "sections": split(source) });
-        let req = Request::put("/bundle").body(Bytes::from(brought.to_string()));
+    async fn upload_bundle(&self, manifest: &SignedManifest, source: &BundleSource) {
+        let upload = serde_json::json!({ "manifest": manifest, "sections": split(source) });
+        let req = Request::put("/bundle").body(Bytes::from(upload.to_string()));
         let admin = self.daemons[0].1.admin;
-        let taken = exchange(admin, req.expect("a request"), WAIT).await;
-        assert!(taken.is_ok_and(|res| res.status().is_success()));
+        let uploaded = exchange(admin, req.expect("a request"), TIMEOUT).await;
+        assert!(uploaded.is_ok_and(|res| res.status().is_success()));
     }
 }
 
-/// When a version, or a higher one, came in force at a daemon, by the event that it noted.
-async fn in_force_at(admin: SocketAddr, version: u64) -> u64 {
-    let until = Instant::now() + WAIT;
+/// The Unix time in milliseconds at which `version` or a later one came in force at a daemon,
+/// according to its events.
+async fn wait_until_in_force(admin: SocketAddr, version: u64) -> u64 {
+    let deadline = Instant::now() + TIMEOUT;
     loop {
-        let events: Vec<EventRecord> = get(admin, "/events").await;
+        let events: Vec<EventRecord> = get_json(admin, "/events").await;
         let found = events.iter().find(|event| {
-            let in_force = event
+            let event_version = event
                 .field("version")
                 .and_then(|text| text.parse::<u64>().ok());
-            event.name == "bundle-in-force" && in_force >= Some(version)
+            event.name == "bundle-in-force" && event_version >= Some(version)
         });
         if let Some(event) = found {
             return event.at_ms;
         }
         assert!(
-            Instant::now() < until,
-            "version {version} never came in force"
+            Instant::now() < deadline,
+            "version {version} did not come in force in time"
         );
         Timer::after(Duration::from_millis(50)).await;
     }
 }
 
-async fn get<T: serde::de::DeserializeOwned>(addr: SocketAddr, path: &str) -> T {
+async fn get_json<T: serde::de::DeserializeOwned>(addr: SocketAddr, path: &str) -> T {
     let req = Request::get(path).body(Bytes::new()).expect("a request");
-    let res = exchange(addr, req, WAIT).await.expect("it answers");
-    serde_json::from_slice(res.body()).expect("the answer is as agreed")
+    let res = exchange(addr, req, TIMEOUT)
+        .await
+        .expect("the process answers");
+    serde_json::from_slice(res.body()).expect("the answer has the expected format")
 }
 
 fn unix_ms() -> u64 {
--- a/crates/sorrelturn-bench/src/load.rs
+++ b/crates/sorrelturn-bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send a mix at a changing rate and retry hard, and the record of what came of it.
+//! Callers that send a request mix at changing rates and retry without backoff, and their results.
 
 use crate::{
     client::{Answer, Client, Expected},
@@ -14,80 +14,81 @@
 };
 
 /// How long a caller waits for one answer.
-const CALLER_TIME: Duration = Duration::from_secs(3);
-/// An answer after this is of no more use to its caller.
-const USEFUL_TIME: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Answers that take longer do not count as good, and the caller stops retrying.
+const MAX_USEFUL_LATENCY: Duration = Duration::from_secs(2);
 
-/// How callers behave after a failure.
+/// How callers retry after a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryConfig {
-    /// How often a caller asks in all.
+    /// The maximum number of attempts, including the first one.
     pub max_attempts: u32,
-    /// The pause before it asks again; hard retries don't look at Retry-After.
+    /// The interval between attempts. Callers ignore Retry-After.
     pub interval: Duration,
 }
 
-/// How a caller reaches at-most-once kinds.
+/// Whether callers send execution tokens with requests of at-most-once kinds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenMode {
-    /// It gets a token first.
+    /// They request a token before the first attempt.
     WithToken,
-    /// There is nothing that it could get.
+    /// They send none, because the system under test issues none.
     WithoutToken,
 }
 
-/// One root request as its caller saw it in the end.
+/// The result of one root request as its caller saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// When it was first sent, since the start of the load.
     pub sent: Duration,
-    /// When it was over.
+    /// When its caller finished, since the start of the load.
     pub done: Duration,
     /// Its importance.
     pub importance: Importance,
     /// Its kind.
     pub kind: String,
-    /// Whether a whole, useful answer came.
+    /// Whether a correct answer arrived soon enough to be useful.
     pub good: bool,
-    /// Whether the answer was another caller's or cut.
+    /// Whether any answer was another caller's or truncated; see [`Answer::wrong`].
     pub wrong: bool,
-    /// How often it was sent.
+    /// The number of attempts.
     pub attempts: u32,
-    /// The last status; 0 where there was none.
+    /// The status of the last answer; 0 if there was none.
     pub status: u16,
-    /// What the last refusal said.
+    /// The reason for the last failure.
     pub reason: String,
     /// The key under which backend servers counted its executions.
     pub key: String,
-    /// Tries that were answered "not run".
+    /// The number of attempts answered with the verdict `not-run`.
     pub not_run_answers: u32,
 }
 
-/// The callers of one run.
+/// The callers of one measurement.
 pub struct Load {
-    /// Runs the callers.
+    /// The executor that runs the callers.
     pub ex: Arc<Executor<'static>>,
-    /// The entries that they use, in turn.
+    /// Clients of the entry daemons, used in turn.
     pub entries: Vec<Client>,
-    /// What they send.
+    /// The requests they send.
     pub workload: Arc<Workload>,
     /// How they retry.
     pub retries: RetryConfig,
-    /// How they reach at-most-once kinds.
+    /// Whether they use execution tokens.
     pub token_mode: TokenMode,
 }
 
-/// A phase of time with a steady rate of root requests a second.
+/// A phase with a constant request rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadPhase {
-    /// The rate.
+    /// Root requests per second.
     pub rate: f64,
-    /// Its length.
+    /// The duration of the phase.
     pub duration: Duration,
 }
 
 impl Load {
-    /// Sends the phases one after another; `on_phase_start` is called when each begins.
+    /// Sends the load of each phase in order and waits for all answers. `on_phase_start` is called
+    /// with the index of each phase when it begins.
     pub async fn run(
         &self,
         phases: &[LoadPhase],
@@ -99,11 +100,11 @@
         let mut tasks = Vec::new();
         let mut begin = Duration::ZERO;
         let mut number = 0;
-        for (at, phase) in phases.iter().enumerate() {
-            on_phase_start(at);
-            let mut next = begin;
-            while next < begin + phase.duration {
-                Timer::at(start + next).await;
+        for (index, phase) in phases.iter().enumerate() {
+            on_phase_start(index);
+            let mut next_arrival = begin;
+            while next_arrival < begin + phase.duration {
+                Timer::at(start + next_arrival).await;
                 let caller = Caller {
                     client: self.entries[number % self.entries.len()].clone(),
                     part: self.workload.random_kind(&mut rng).clone(),
@@ -114,13 +115,13 @@
                 };
                 let records = Arc::clone(&records);
                 tasks.push(self.ex.spawn(async move {
-                    let record = caller.ask().await;
+                    let record = caller.send_with_retries().await;
                     let mut records = records.lock().unwrap_or_else(PoisonError::into_inner);
                     records.push(record);
                 }));
                 number += 1;
-                // Poisson arrivals: independent callers don't come in step.
-                next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / phase.rate);
+                // Poisson arrivals, as from independent callers.
+                next_arrival += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / phase.rate);
             }
             begin += phase.duration;
         }
@@ -142,7 +143,7 @@
 }
 
 impl Caller {
-    async fn ask(self) -> Record {
+    async fn send_with_retries(self) -> Record {
         let sent = Instant::now();
         let mut record = Record {
             sent: sent - self.start,
@@ -160,22 +161,22 @@
         let mut token = None;
         while record.attempts < self.retries.max_attempts {
             record.attempts += 1;
-            let answer = self.try_once(&mut token).await;
+            let answer = self.attempt(&mut token).await;
             if let Some(answer) = &answer {
                 record.status = answer.status;
                 record.reason = reason(answer);
                 record.wrong |= answer.wrong;
                 if answer.verdict() == "not-run" {
-                    // A refused token stays refused, so the next try takes a fresh one.
+                    // A refused token is never accepted later, so the next attempt needs a new one.
                     token = None;
                     record.not_run_answers += 1;
                 }
             }
             if answer.is_some_and(|answer| answer.status == 200 && !answer.wrong) {
-                record.good = sent.elapsed() <= USEFUL_TIME;
+                record.good = sent.elapsed() <= MAX_USEFUL_LATENCY;
                 break;
             }
-            if sent.elapsed() > USEFUL_TIME {
+            if sent.elapsed() > MAX_USEFUL_LATENCY {
                 break;
             }
             Timer::after(self.retries.interval).await;
@@ -184,11 +185,11 @@
         record
     }
 
-    async fn try_once(&self, token: &mut Option<String>) -> Option<Answer> {
+    async fn attempt(&self, token: &mut Option<String>) -> Option<Answer> {
         if self.part.at_most_once && self.token_mode == TokenMode::WithToken && token.is_none() {
-            let answer = self.get_token().await?;
+            let answer = self.request_token().await?;
             match answer.header("sorrelturn-token") {
-                Some(given) => *token = Some(given.to_owned()),
+                Some(issued) => *token = Some(issued.to_owned()),
                 None => return Some(answer),
             }
         }
@@ -203,20 +204,26 @@
             echo: self.key.clone(),
         };
         let req = req.body(Bytes::new()).ok()?;
-        let answer = self.client.send_within(req, Some(&expected), CALLER_TIME);
+        let answer = self
+            .client
+            .send_within(req, Some(&expected), ANSWER_TIMEOUT);
         answer.await.ok()
     }
 
-    async fn get_token(&self) -> Option<Answer> {
-        let wanted = serde_json::json!({ "method": self.part.method, "path": self.part.path });
+    async fn request_token(&self) -> Option<Answer> {
+        let token_request =
+            serde_json::json!({ "method": self.part.method, "path": self.part.path });
         let req = Request::post("/.sorrelturn/tokens")
-            .body(Bytes::from(wanted.to_string()))
+            .body(Bytes::from(token_request.to_string()))
             .ok()?;
-        self.client.send_within(req, None, CALLER_TIME).await.ok()
+        self.client
+            .send_within(req, None, ANSWER_TIMEOUT)
+            .await
+            .ok()
     }
 }
 
-/// The word of a refusal, or the start of a backend server's own failure.
+/// The error code of a refusal, or the start of the body of a backend server's failure.
 fn reason(answer: &Answer) -> String {
     if answer.status == 200 {
         return "late".to_owned();
