--- a/crates/sorrelturn-bench/src/commands/backend.rs
+++ b/crates/sorrelturn-bench/src/commands/backend.rs
@@ -14,13 +14,13 @@
 
 fn signature() -> Command {
     Command::new("backend")
-        .about("A fake backend server; prints its address")
+        .about("Runs a fake backend server and prints its address")
         .after_help("Example:\n  sorrelturn-bench backend --listen 127.0.0.1:8080")
         .arg(
             Arg::new("listen")
                 .long("listen")
                 .value_name("ADDRESS")
-                .help("Where to listen")
+                .help("The address to listen on")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr)),
         )
@@ -40,7 +40,9 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("error: can't listen on {addr}: {error}\n  help: give a free address");
+            eprintln!(
+                "error: can't listen on {addr}: {error}\n  help: choose an address that is not in use"
+            );
             ExitCode::FAILURE
         }
     }
--- a/crates/sorrelturn-bench/src/commands/demo.rs
+++ b/crates/sorrelturn-bench/src/commands/demo.rs
@@ -28,14 +28,14 @@
 
 fn signature() -> Command {
     Command::new("demo")
-        .about("Shows on loopback what sorrelturn does under overload, with and without it")
+        .about("Compares a fleet under overload with and without sorrelturn, on loopback")
         .after_help("Example:\n  sorrelturn-bench demo")
 }
 
 fn run(_: &ArgMatches) -> ExitCode {
     let workload = Arc::new(Workload::for_deployment("protokols-riga"));
     println!(
-        "Four services in 15 instances carry {:.0} requests/s at most. Then comes {}.\n",
+        "Four services with 15 instances have a capacity of {:.0} requests/s. The load is {}.\n",
         workload.capacity, SCENARIO.name
     );
     let summaries: Vec<_> = SYSTEMS
@@ -43,8 +43,8 @@
         .map(|system| {
             print!("{:<13}", system.name());
             let _ = stdout().flush();
-            let summary = measure(&workload, &SCENARIO, system, |stretch| {
-                print!(" ... {stretch}");
+            let summary = measure(&workload, &SCENARIO, system, |phase| {
+                print!(" ... {phase}");
                 let _ = stdout().flush();
             });
             println!(" ... done");
@@ -52,7 +52,7 @@
         })
         .collect();
     println!(
-        "\nGood answers under pressure by importance, goodput, recovery, and what must be 0:\n"
+        "\nGood answers under overload by importance, goodput, recovery, and counts that must be 0:\n"
     );
     println!("{}", table_head());
     for summary in &summaries {
--- a/crates/sorrelturn-bench/src/commands/exchanges.rs
+++ b/crates/sorrelturn-bench/src/commands/exchanges.rs
@@ -16,12 +16,12 @@
     run,
 };
 
-/// Threads for the daemons, the backend servers and the callers together.
-const THREADS: usize = 6;
-const AT_ONCE: usize = 128;
-const MOST_BYTES: usize = 20_000;
+/// Threads shared by the daemons, the backend servers and the callers.
+const THREAD_COUNT: usize = 6;
+const CONCURRENCY: usize = 128;
+const BODY_SIZE_RANGE_BYTES: usize = 20_000;
 
-/// A service that calls another one; `k0` is what callers ask for.
+/// Service `s0` calls `s1`; callers request kind `k0`.
 const BUNDLE: &str = r#"{
   "services": {
     "s0": { "slots": 200, "connections": 1000, "cold_start_ms": 1, "kinds": {
@@ -36,31 +36,33 @@
 
 fn signature() -> Command {
     Command::new("exchanges")
-        .about("Checks that each of many answers is the whole answer to its own request")
+        .about("Checks that each of many answers is complete and belongs to its request")
         .after_help(
             "Example:\n  sorrelturn-bench exchanges --count 1000000\n\nExit codes:\n  0  no answer \
-             was wrong\n  1  one was",
+             was wrong\n  1  at least one answer was wrong",
         )
         .arg(
             Arg::new("count")
                 .long("count")
                 .value_name("NUMBER")
-                .help("Requests in all")
+                .help("Total number of requests")
                 .default_value("1000000")
                 .value_parser(value_parser!(u32).range(1..)),
         )
 }
 
 fn run(args: &ArgMatches) -> ExitCode {
-    let exchanges = ExchangeConfig {
-        count: *args.get_one::<u32>("count").expect("clap fills it in"),
-        concurrency: AT_ONCE,
-        body_size_range_bytes: MOST_BYTES,
+    let config = ExchangeConfig {
+        count: *args
+            .get_one::<u32>("count")
+            .expect("clap fills in the default"),
+        concurrency: CONCURRENCY,
+        body_size_range_bytes: BODY_SIZE_RANGE_BYTES,
     };
-    let counts = run_on(THREADS, async |ex| {
+    let counts = run_on(THREAD_COUNT, async |ex| {
         let plan = FleetPlan::new(bundle(), &[("s0", 2), ("s1", 2)], &["a", "b"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
-        exchange_many(&fleet, exchanges).await
+        exchange_many(&fleet, config).await
     });
     println!(
         "good {}, failed {}, left {}, wrong {}",
@@ -74,5 +76,5 @@
 }
 
 fn bundle() -> BundleSource {
-    parse("exchanges", BUNDLE).expect("the bundle is right")
+    parse("exchanges", BUNDLE).expect("the embedded bundle is valid")
 }
--- a/crates/sorrelturn-bench/src/commands/fleet.rs
+++ b/crates/sorrelturn-bench/src/commands/fleet.rs
@@ -17,35 +17,37 @@
     run,
 };
 
-/// Publications in each of the two states of the platform.
-const PUBLICATIONS: u32 = 5;
-/// How long a fleet that knows itself is left alone before it is watched.
-const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// How long an idle fleet is watched.
-const IDLE_TIME: Duration = Duration::from_secs(12);
+/// Publications with the platform up, and as many during an outage.
+const PUBLICATION_COUNT: u32 = 5;
+/// How long a ready fleet runs before it is measured.
+const SETTLE_DURATION: Duration = Duration::from_secs(5);
+/// How long an idle fleet is measured.
+const IDLE_MEASUREMENT_DURATION: Duration = Duration::from_secs(12);
 
 fn signature() -> Command {
     Command::new("fleet")
-        .about("Starts fleets of real daemons and measures what control costs as they grow")
+        .about(
+            "Starts fleets of real daemons and measures the cost of control traffic by fleet size",
+        )
         .after_help("Example:\n  sorrelturn-bench fleet --sizes 10,50,100,200")
         .arg(
             Arg::new("sizes")
                 .long("sizes")
                 .value_name("NUMBERS")
-                .help("The sizes, with commas between them")
+                .help("The fleet sizes, separated by commas")
                 .default_value("10,50,100,200")
                 .value_delimiter(',')
                 .value_parser(value_parser!(u64).range(2..=250)),
         )
 }
 
-/// What one size came to; all but the times of publications are for one daemon.
+/// The results for one fleet size. Memory, CPU time and control bytes are per daemon.
 struct Row {
     size: f64,
     bytes_per_s: f64,
-    most_bytes_per_s: f64,
+    max_bytes_per_s: f64,
     cpu_percent: f64,
-    most_cpu_percent: f64,
+    max_cpu_percent: f64,
     memory_mb: f64,
     store_reads_per_s: f64,
     store_writes_per_s: f64,
@@ -57,7 +59,9 @@
 }
 
 fn run(args: &ArgMatches) -> ExitCode {
-    let sizes = args.get_many::<u64>("sizes").expect("clap fills it in");
+    let sizes = args
+        .get_many::<u64>("sizes")
+        .expect("clap fills in the default");
     println!(
         "size  bytes/s (most)  cpu % (most)   MB   store r/s   w/s  watches  bytes/publ  \
          cpu ms/publ  in force ms: median worst  in outage: median worst"
@@ -70,9 +74,9 @@
              {:>12.1} {:>18} {:>6} {:>19} {:>6}",
             row.size,
             row.bytes_per_s,
-            row.most_bytes_per_s,
+            row.max_bytes_per_s,
             row.cpu_percent,
-            row.most_cpu_percent,
+            row.max_cpu_percent,
             row.memory_mb,
             row.store_reads_per_s,
             row.store_writes_per_s,
@@ -87,38 +91,39 @@
         rows.push(row);
     }
     if rows.len() > 1 {
-        println!("\nstraight lines: value = base + slope x size, and the largest distance from it");
-        print_line("bytes/s a daemon", &rows, |row| row.bytes_per_s);
-        print_line("cpu % a daemon", &rows, |row| row.cpu_percent);
-        print_line("MB a daemon", &rows, |row| row.memory_mb);
-        print_line("store reads/s", &rows, |row| row.store_reads_per_s);
-        print_line("store writes/s", &rows, |row| row.store_writes_per_s);
-        print_line("bytes a publication", &rows, |row| {
+        println!("\nlinear fits: value = base + slope x size, with the maximum deviation");
+        print_linear_fit("bytes/s per daemon", &rows, |row| row.bytes_per_s);
+        print_linear_fit("cpu % per daemon", &rows, |row| row.cpu_percent);
+        print_linear_fit("MB per daemon", &rows, |row| row.memory_mb);
+        print_linear_fit("store reads/s", &rows, |row| row.store_reads_per_s);
+        print_linear_fit("store writes/s", &rows, |row| row.store_writes_per_s);
+        print_linear_fit("bytes per publication", &rows, |row| {
             row.bytes_per_publication
         });
-        print_line("cpu ms a publication", &rows, |row| {
+        print_linear_fit("cpu ms per publication", &rows, |row| {
             row.cpu_ms_per_publication
         });
     }
     ExitCode::SUCCESS
 }
 
-fn print_line(what: &str, rows: &[Row], value: impl Fn(&Row) -> f64) {
+/// Prints a least-squares fit of a value by fleet size.
+fn print_linear_fit(label: &str, rows: &[Row], value: impl Fn(&Row) -> f64) {
     let count = rows.len() as f64;
     let mean_x = rows.iter().map(|row| row.size).sum::<f64>() / count;
     let mean_y = rows.iter().map(&value).sum::<f64>() / count;
-    let spread: f64 = rows.iter().map(|row| (row.size - mean_x).powi(2)).sum();
+    let sum_of_squares: f64 = rows.iter().map(|row| (row.size - mean_x).powi(2)).sum();
     let slope = rows
         .iter()
         .map(|row| (row.size - mean_x) * (value(row) - mean_y))
         .sum::<f64>()
-        / spread;
+        / sum_of_squares;
     let base = mean_y - slope * mean_x;
-    let off = rows
+    let max_deviation = rows
         .iter()
         .map(|row| (value(row) - base - slope * row.size).abs())
         .fold(0.0, f64::max);
-    println!("{what:<22} base {base:>10.4}  slope {slope:>10.6}  off by {off:.4}");
+    println!("{label:<22} base {base:>10.4}  slope {slope:>10.6}  off by {max_deviation:.4}");
 }
 
 async fn measure(size: usize) -> Row {
@@ -126,37 +131,37 @@
     std::fs::create_dir_all(&folder).expect("the temporary folder can be written");
     let fleet = start(size, &folder).await;
     fleet.wait_until_ready(size).await;
-    Timer::after(SETTLE_TIME).await;
+    Timer::after(SETTLE_DURATION).await;
 
     let before = fleet.usage().await;
-    Timer::after(IDLE_TIME).await;
+    Timer::after(IDLE_MEASUREMENT_DURATION).await;
     let idle = fleet.usage().await;
     let seconds = (idle.at - before.at).as_secs_f64();
-    let (bytes_per_s, most_bytes_per_s) = rates(&before.bytes, &idle.bytes, seconds);
-    let (cpu, most_cpu) = rates(&before.cpu_s, &idle.cpu_s, seconds);
-    let per_s = |count: fn(&Counters) -> u64| {
-        (count(&idle.counters) - count(&before.counters)) as f64 / seconds
+    let (bytes_per_s, max_bytes_per_s) = rates(&before.bytes, &idle.bytes, seconds);
+    let (cpu, max_cpu) = rates(&before.cpu_s, &idle.cpu_s, seconds);
+    let store_rate = |counter: fn(&Counters) -> u64| {
+        (counter(&idle.counters) - counter(&before.counters)) as f64 / seconds
     };
 
     let mut version = 1;
-    let mut healthy = Vec::new();
-    for _ in 0..PUBLICATIONS {
+    let mut healthy_ms = Vec::new();
+    for _ in 0..PUBLICATION_COUNT {
         version += 1;
-        healthy.extend(fleet.publish(version, false).await);
+        healthy_ms.extend(fleet.publish(version, false).await);
     }
     let published = fleet.usage().await;
-    // What publications cost is what came on top of an idle time of the same length.
-    let each = |of: fn(&UsageSnapshot) -> &[f64], idle_rate: f64| {
-        let length = (published.at - idle.at).as_secs_f64();
-        let (rate, _) = rates(of(&idle), of(&published), length);
-        (rate - idle_rate) * length / f64::from(PUBLICATIONS)
+    // The cost of a publication is the usage above that of an idle fleet over the same time.
+    let per_publication = |values: fn(&UsageSnapshot) -> &[f64], idle_rate: f64| {
+        let elapsed_s = (published.at - idle.at).as_secs_f64();
+        let (rate, _) = rates(values(&idle), values(&published), elapsed_s);
+        (rate - idle_rate) * elapsed_s / f64::from(PUBLICATION_COUNT)
     };
-    let bytes_per_publication = each(|reading| &reading.bytes, bytes_per_s);
-    let cpu_ms_per_publication = each(|reading| &reading.cpu_s, cpu) * 1000.0;
-    let mut outage = Vec::new();
-    for _ in 0..PUBLICATIONS {
+    let bytes_per_publication = per_publication(|reading| &reading.bytes, bytes_per_s);
+    let cpu_ms_per_publication = per_publication(|reading| &reading.cpu_s, cpu) * 1000.0;
+    let mut outage_ms = Vec::new();
+    for _ in 0..PUBLICATION_COUNT {
         version += 1;
-        outage.extend(fleet.publish(version, true).await);
+        outage_ms.extend(fleet.publish(version, true).await);
     }
     let pids = fleet.daemons.iter().map(|(process, _)| process.pid());
     let memory_mb = pids.map(|pid| memory(pid) as f64 / 1e6).sum::<f64>() / size as f64;
@@ -164,31 +169,31 @@
     Row {
         size: size as f64,
         bytes_per_s,
-        most_bytes_per_s,
+        max_bytes_per_s,
         cpu_percent: cpu * 100.0,
-        most_cpu_percent: most_cpu * 100.0,
+        max_cpu_percent: max_cpu * 100.0,
         memory_mb,
-        store_reads_per_s: per_s(|counters| counters.reads),
-        store_writes_per_s: per_s(|counters| counters.writes),
+        store_reads_per_s: store_rate(|counters| counters.reads),
+        store_writes_per_s: store_rate(|counters| counters.writes),
         watches: idle.counters.watches_waiting as f64,
         bytes_per_publication,
         cpu_ms_per_publication,
-        healthy_ms: middle_and_worst(&mut healthy),
-        outage_ms: middle_and_worst(&mut outage),
+        healthy_ms: median_and_max(&mut healthy_ms),
+        outage_ms: median_and_max(&mut outage_ms),
     }
 }
 
-/// The mean rate a second over all daemons, and the highest.
+/// The mean and the maximum rate per second over all daemons.
 fn rates(before: &[f64], after: &[f64], seconds: f64) -> (f64, f64) {
     let rates = before.iter().zip(after).map(|(b, a)| (a - b) / seconds);
-    let (sum, most) = rates.fold((0.0, 0.0f64), |(sum, most), rate| {
-        (sum + rate, most.max(rate))
+    let (sum, max) = rates.fold((0.0, 0.0f64), |(sum, max), rate| {
+        (sum + rate, max.max(rate))
     });
-    (sum / before.len() as f64, most)
+    (sum / before.len() as f64, max)
 }
 
-fn middle_and_worst(times: &mut [u64]) -> (u64, u64) {
-    times.sort_unstable();
-    let middle = times.get(times.len() / 2).copied().unwrap_or(0);
-    (middle, times.last().copied().unwrap_or(0))
+fn median_and_max(delays_ms: &mut [u64]) -> (u64, u64) {
+    delays_ms.sort_unstable();
+    let median = delays_ms.get(delays_ms.len() / 2).copied().unwrap_or(0);
+    (median, delays_ms.last().copied().unwrap_or(0))
 }
--- a/crates/sorrelturn-bench/src/commands/mod.rs
+++ b/crates/sorrelturn-bench/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The bench's commands, one file each.
+//! The commands of `sorrelturn-bench`, one file each.
 
 mod backend;
 mod demo;
@@ -14,17 +14,17 @@
 use clap::{ArgMatches, Command};
 use std::process::ExitCode;
 
-/// One command.
+/// A subcommand.
 pub struct CommandEntry {
-    /// Its word, as it is typed.
+    /// The name on the command line.
     pub name: &'static str,
-    /// Its arguments and help.
+    /// Builds the arguments and help text.
     pub signature: fn() -> Command,
-    /// Runs it.
+    /// Runs the command.
     pub run: fn(&ArgMatches) -> ExitCode,
 }
 
-/// All commands, in the order of the help.
+/// All commands, in the order in which the help lists them.
 pub static COMMANDS: &[CommandEntry] = &[
     demo::ENTRY,
     latency::ENTRY,
@@ -37,11 +37,11 @@
     experiment::ENTRY,
 ];
 
-/// The whole command line.
+/// The command line with all commands.
 pub fn root() -> Command {
     Command::new("sorrelturn-bench")
         .version(env!("CARGO_PKG_VERSION"))
-        .about("Drives load at the real daemons and prints what came of it.")
+        .about("Generates load for real daemons and prints the results.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands(COMMANDS.iter().map(|entry| (entry.signature)()))
