--- a/crates/sorrelturn-bench/src/commands/fleet.rs
+++ b/crates/sorrelturn-bench/src/commands/fleet.rs
@@ -92,15 +92,15 @@
     }
     if rows.len() > 1 {
         println!("\nlinear fits: value = base + slope x size, with the maximum deviation");
-        print_linear_fit("bytes/s per daemon", &rows, |row| row.bytes_per_s);
-        print_linear_fit("cpu % per daemon", &rows, |row| row.cpu_percent);
-        print_linear_fit("MB per daemon", &rows, |row| row.memory_mb);
+        print_linear_fit("bytes/s a daemon", &rows, |row| row.bytes_per_s);
+        print_linear_fit("cpu % a daemon", &rows, |row| row.cpu_percent);
+        print_linear_fit("MB a daemon", &rows, |row| row.memory_mb);
         print_linear_fit("store reads/s", &rows, |row| row.store_reads_per_s);
         print_linear_fit("store writes/s", &rows, |row| row.store_writes_per_s);
-        print_linear_fit("bytes per publication", &rows, |row| {
+        print_linear_fit("bytes a publication", &rows, |row| {
             row.bytes_per_publication
         });
-        print_linear_fit("cpu ms per publication", &rows, |row| {
+        print_linear_fit("cpu ms a publication", &rows, |row| {
             row.cpu_ms_per_publication
         });
     }
--- a/crates/sorrelturn-bench/tests/at_most_once.rs
+++ b/crates/sorrelturn-bench/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! A certification, booking, payment or shutoff runs at most once: with real processes, killed,
-//! frozen, stopped, and with the platform failing.
+//! At-most-once requests never run twice, even if owners are killed, frozen or stopped, or the
+//! platform fails.
 
 mod common;
 
@@ -12,24 +12,25 @@
 use sorrelturn_protocol::ExecutionToken;
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-const BOOK: &str = "/bookings/h1";
-/// The scheduling service's instances come first in the plan.
-const OWNERS: usize = 2;
+const BOOKING_PATH: &str = "/bookings/h1";
+/// The number of scheduling instances, which come first in the plan.
+const OWNER_COUNT: usize = 2;
+/// The index of the entry, the only certification instance.
 const ENTRY: usize = 2;
 
 async fn start(ex: Arc<Executor<'static>>, test: &str) -> ProcessFleet {
     let plan = FleetPlan::new(
         bundle("protokols-riga.jsonc"),
-        &[("scheduling", OWNERS), ("certification", 1)],
+        &[("scheduling", OWNER_COUNT), ("certification", 1)],
         &["riga-a", "riga-b"],
         &[],
     );
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
-async fn token(caller: &Client) -> String {
-    let wanted = format!(r#"{{ "method": "POST", "path": "{BOOK}" }}"#);
-    let req = Request::post("/.sorrelturn/tokens").body(Bytes::from(wanted));
+async fn request_token(caller: &Client) -> String {
+    let token_request = format!(r#"{{ "method": "POST", "path": "{BOOKING_PATH}" }}"#);
+    let req = Request::post("/.sorrelturn/tokens").body(Bytes::from(token_request));
     let answer = caller
         .send(req.expect("a request"), None)
         .await
@@ -42,7 +43,7 @@
 }
 
 async fn book(caller: &Client, header: &str, value: &str) -> Answer {
-    let req = Request::post(BOOK)
+    let req = Request::post(BOOKING_PATH)
         .header(header, value)
         .header("x-execution-key", value)
         .body(Bytes::new());
@@ -52,29 +53,29 @@
         .expect("an answer")
 }
 
-/// How often the booking with this key was begun, over all backend servers.
-async fn runs(fleet: &ProcessFleet, key: &str) -> u32 {
-    let mut runs = 0;
+/// The number of executions of the booking with this key at all backend servers.
+async fn execution_count(fleet: &ProcessFleet, key: &str) -> u32 {
+    let mut executions = 0;
     for daemon in &fleet.daemons {
         let ran: HashMap<String, u32> = daemon.ran().await;
-        runs += ran
+        executions += ran
             .get(&format!("{key} stenographer-book"))
             .copied()
             .unwrap_or(0);
     }
-    runs
+    executions
 }
 
-/// The position of the instance that owns a token.
-async fn owner(fleet: &ProcessFleet, token: &str) -> usize {
+/// The index of the instance that owns a token.
+async fn owner_of(fleet: &ProcessFleet, token: &str) -> usize {
     let token: ExecutionToken = token.parse().expect("a token");
-    for (at, daemon) in fleet.daemons.iter().enumerate() {
+    for (index, daemon) in fleet.daemons.iter().enumerate() {
         let status = daemon.status().await.expect("every daemon answers");
         if status.record.incarnation == token.owner {
-            return at;
+            return index;
         }
     }
-    panic!("nobody owns {token}");
+    panic!("no instance owns {token}");
 }
 
 #[test]
@@ -82,7 +83,7 @@
     run_on(1, async |ex| {
         let fleet = start(ex, "once_repeat").await;
         let caller = fleet.caller(ENTRY);
-        let token = token(&caller).await;
+        let token = request_token(&caller).await;
         for (header, value) in [
             ("sorrelturn-token", token.as_str()),
             ("idempotency-key", "k1"),
@@ -93,7 +94,7 @@
                 let again = book(&fleet.caller(entry), header, value).await;
                 assert_eq!((again.status, &again.body), (200, &first.body), "{again:?}");
             }
-            assert_eq!(runs(&fleet, value).await, 1);
+            assert_eq!(execution_count(&fleet, value).await, 1);
         }
         let bare = book(&caller, "x-none", "bare").await;
         assert_eq!((bare.status, bare.verdict()), (428, "not-run"));
@@ -105,14 +106,14 @@
     run_on(1, async |ex| {
         let fleet = start(ex, "once_store").await;
         let caller = fleet.caller(ENTRY);
-        let lost = Faults {
+        let lose_answers = Faults {
             lose_write_answers: 1,
             ..Faults::default()
         };
-        fleet.play(&lost).await;
+        fleet.play(&lose_answers).await;
         assert_eq!(book(&caller, "idempotency-key", "lost").await.status, 200);
         assert_eq!(book(&caller, "idempotency-key", "lost").await.status, 200);
-        assert_eq!(runs(&fleet, "lost").await, 1);
+        assert_eq!(execution_count(&fleet, "lost").await, 1);
 
         fleet
             .play(&Faults {
@@ -121,21 +122,21 @@
             })
             .await;
         let refused = book(&caller, "idempotency-key", "outage").await;
-        // Whether an earlier copy with this key ran, nobody can say now.
+        // Without the store, it is unknown whether an earlier request with this key ran.
         assert_eq!(
             (refused.status, refused.verdict()),
             (503, "may-have-run"),
             "{refused:?}"
         );
         assert!(refused.header("retry-after").is_some());
-        assert_eq!(runs(&fleet, "outage").await, 0);
-        // The token way keeps going.
-        let token = token(&caller).await;
+        assert_eq!(execution_count(&fleet, "outage").await, 0);
+        // Requests with tokens still work.
+        let token = request_token(&caller).await;
         assert_eq!(book(&caller, "sorrelturn-token", &token).await.status, 200);
 
         fleet.play(&Faults::default()).await;
         assert_eq!(book(&caller, "idempotency-key", "outage").await.status, 200);
-        assert_eq!(runs(&fleet, "outage").await, 1);
+        assert_eq!(execution_count(&fleet, "outage").await, 1);
     });
 }
 
@@ -144,13 +145,13 @@
     run_on(1, async |ex| {
         let mut fleet = start(ex, "once_killed").await;
         let caller = fleet.caller(ENTRY);
-        let used = token(&caller).await;
+        let used = request_token(&caller).await;
         assert_eq!(book(&caller, "sorrelturn-token", &used).await.status, 200);
-        let unused = token(&caller).await;
-        for owner in 0..OWNERS {
+        let unused = request_token(&caller).await;
+        for owner in 0..OWNER_COUNT {
             fleet.daemons[owner].process.kill();
             let replacement = fleet.start_daemon(owner).await;
-            // The old backend server lives on, so that its count is kept.
+            // The old backend server keeps running, so its executions can still be counted.
             let old = std::mem::replace(&mut fleet.daemons[owner], replacement);
             assert!(old.ran().await.values().all(|count| *count <= 1));
         }
@@ -165,8 +166,8 @@
             let repeat = book(&caller, "sorrelturn-token", &used).await;
             assert_ne!(repeat.verdict(), "not-run", "{repeat:?}");
         }
-        assert_eq!(runs(&fleet, &unused).await, 0);
-        assert_eq!(runs(&fleet, &used).await, 0);
+        assert_eq!(execution_count(&fleet, &unused).await, 0);
+        assert_eq!(execution_count(&fleet, &used).await, 0);
     });
 }
 
@@ -175,18 +176,20 @@
     run_on(1, async |ex| {
         let fleet = start(ex.clone(), "once_frozen").await;
         let caller = fleet.caller(ENTRY);
-        let token = token(&caller).await;
-        let frozen = owner(&fleet, &token).await;
+        let token = request_token(&caller).await;
+        let frozen = owner_of(&fleet, &token).await;
         fleet.daemons[frozen].process.freeze().await;
-        let (waiting, own) = (caller.clone(), token.clone());
-        let pending = ex.spawn(async move { book(&waiting, "sorrelturn-token", &own).await });
+        let (caller_of_pending, token_of_pending) = (caller.clone(), token.clone());
+        let pending = ex.spawn(async move {
+            book(&caller_of_pending, "sorrelturn-token", &token_of_pending).await
+        });
         Timer::after(Duration::from_millis(300)).await;
         fleet.daemons[frozen].process.signal("CONT");
         let first = pending.await;
         assert_ne!(first.verdict(), "not-run", "{first:?}");
         let again = book(&caller, "sorrelturn-token", &token).await;
         assert_eq!((again.status, again.verdict()), (200, "ran"), "{again:?}");
-        assert_eq!(runs(&fleet, &token).await, 1);
+        assert_eq!(execution_count(&fleet, &token).await, 1);
     });
 }
 
@@ -195,7 +198,7 @@
     run_on(1, async |ex| {
         let fleet = start(ex, "once_refusing_entry").await;
         let caller = fleet.caller(0);
-        let token = token(&caller).await;
+        let token = request_token(&caller).await;
         assert_eq!(book(&caller, "sorrelturn-token", &token).await.status, 200);
         assert_eq!(book(&caller, "idempotency-key", "k9").await.status, 200);
         let drain = Request::post("/drain")
@@ -225,10 +228,10 @@
 }
 
 #[test]
-fn a_booking_goes_on_when_its_caller_goes_away_and_its_answer_waits() {
+fn a_booking_continues_when_its_caller_disconnects_and_its_answer_is_retained() {
     run_on(1, async |ex| {
         let fleet = start(ex, "once_gone").await;
-        for daemon in &fleet.daemons[..OWNERS] {
+        for daemon in &fleet.daemons[..OWNER_COUNT] {
             let mut plan = plan_for(
                 &fleet.plan.indexed_bundle(),
                 "scheduling",
@@ -239,16 +242,16 @@
             daemon.set_plan(&plan).await;
         }
         let caller = fleet.caller(ENTRY);
-        let token = token(&caller).await;
-        let req = Request::post(BOOK)
+        let token = request_token(&caller).await;
+        let req = Request::post(BOOKING_PATH)
             .header("sorrelturn-token", &token)
             .header("x-execution-key", &token)
             .body(Bytes::new())
             .expect("a request");
-        let gone = caller
+        let timed_out = caller
             .send_within(req, None, Duration::from_millis(100))
             .await;
-        assert!(gone.is_err());
+        assert!(timed_out.is_err());
         let mut answer = book(&caller, "sorrelturn-token", &token).await;
         while answer.status == 409 {
             assert_eq!(answer.verdict(), "may-have-run");
@@ -260,7 +263,7 @@
             (200, "ran"),
             "{answer:?}"
         );
-        assert_eq!(runs(&fleet, &token).await, 1);
+        assert_eq!(execution_count(&fleet, &token).await, 1);
     });
 }
 
@@ -269,27 +272,27 @@
     run_on(1, async |ex| {
         let mut fleet = start(ex, "once_stopped").await;
         let caller = fleet.caller(ENTRY);
-        let token_of = |stopped: usize| {
+        let token_owned_by = |stopped: usize| {
             let (fleet, caller) = (&fleet, &caller);
             async move {
                 loop {
-                    let token = token(caller).await;
-                    if owner(fleet, &token).await == stopped {
+                    let token = request_token(caller).await;
+                    if owner_of(fleet, &token).await == stopped {
                         return token;
                     }
                 }
             }
         };
         let stopped = 0;
-        let (token, used) = (token_of(stopped).await, token_of(stopped).await);
+        let (token, used) = (token_owned_by(stopped).await, token_owned_by(stopped).await);
         assert_eq!(book(&caller, "sorrelturn-token", &used).await.status, 200);
         let incarnation = token.parse::<ExecutionToken>().expect("a token").owner;
-        // The last outcomes and the closing record are written though answers are lost.
-        let lost = Faults {
+        // The stop writes the last outcomes and the closing record although the store's answers are lost.
+        let lose_answers = Faults {
             lose_write_answers: 4,
             ..Faults::default()
         };
-        fleet.play(&lost).await;
+        fleet.play(&lose_answers).await;
         fleet.daemons[stopped].process.signal("TERM");
         let status = fleet.daemons[stopped].process.ended().await;
         assert_eq!(status.code(), Some(0));
--- a/crates/sorrelturn-bench/tests/bundles_spread.rs
+++ b/crates/sorrelturn-bench/tests/bundles_spread.rs
@@ -1,4 +1,5 @@
-//! An accepted bundle comes in force everywhere, whatever fails, and never goes back.
+//! An accepted bundle comes into force on all daemons despite faults, and is never rolled back to an
+//! older version.
 
 mod common;
 
@@ -15,7 +16,7 @@
 use sorrelturn_protocol::Incarnation;
 use std::{sync::Arc, time::Duration};
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
 
 async fn start(ex: Arc<Executor<'static>>, test: &str, count: usize) -> ProcessFleet {
@@ -23,8 +24,8 @@
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
-/// A bundle that differs from the last one.
-fn changed(slots: u32) -> BundleSource {
+/// A bundle of one service with the given number of slots, so that each publication differs.
+fn bundle_with_slots(slots: u32) -> BundleSource {
     let mut bundle = chain(1, 2);
     for service in bundle.services.values_mut() {
         service.slots = slots;
@@ -33,7 +34,7 @@
 }
 
 fn platform(fleet: &ProcessFleet) -> Platform {
-    Platform::new(fleet.platform, WAIT)
+    Platform::new(fleet.platform, TIMEOUT)
 }
 
 async fn until_in_force(fleet: &ProcessFleet, version: u64) {
@@ -48,7 +49,7 @@
 fn a_bundle_is_in_force_everywhere_though_watches_stop_silently() {
     run_on(1, async |ex| {
         let fleet = start(ex, "spread_silent", 6).await;
-        publish_bundle(&platform(&fleet), &changed(21)).await;
+        publish_bundle(&platform(&fleet), &bundle_with_slots(21)).await;
         until_in_force(&fleet, 2).await;
         fleet
             .play(&Faults {
@@ -56,7 +57,7 @@
                 ..Faults::default()
             })
             .await;
-        publish_bundle(&platform(&fleet), &changed(22)).await;
+        publish_bundle(&platform(&fleet), &bundle_with_slots(22)).await;
         until_in_force(&fleet, 3).await;
     });
 }
@@ -65,18 +66,19 @@
 fn a_bundle_that_one_daemon_has_reaches_all_while_the_platform_is_down() {
     run_on(1, async |ex| {
         let fleet = start(ex, "spread_outage", 6).await;
-        let publication = Publication::sign(&changed(23), 2, "", &operator_key()).expect("signed");
+        let publication =
+            Publication::sign(&bundle_with_slots(23), 2, "", &operator_key()).expect("signed");
         fleet
             .play(&Faults {
                 down: true,
                 ..Faults::default()
             })
             .await;
-        // The platform went down right after the acceptance; the operator hands the bundle over.
+        // The platform goes down right after accepting; the operator uploads the bundle to a daemon.
         let body = serde_json::to_vec(&publication).expect("json");
-        assert_eq!(bring(&fleet, 5, body).await, 200);
+        assert_eq!(upload_bundle(&fleet, 5, body).await, 200);
         until_in_force(&fleet, 2).await;
-        // A daemon that is restarted in the outage takes the newest from its peers.
+        // A daemon that is restarted during the outage fetches the newest bundle from its peers.
         let mut fleet = fleet;
         let seed = fleet.daemons[1].addresses.control;
         fleet.daemons[0].process.kill();
@@ -90,26 +92,28 @@
     });
 }
 
-async fn bring(fleet: &ProcessFleet, at: usize, body: Vec<u8>) -> u16 {
+async fn upload_bundle(fleet: &ProcessFleet, index: usize, body: Vec<u8>) -> u16 {
     let req = Request::put("/bundle")
         .body(Bytes::from(body))
         .expect("a request");
-    let addr = fleet.daemons[at].addresses.admin;
-    let res = exchange(addr, req, WAIT).await.expect("the daemon answers");
+    let addr = fleet.daemons[index].addresses.admin;
+    let res = exchange(addr, req, TIMEOUT)
+        .await
+        .expect("the daemon answers");
     res.status().as_u16()
 }
 
 #[test]
-fn forged_replayed_older_and_partial_bundles_are_not_taken() {
+fn forged_replayed_older_and_partial_bundles_are_not_accepted() {
     run_on(1, async |ex| {
         let fleet = start(ex, "spread_forged", 2).await;
-        publish_bundle(&platform(&fleet), &changed(24)).await;
+        publish_bundle(&platform(&fleet), &bundle_with_slots(24)).await;
         until_in_force(&fleet, 2).await;
-        let stranger = OperatorKey::from_hex("bench", &"17".repeat(32)).expect("a key");
-        let unknown = OperatorKey::from_hex("eve", &"42".repeat(32)).expect("a key");
+        let wrong_key = OperatorKey::from_hex("bench", &"17".repeat(32)).expect("a key");
+        let unknown_operator = OperatorKey::from_hex("eve", &"42".repeat(32)).expect("a key");
         let own = operator_key();
         let sign = |version, key: &OperatorKey| {
-            Publication::sign(&changed(25), version, "", key).expect("signed")
+            Publication::sign(&bundle_with_slots(25), version, "", key).expect("signed")
         };
         let mut partial = sign(9, &own);
         partial.sections.pop();
@@ -121,24 +125,24 @@
             .manifest
             .replace("\"version\":9", "\"version\":8");
         let refused = [
-            ("stranger's key", sign(9, &stranger), 403),
-            ("unknown operator", sign(9, &unknown), 403),
+            ("wrong key", sign(9, &wrong_key), 403),
+            ("unknown operator", sign(9, &unknown_operator), 403),
             ("half of the sections", partial, 403),
             ("swapped section", swapped, 403),
             ("altered manifest", altered, 403),
             ("replayed version", sign(2, &own), 200),
             ("older version", sign(1, &own), 200),
         ];
-        for (what, publication, status) in refused {
+        for (case, publication, status) in refused {
             let body = serde_json::to_vec(&publication).expect("json");
-            assert_eq!(bring(&fleet, 0, body).await, status, "{what}");
+            assert_eq!(upload_bundle(&fleet, 0, body).await, status, "{case}");
             let report = fleet.daemons[0].status().await.expect("the daemon answers");
-            assert_eq!(report.bundle_version, 2, "{what}");
+            assert_eq!(report.bundle_version, 2, "{case}");
         }
-        // A store that shows an old head, as after a restore from a copy, changes nothing.
-        let old = serde_json::to_string(&sign(1, &own).manifest).expect("json");
+        // An old head in the store, as after a restore from a backup, has no effect.
+        let old_head = serde_json::to_string(&sign(1, &own).manifest).expect("json");
         let written = platform(&fleet)
-            .put(keys::BUNDLE_HEAD, &old, Expected::Anything)
+            .put(keys::BUNDLE_HEAD, &old_head, Expected::Anything)
             .await;
         assert!(written.is_ok());
         Timer::after(Duration::from_secs(3)).await;
@@ -156,23 +160,26 @@
     run_on(1, async |ex| {
         let mut fleet = start(ex, "spread_watchers", 9).await;
         let mut killed = 0;
-        for at in (0..fleet.daemons.len()).rev() {
-            let watcher = fleet.daemons[at].status().await.is_some_and(|s| s.watcher);
-            // One of each failure domain's three is left, whichever it is.
-            let domain = fleet.daemons[at].settings.failure_domain.clone();
-            let left = fleet
+        for index in (0..fleet.daemons.len()).rev() {
+            let watcher = fleet.daemons[index]
+                .status()
+                .await
+                .is_some_and(|s| s.watcher);
+            // At least one daemon of each failure domain stays.
+            let domain = fleet.daemons[index].settings.failure_domain.clone();
+            let remaining = fleet
                 .daemons
                 .iter()
                 .filter(|daemon| daemon.settings.failure_domain == domain)
                 .count();
-            if watcher && left > 1 {
-                let mut daemon = fleet.daemons.remove(at);
+            if watcher && remaining > 1 {
+                let mut daemon = fleet.daemons.remove(index);
                 daemon.process.kill();
                 killed += 1;
             }
         }
         assert!(killed >= 3, "{killed}");
-        publish_bundle(&platform(&fleet), &changed(26)).await;
+        publish_bundle(&platform(&fleet), &bundle_with_slots(26)).await;
         until_in_force(&fleet, 2).await;
     });
 }
@@ -181,7 +188,7 @@
 fn a_daemon_that_was_cut_off_catches_up_when_it_is_back() {
     run_on(1, async |ex| {
         let fleet = start(ex, "spread_cut_off", 6).await;
-        // Frozen processes stand for a failure domain that nobody reaches.
+        // Frozen processes simulate a failure domain that is unreachable.
         let cut_off: Vec<&DaemonProcess> = fleet
             .daemons
             .iter()
@@ -190,7 +197,7 @@
         for daemon in &cut_off {
             daemon.process.freeze().await;
         }
-        publish_bundle(&platform(&fleet), &changed(27)).await;
+        publish_bundle(&platform(&fleet), &bundle_with_slots(27)).await;
         for daemon in &fleet.daemons {
             if daemon.settings.failure_domain != "c" {
                 daemon.until(|status| status.bundle_version == 2).await;
@@ -210,12 +217,15 @@
         let platform = platform(&fleet);
         let head = read_head(&platform).await.expect("the store answers");
         let key = operator_key();
-        let first = Publication::sign(&changed(28), 2, "first", &key).expect("signed");
-        let second = Publication::sign(&changed(29), 2, "second", &key).expect("signed");
+        let first = Publication::sign(&bundle_with_slots(28), 2, "first", &key).expect("signed");
+        let second = Publication::sign(&bundle_with_slots(29), 2, "second", &key).expect("signed");
         let accepted = publish(&platform, head.as_ref(), &first).await;
         assert_eq!(accepted.map(|accepted| accepted.version), Ok(2));
-        let lost = publish(&platform, head.as_ref(), &second).await;
-        assert_eq!(lost.map_err(|failure| failure.exit), Err(exit::CONFLICT));
+        let conflicting = publish(&platform, head.as_ref(), &second).await;
+        assert_eq!(
+            conflicting.map_err(|failure| failure.exit),
+            Err(exit::CONFLICT)
+        );
         until_in_force(&fleet, 2).await;
     });
 }
@@ -226,8 +236,9 @@
         let fleet = start(ex, "spread_lost", 1).await;
         let platform = platform(&fleet);
         let head = read_head(&platform).await.expect("the store answers");
-        let publication = Publication::sign(&changed(30), 2, "", &operator_key()).expect("signed");
-        // Every write of the publication loses its answer: history, sections, head.
+        let publication =
+            Publication::sign(&bundle_with_slots(30), 2, "", &operator_key()).expect("signed");
+        // The store loses the answer to every write of the publication: history, sections and head.
         fleet
             .play(&Faults {
                 lose_write_answers: 100,
@@ -240,7 +251,7 @@
 }
 
 #[test]
-fn an_earlier_run_that_looks_newer_doesnt_hide_a_daemon() {
+fn an_earlier_incarnation_that_looks_newer_doesnt_hide_a_daemon() {
     run_on(1, async |ex| {
         let fleet = start(ex, "spread_clock", 3).await;
         let own = fleet.daemons[0]
@@ -248,7 +259,7 @@
             .await
             .expect("the daemon answers")
             .record;
-        // As if the clock had been set back before this run began.
+        // As if the clock had been set back before this incarnation started.
         let mut earlier = own.clone();
         earlier.incarnation = Incarnation(7);
         earlier.started_ms += 1_000_000_000;
@@ -288,6 +299,6 @@
             }
             Timer::after(Duration::from_millis(100)).await;
         }
-        panic!("the status never became whole");
+        panic!("the status in the store did not become complete in time");
     });
 }
--- a/crates/sorrelturn-bench/tests/common/mod.rs
+++ b/crates/sorrelturn-bench/tests/common/mod.rs
@@ -1,21 +1,21 @@
-//! The one helper of these tests.
-#![allow(dead_code, reason = "each test program uses a part of this module")]
+//! Helpers shared by the integration tests.
+#![allow(dead_code, reason = "not every test program uses all helpers")]
 
 use bytes::Bytes;
 use hyper::Request;
 use sorrelturn_bundle::{BundleSource, parse};
 use std::path::{Path, PathBuf};
 
-/// One of the example bundles.
+/// Reads an example bundle by its file name.
 pub fn bundle(name: &str) -> BundleSource {
     let file = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../bundles")
         .join(name);
     let text = std::fs::read_to_string(file).expect("the example is in the repository");
-    parse(name, &text).expect("the example is right")
+    parse(name, &text).expect("the example is valid")
 }
 
-/// A fresh folder for one test.
+/// Creates a folder for the files of one test and returns its path.
 pub fn folder(test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     std::fs::create_dir_all(&folder).expect("the target folder can be written");
@@ -31,19 +31,19 @@
         .expect("a request")
 }
 
-/// A bundle of a chain: service `s0` calls `s1`, and so on; all may be repeated.
+/// A bundle in which service `s0` calls `s1`, which calls `s2`, and so on. All kinds are repeatable.
 pub fn chain(depth: usize, attempts: u32) -> BundleSource {
     let services: Vec<String> = (0..depth)
-        .map(|at| {
-            let calls = if at + 1 < depth {
-                format!(r#", "calls": {{ "k{}": 1 }}"#, at + 1)
+        .map(|index| {
+            let calls = if index + 1 < depth {
+                format!(r#", "calls": {{ "k{}": 1 }}"#, index + 1)
             } else {
                 String::new()
             };
             format!(
-                r#""s{at}": {{ "slots": 200, "connections": 1000, "cold_start_ms": 1,
+                r#""s{index}": {{ "slots": 200, "connections": 1000, "cold_start_ms": 1,
                 "drain_header": "x-draining", "refused_statuses": [503], "kinds": {{
-                "k{at}": {{ "method": "GET", "path": "/k{at}/{{id}}", "importance": "normal",
+                "k{index}": {{ "method": "GET", "path": "/k{index}/{{id}}", "importance": "normal",
                 "execution": "repeatable", "deadline_ms": 5000, "attempts": {attempts},
                 "exposed": true {calls} }} }} }}"#
             )
@@ -54,5 +54,5 @@
         "rate_per_second": 100000, "retry_fraction": 0.1 }} }} }}"#,
         services.join(",")
     );
-    parse("chain", &text).expect("the chain is right")
+    parse("chain", &text).expect("the chain is valid")
 }
--- a/crates/sorrelturn-bench/tests/leaving.rs
+++ b/crates/sorrelturn-bench/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving instances get no new work, and planned stops cut nothing off.
+//! Leaving instances receive no new requests, and planned stops interrupt no request in progress.
 
 mod common;
 
@@ -27,8 +27,8 @@
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
-/// Steady load until the flag is set; returns good and failed requests.
-fn load(
+/// Sends requests to each entry until `stop` is set; each task returns its successes and failures.
+fn spawn_load(
     fleet: &ProcessFleet,
     entries: &[usize],
     stop: &Arc<AtomicBool>,
@@ -57,20 +57,24 @@
     run_on(2, async |ex| {
         let mut fleet = start(ex, "rolling_stop").await;
         let stop = Arc::new(AtomicBool::new(false));
-        // Callers use the daemons of s0; those of s1 are replaced one after another.
-        let tasks = load(&fleet, &[3, 4, 5, 3, 4, 5], &stop);
-        for at in 0..3 {
-            fleet.daemons[at].process.signal("TERM");
-            let status = fleet.daemons[at].process.ended().await;
-            assert_eq!(status.code(), Some(0), "instance {at} cut something off");
-            fleet.daemons[at] = fleet.start_daemon(at).await;
+        // Callers use the daemons of s0; the daemons of s1 are restarted one after another.
+        let tasks = spawn_load(&fleet, &[3, 4, 5, 3, 4, 5], &stop);
+        for index in 0..3 {
+            fleet.daemons[index].process.signal("TERM");
+            let status = fleet.daemons[index].process.ended().await;
+            assert_eq!(
+                status.code(),
+                Some(0),
+                "instance {index} interrupted requests"
+            );
+            fleet.daemons[index] = fleet.start_daemon(index).await;
             fleet.until_all_know_all().await;
         }
         stop.store(true, Ordering::Relaxed);
         let mut good = 0;
         for task in tasks {
-            let (fine, failed) = task.await;
-            good += fine;
+            let (good_of_task, failed) = task.await;
+            good += good_of_task;
             assert!(failed.is_empty(), "{failed:?}");
         }
         assert!(good > 50, "{good}");
@@ -92,12 +96,12 @@
             .await
             .expect("the answer begins");
         fleet.daemons[3].process.signal("TERM");
-        // Longer than the daemon would take to exit if it forgot this reader.
+        // Longer than the daemon takes to exit if it does not wait for this reader.
         Timer::after(Duration::from_secs(2)).await;
         let mut received = 1000;
         while received < BYTES {
-            let len = tcp.read(&mut buf).await.expect("the answer goes on");
-            assert_ne!(len, 0, "cut after {received} bytes");
+            let len = tcp.read(&mut buf).await.expect("the answer continues");
+            assert_ne!(len, 0, "truncated after {received} bytes");
             received += len;
         }
         drop(tcp);
@@ -125,13 +129,13 @@
         run_on(2, async |ex| {
             let mut fleet = start(ex, &format!("leaving_{signal:?}")).await;
             let stop = Arc::new(AtomicBool::new(false));
-            let tasks = load(&fleet, &[3, 4, 5], &stop);
+            let tasks = spawn_load(&fleet, &[3, 4, 5], &stop);
             Timer::after(Duration::from_millis(200)).await;
             begin_leaving(&fleet, signal).await;
-            // The promise is a few seconds; a busy machine may take longer to play it.
-            let counted = quiet_since(&fleet).await;
+            // The fleet should react within a few seconds; the time limit allows for a busy machine.
+            let final_count = wait_until_idle(&fleet).await;
             Timer::after(Duration::from_millis(500)).await;
-            assert_eq!(executions(&fleet, 0).await, counted, "{signal:?}");
+            assert_eq!(executions(&fleet, 0).await, final_count, "{signal:?}");
             stop.store(true, Ordering::Relaxed);
             for task in tasks {
                 let (good, failed) = task.await;
@@ -151,8 +155,8 @@
             let req = Request::post("/drain")
                 .body(Bytes::new())
                 .expect("a request");
-            let asked = exchange(leaver.addresses.admin, req, Duration::from_secs(20));
-            assert!(asked.await.is_ok_and(|res| res.status().is_success()));
+            let drained = exchange(leaver.addresses.admin, req, Duration::from_secs(20));
+            assert!(drained.await.is_ok_and(|res| res.status().is_success()));
         }
         Signal::Backend => {
             let mut plan: Plan = plan_for(&fleet.plan.indexed_bundle(), "s1", &fleet.plan.work_ms);
@@ -166,9 +170,9 @@
                 .instances
                 .iter()
                 .enumerate()
-                .map(|(at, instance)| VmEntry {
+                .map(|(index, instance)| VmEntry {
                     instance: instance.instance.clone(),
-                    state: if at == 0 {
+                    state: if index == 0 {
                         VmState::Leaving
                     } else {
                         VmState::Live
@@ -181,9 +185,9 @@
     }
 }
 
-/// Waits until the leaver's backend server has got nothing new for a while.
-async fn quiet_since(fleet: &ProcessFleet) -> u64 {
-    let until = Instant::now() + Duration::from_secs(60);
+/// Waits until the leaving instance's backend server receives no new requests; returns its executions.
+async fn wait_until_idle(fleet: &ProcessFleet) -> u64 {
+    let deadline = Instant::now() + Duration::from_secs(60);
     let mut last = executions(fleet, 0).await;
     loop {
         Timer::after(Duration::from_millis(700)).await;
@@ -191,19 +195,19 @@
         if now == last {
             return now;
         }
-        assert!(Instant::now() < until, "new work still comes");
+        assert!(Instant::now() < deadline, "new requests still arrive");
         last = now;
     }
 }
 
-async fn executions(fleet: &ProcessFleet, at: usize) -> u64 {
+async fn executions(fleet: &ProcessFleet, index: usize) -> u64 {
     let req = Request::get("/fake/counts")
         .body(Bytes::new())
         .expect("a request");
-    let addr = fleet.daemons[at].backend_addr;
+    let addr = fleet.daemons[index].backend_addr;
     let res = exchange(addr, req, Duration::from_secs(20))
         .await
-        .expect("the fake answers");
+        .expect("the fake backend server answers");
     let counts: [u64; 2] = serde_json::from_slice(res.body()).expect("counts");
     counts[0]
 }
@@ -224,8 +228,8 @@
         for list in [all_leaving, Vec::new()] {
             fleet.set_vms(&list).await;
             let answered = AtomicU64::new(0);
-            let until = Instant::now() + Duration::from_secs(5);
-            while Instant::now() < until {
+            let deadline = Instant::now() + Duration::from_secs(5);
+            while Instant::now() < deadline {
                 let answer = fleet.caller(3).send(request("GET", "/k0/7"), None).await;
                 assert_eq!(answer.expect("an answer").status, 200);
                 answered.fetch_add(1, Ordering::Relaxed);
