--- a/crates/sorrelturn-bench/tests/bad_input.rs
+++ b/crates/sorrelturn-bench/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear refusal and the daemon stays up.
+//! Malformed input is refused with a specific status, and the daemon keeps serving.
 
 mod common;
 
@@ -22,8 +22,8 @@
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
-/// Sends raw bytes and returns what comes back until the connection is closed or it is quiet.
-async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
+/// Sends raw bytes and returns the response up to the close of the connection or a read timeout.
+async fn send_raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(addr).await.expect("the port is open");
     let _ = tcp.write_all(bytes).await;
     let mut answer = Vec::new();
@@ -36,14 +36,14 @@
             answer.extend_from_slice(&buf[..len]);
         }
     };
-    let quiet = async {
+    let read_timeout = async {
         Timer::after(Duration::from_millis(1_500)).await;
     };
-    read.or(quiet).await;
+    read.or(read_timeout).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn still_serves(fleet: &ProcessFleet) {
+async fn assert_serving(fleet: &ProcessFleet) {
     let answer = fleet
         .caller(0)
         .send(request("GET", "/calendar/7"), None)
@@ -90,7 +90,7 @@
                 " 401 ",
             ),
             (
-                "caller without the right",
+                "caller without permission",
                 "GET /calendar/7 HTTP/1.1\r\nhost: x\r\nauthorization: Bearer clerks-example\r\n\r\n".to_owned(),
                 " 403 ",
             ),
@@ -100,13 +100,13 @@
                 " 422 ",
             ),
         ];
-        for (what, bytes, wanted) in cases {
-            let answer = raw(addr, bytes.as_bytes()).await;
+        for (case, bytes, expected_status) in cases {
+            let answer = send_raw(addr, bytes.as_bytes()).await;
             let head = answer.lines().next().unwrap_or_default();
-            assert!(head.contains(wanted), "{what}: {answer:?}");
-            assert!(!answer.contains(" 200 OK"), "{what}: {answer:?}");
+            assert!(head.contains(expected_status), "{case}: {answer:?}");
+            assert!(!answer.contains(" 200 OK"), "{case}: {answer:?}");
         }
-        still_serves(&fleet).await;
+        assert_serving(&fleet).await;
     });
 }
 
@@ -135,17 +135,17 @@
     run_on(1, async |ex| {
         let fleet = start(ex, "bad_connections").await;
         let addresses = fleet.daemons[0].addresses;
-        let mut held = Vec::new();
+        let mut open_connections = Vec::new();
         for _ in 0..50 {
             let mut slow = TcpStream::connect(addresses.callers).await.expect("open");
             let _ = slow.write_all(b"GET /calen").await;
-            held.push(slow);
-            held.push(TcpStream::connect(addresses.callers).await.expect("open"));
-            held.push(TcpStream::connect(addresses.peers).await.expect("open"));
-            held.push(TcpStream::connect(addresses.control).await.expect("open"));
+            open_connections.push(slow);
+            open_connections.push(TcpStream::connect(addresses.callers).await.expect("open"));
+            open_connections.push(TcpStream::connect(addresses.peers).await.expect("open"));
+            open_connections.push(TcpStream::connect(addresses.control).await.expect("open"));
         }
         let garbage: Vec<u8> = (0..100_000u32)
-            .map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8)
+            .map(|index| (index.wrapping_mul(2_654_435_761) >> 13) as u8)
             .collect();
         for addr in [
             addresses.peers,
@@ -153,16 +153,16 @@
             addresses.admin,
             addresses.local,
         ] {
-            raw(addr, &garbage).await;
-            raw(addr, b"\xff\xff\xff\xff").await;
+            send_raw(addr, &garbage).await;
+            send_raw(addr, b"\xff\xff\xff\xff").await;
         }
-        // A forged call on the peer port without a context gets nothing.
-        raw(
+        // A forged call on the peer port, without a request context.
+        send_raw(
             addresses.peers,
             b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\x00\x00\x00\x04\x00\x00\x00\x00\x00garbage",
         )
         .await;
-        still_serves(&fleet).await;
-        drop(held);
+        assert_serving(&fleet).await;
+        drop(open_connections);
     });
 }
--- a/crates/sorrelturn-bench/tests/cut_network.rs
+++ b/crates/sorrelturn-bench/tests/cut_network.rs
@@ -1,4 +1,5 @@
-//! A network that holds up what it was given, and delivers it later.
+//! Network partitions that delay traffic and deliver it later cause neither double executions nor
+//! wrong verdicts, and few lost requests.
 
 mod common;
 
@@ -12,9 +13,9 @@
 use sorrelturn_protocol::MemberRecord;
 use std::{sync::Arc, time::Duration};
 
-const WAIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The paths to one daemon.
+/// The relays through which one daemon is connected to the fleet and the platform.
 struct Paths {
     peers: Relay,
     control: Relay,
@@ -39,7 +40,7 @@
     }
 }
 
-/// A fleet whose last daemon is reached, and reaches the platform, over paths that can be cut.
+/// Starts a fleet whose last daemon is connected to the others and the platform through relays.
 async fn start(ex: Arc<Executor<'static>>, plan: FleetPlan, test: &str) -> (ProcessFleet, Paths) {
     let mut fleet = ProcessFleet::start(Arc::clone(&ex), plan, &folder(test)).await;
     let paths = Paths {
@@ -55,7 +56,7 @@
         peers: Some(paths.peers.addr),
         control: Some(paths.control.addr),
     };
-    // Its earlier run ends without a word and is replaced, as a VM is.
+    // The earlier incarnation ends without notice and is replaced, as a VM is.
     drop(last);
     let backend = sorrelturn_bench::Process::start("sorrelturn-bench", &["backend"]);
     let addr = backend.first_line.parse().expect("an address");
@@ -69,10 +70,10 @@
         .instance
         .clone();
     for daemon in &fleet.daemons {
-        let is_new_run = |record: &MemberRecord| record.peer_addr == paths.peers.addr;
-        daemon.until_member(&instance, is_new_run).await;
+        let is_new_incarnation = |record: &MemberRecord| record.peer_addr == paths.peers.addr;
+        daemon.until_member(&instance, is_new_incarnation).await;
     }
-    // A run is known before it has found its bundle, and refuses calls until then.
+    // A new incarnation refuses calls until it has fetched the bundle, which can be after discovery.
     fleet.until_all_know_all().await;
     (fleet, paths)
 }
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn a_booking_that_the_network_holds_up_is_never_called_not_run_and_runs_once_at_most() {
+fn a_booking_that_the_network_delays_is_never_reported_as_not_run_and_runs_at_most_once() {
     run_on(2, async |ex| {
         let mut deployment = bundle("protokols-riga.jsonc");
         let scheduling = deployment.services.get_mut("scheduling");
@@ -98,19 +99,19 @@
         let plan = FleetPlan::new(deployment, &services, &["riga-a"], &[]);
         let (fleet, paths) = start(ex, plan, "cut_booking").await;
         let caller = fleet.caller(0);
-        let wanted = r#"{ "method": "POST", "path": "/bookings/h1" }"#;
-        let req = Request::post("/.sorrelturn/tokens").body(Bytes::from(wanted));
+        let token_request = r#"{ "method": "POST", "path": "/bookings/h1" }"#;
+        let req = Request::post("/.sorrelturn/tokens").body(Bytes::from(token_request));
         let answer = caller.send(req.expect("a request"), None).await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, 201, "{answer:?}");
         let token = answer.header("sorrelturn-token").expect("a token");
 
         paths.cut();
-        let held_up = book(&caller, token).await;
-        assert_eq!(held_up.verdict(), "may-have-run", "{held_up:?}");
+        let delayed = book(&caller, token).await;
+        assert_eq!(delayed.verdict(), "may-have-run", "{delayed:?}");
         assert!(fleet.daemons[1].ran().await.is_empty());
 
-        // The held-up copy arrives while the caller asks again.
+        // The delayed request arrives while the caller retries.
         paths.join();
         let mut last = book(&caller, token).await;
         for _ in 0..20 {
@@ -119,20 +120,20 @@
             }
             last = book(&caller, token).await;
         }
-        let ran = fleet.daemons[1].ran().await;
-        let ran = ran.get("k stenographer-book").copied().unwrap_or(0);
-        // A copy that is cancelled halfway has an unknown outcome; it must not run again.
-        assert!(ran <= 1, "{ran} runs");
+        let executions = fleet.daemons[1].ran().await;
+        let executions = executions.get("k stenographer-book").copied().unwrap_or(0);
+        // A request that is cancelled during execution has an unknown outcome and must not run again.
+        assert!(executions <= 1, "{executions} executions");
         if last.status == 200 {
-            assert_eq!(ran, 1, "{last:?}");
+            assert_eq!(executions, 1, "{last:?}");
         } else {
-            assert_ne!((last.verdict(), ran), ("not-run", 1), "{last:?}");
+            assert_ne!((last.verdict(), executions), ("not-run", 1), "{last:?}");
         }
     });
 }
 
 #[test]
-fn few_calls_are_lost_to_an_instance_behind_a_cut() {
+fn few_calls_are_lost_to_a_partitioned_instance() {
     run_on(2, async |ex| {
         let mut deployment = chain(1, 4);
         let service = deployment.services.get_mut("s0").expect("the chain has it");
@@ -147,13 +148,13 @@
             let answer = caller.send(request("GET", "/k0/7"), None).await;
             lost += u32::from(answer.expect("an answer").status != 200);
         }
-        // Five failures in a row eject it, for twice as long each time; a call in four would be 50.
+        // Consecutive failures eject the instance; without ejection, every fourth call (50) would be lost.
         assert!(lost <= 20, "{lost} of 200 calls were lost");
     });
 }
 
 #[test]
-fn a_daemon_that_neither_platform_nor_peers_reach_asks_and_has_the_bundle_in_force() {
+fn a_daemon_that_neither_platform_nor_peers_can_reach_fetches_the_bundle_itself() {
     run_on(1, async |ex| {
         let plan = FleetPlan::new(chain(1, 2), &[("s0", 4)], &["a", "b"], &[]);
         let (fleet, paths) = start(ex, plan, "cut_daemon").await;
@@ -161,7 +162,7 @@
         let mut bundle = chain(1, 2);
         let service = bundle.services.get_mut("s0").expect("the chain has it");
         service.slots = 21;
-        publish_bundle(&Platform::new(fleet.platform, WAIT), &bundle).await;
+        publish_bundle(&Platform::new(fleet.platform, TIMEOUT), &bundle).await;
         for daemon in &fleet.daemons {
             daemon.until(|status| status.bundle_version == 2).await;
         }
--- a/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
+++ b/crates/sorrelturn-bench/tests/not_run_means_not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only if no byte reached any backend server.
+//! The verdict `not-run` is reported only if no backend server can have executed the request.
 
 mod common;
 
@@ -32,20 +32,20 @@
         )
         .await;
 
-        // Reads so many bytes of each request, then closes; 0 closes at once.
+        // The backend server closes each connection after reading `cut_at` bytes; 0 closes it at once.
         let cut_at = Arc::new(AtomicUsize::new(0));
         let received = Arc::new(AtomicUsize::new(0));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let backend = listener.local_addr().expect("address");
-        let (cut, counted) = (Arc::clone(&cut_at), Arc::clone(&received));
+        let (backend_cut_at, backend_received) = (Arc::clone(&cut_at), Arc::clone(&received));
         let _backend = ex.spawn(async move {
             loop {
                 let Ok((mut tcp, _)) = listener.accept().await else {
                     return;
                 };
-                let mut buf = vec![0; cut.load(Ordering::Relaxed)];
+                let mut buf = vec![0; backend_cut_at.load(Ordering::Relaxed)];
                 if !buf.is_empty() && tcp.read_exact(&mut buf).await.is_ok() {
-                    counted.fetch_add(1, Ordering::Relaxed);
+                    backend_received.fetch_add(1, Ordering::Relaxed);
                 }
                 let _ = tcp.close().await;
             }
@@ -68,9 +68,9 @@
                 .send(request("GET", "/k0/7"), None)
                 .await
                 .expect("an answer");
-            let reached = received.load(Ordering::Relaxed) > before;
+            let has_reached_backend = received.load(Ordering::Relaxed) > before;
             assert!(answer.status >= 500, "cut at {position}: {answer:?}");
-            if reached {
+            if has_reached_backend {
                 assert_eq!(
                     answer.verdict(),
                     "may-have-run",
@@ -88,7 +88,7 @@
         let fleet = LocalFleet::start(ex, plan).await;
         let caller = fleet.caller(0);
         let backend = &fleet.backends[0];
-        // The bundle declares 503 as refused before it ran.
+        // The bundle declares that status 503 means refused before execution.
         backend.change_plan(|plan| plan.fault = Fault::Refuses);
         let refused = caller
             .send(request("GET", "/k0/7"), None)
@@ -106,13 +106,13 @@
         assert_eq!((failed.status, failed.verdict()), (500, "ran"));
 
         backend.change_plan(|plan| plan.fault = Fault::BreaksBeforeHead);
-        let broke = caller
+        let interrupted = caller
             .send(request("GET", "/k0/7"), None)
             .await
             .expect("an answer");
         assert_eq!(
-            broke.verdict(),
-            if broke.status == 502 {
+            interrupted.verdict(),
+            if interrupted.status == 502 {
                 "may-have-run"
             } else {
                 "ran"
--- a/crates/sorrelturn-bench/tests/own_whole_answers.rs
+++ b/crates/sorrelturn-bench/tests/own_whole_answers.rs
@@ -1,4 +1,5 @@
-//! Every caller gets its own answer, whole, or an error: never another's, never a cut one as whole.
+//! Every caller receives its own complete answer or an error, never another caller's answer or a
+//! silently truncated one.
 
 mod common;
 
@@ -12,15 +13,15 @@
 }
 
 #[test]
-fn under_concurrency_cuts_and_cancellations_no_answer_is_mixed_up_or_cut_as_whole() {
+fn under_concurrency_cuts_and_cancellations_no_answer_is_mixed_up_or_silently_truncated() {
     run_on(4, async |ex| {
         let fleet = LocalFleet::start(ex, fleet_plan()).await;
-        let exchanges = ExchangeConfig {
+        let config = ExchangeConfig {
             count: 3_000,
             concurrency: 128,
             body_size_range_bytes: 200_000,
         };
-        let counts = exchange_many(&fleet, exchanges).await;
+        let counts = exchange_many(&fleet, config).await;
         assert_eq!(counts.wrong, 0, "{counts:?}");
         assert!(counts.good > 300, "{counts:?}");
         assert!(counts.failed > 300, "{counts:?}");
@@ -33,26 +34,26 @@
         let mut plan = fleet_plan();
         plan.work_ms.insert("k1".to_owned(), 60_000.0);
         let fleet = LocalFleet::start(ex, plan).await;
-        let begun = || -> u64 { fleet.backends.iter().map(|b| b.executions()).sum() };
+        let executions = || -> u64 { fleet.backends.iter().map(|b| b.executions()).sum() };
         let cancelled = || -> u64 { fleet.backends.iter().map(|b| b.cancelled()).sum() };
         let caller = fleet.caller(0);
-        let asks = fleet.ex.spawn(async move {
+        let request_task = fleet.ex.spawn(async move {
             let _ = caller.send(request("GET", "/k0/7"), None).await;
         });
-        until(2, begun).await;
-        drop(asks);
-        until(2, cancelled).await;
-        assert_eq!(begun(), 2);
+        wait_for_count(2, executions).await;
+        drop(request_task);
+        wait_for_count(2, cancelled).await;
+        assert_eq!(executions(), 2);
     });
 }
 
-/// Waits until a count is reached, however slow the machine is.
-async fn until(wanted: u64, count: impl Fn() -> u64) {
+/// Waits until the count is as expected, with a time limit that allows for a slow machine.
+async fn wait_for_count(expected: u64, count: impl Fn() -> u64) {
     for _ in 0..2_000 {
-        if count() == wanted {
+        if count() == expected {
             return;
         }
         Timer::after(Duration::from_millis(10)).await;
     }
-    panic!("{} instead of {wanted}", count());
+    panic!("the count is {} instead of {expected}", count());
 }
--- a/crates/sorrelturn-bench/tests/rerouting.rs
+++ b/crates/sorrelturn-bench/tests/rerouting.rs
@@ -1,4 +1,4 @@
-//! Calls that backend servers turn away are offered to others, and to none of them twice.
+//! A call that a backend server refuses is sent to other instances, but to none of them twice.
 
 mod common;
 
@@ -7,10 +7,10 @@
 
 const ATTEMPTS: u32 = 6;
 
-/// Both instances of a service turn all away for a while. A call that comes back to the first has nothing to gain: on
-/// this interface a refusal says that the backend server is full.
+/// Both instances refuse every call. Sending the call to the first one again is useless, because a
+/// refusal means that its backend server is full.
 #[test]
-fn a_call_that_is_turned_away_asks_each_instance_once() {
+fn a_refused_call_is_sent_to_each_instance_once() {
     run_on(4, async |ex| {
         let plan = FleetPlan::new(chain(1, ATTEMPTS), &[("s0", 2)], &["a", "b"], &[]);
         let fleet = LocalFleet::start(ex, plan).await;
--- a/crates/sorrelturn-bench/tests/retries_over_the_chain.rs
+++ b/crates/sorrelturn-bench/tests/retries_over_the_chain.rs
@@ -1,4 +1,4 @@
-//! Eight hops of real daemons, everything failing: executions stay within the root's attempts.
+//! Retries do not multiply over eight failing hops: executions stay within the root's attempts.
 
 mod common;
 
@@ -9,7 +9,7 @@
 const ATTEMPTS: u32 = 20;
 
 fn fleet_plan() -> FleetPlan {
-    let names: Vec<String> = (0..DEPTH).map(|at| format!("s{at}")).collect();
+    let names: Vec<String> = (0..DEPTH).map(|index| format!("s{index}")).collect();
     let instances: Vec<(&str, usize)> = names.iter().map(|name| (name.as_str(), 1)).collect();
     FleetPlan::new(chain(DEPTH, ATTEMPTS), &instances, &["a", "b"], &[])
 }
@@ -27,8 +27,8 @@
     run_on(4, async |ex| {
         let fleet = LocalFleet::start(ex, fleet_plan()).await;
         let caller = fleet.caller(0);
-        let good = caller.send(request("GET", "/k0/7"), None).await;
-        assert_eq!(good.expect("an answer").status, 200);
+        let answer = caller.send(request("GET", "/k0/7"), None).await;
+        assert_eq!(answer.expect("an answer").status, 200);
         assert_eq!(executions(&fleet).await, DEPTH as u64);
 
         for fault in [
@@ -36,7 +36,7 @@
             Fault::BreaksBeforeHead,
             Fault::BreaksInBody,
         ] {
-            // The backend servers retry on their own as well, as badly behaved ones do.
+            // The backend servers also retry nested calls themselves, as misbehaving ones do.
             for backend in &fleet.backends {
                 backend.change_plan(|plan| {
                     plan.fault = fault;
@@ -49,10 +49,10 @@
                 let answer = caller.send(request("GET", "/k0/7"), None).await;
                 assert!(answer.is_err() || answer.is_ok_and(|answer| answer.status >= 500));
             }
-            let cost = executions(&fleet).await - before;
+            let caused = executions(&fleet).await - before;
             assert!(
-                cost <= requests * u64::from(ATTEMPTS),
-                "{fault:?} cost {cost}"
+                caused <= requests * u64::from(ATTEMPTS),
+                "{fault:?} caused {caused} executions"
             );
         }
     });
--- a/crates/sorrelturn-bench/tests/security.rs
+++ b/crates/sorrelturn-bench/tests/security.rs
@@ -1,5 +1,5 @@
-//! With the fleet's keys, a stranger gets nothing from the peer and control ports, and keys are
-//! rotated without a stop.
+//! With fleet keys, strangers receive no data from the peer and control ports, and keys can be rotated
+//! without downtime.
 
 mod common;
 
@@ -23,12 +23,12 @@
 };
 
 fn make_keys(folder: &Path) {
-    let made = Command::new(binary("sorrelctl"))
+    let output = Command::new(binary("sorrelctl"))
         .args(["key", "fleet", "--folder"])
         .arg(folder)
         .output()
         .expect("sorrelctl runs");
-    assert!(made.status.success(), "{made:?}");
+    assert!(output.status.success(), "{output:?}");
 }
 
 fn settings(folder: &Path) -> FleetKeySettings {
@@ -45,14 +45,14 @@
     ProcessFleet::start(ex, plan, &folder(test)).await
 }
 
-fn fresh(test: &str, name: &str) -> PathBuf {
+fn create_keys(test: &str, name: &str) -> PathBuf {
     let folder = folder(test).join(name);
     let _ = fs::remove_dir_all(&folder);
     make_keys(&folder);
     folder
 }
 
-async fn answers(fleet: &ProcessFleet) {
+async fn assert_serving(fleet: &ProcessFleet) {
     for _ in 0..10 {
         let answer = fleet.caller(0).send(request("GET", "/k0/7"), None).await;
         assert_eq!(answer.expect("an answer").status, 200);
@@ -62,22 +62,22 @@
 #[test]
 fn a_stranger_gets_nothing_and_the_fleet_works() {
     run_on(1, async |ex| {
-        let keys = fresh("security", "keys");
-        let foreign = fresh("security", "foreign");
+        let keys = create_keys("security", "keys");
+        let foreign = create_keys("security", "foreign");
         let fleet = start(ex, &keys, "security").await;
-        answers(&fleet).await;
+        assert_serving(&fleet).await;
         for addr in [
             fleet.daemons[1].addresses.peers,
             fleet.daemons[1].addresses.control,
         ] {
-            // In the clear.
+            // Without TLS.
             let mut tcp = TcpStream::connect(addr).await.expect("the port is open");
             let _ = tcp.write_all(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n").await;
             let mut answer = Vec::new();
             let _ = tcp.read_to_end(&mut answer).await;
-            // At the most the fixed seven bytes of a TLS alert.
+            // At most a TLS alert, which has seven bytes.
             assert!(answer.len() <= 7, "{answer:?}");
-            // With another fleet's keys: the handshake fails here, or the first read does.
+            // With another fleet's keys: either the handshake or the first read fails.
             let tcp = TcpStream::connect(addr).await.expect("the port is open");
             if let Ok(mut stream) = fleet_client_stream(&settings(&foreign), tcp).await {
                 let _ = stream.write_all(b"hello").await;
@@ -85,21 +85,21 @@
                 assert!(!matches!(stream.read(&mut buf).await, Ok(1..)));
             }
         }
-        answers(&fleet).await;
+        assert_serving(&fleet).await;
     });
 }
 
 #[test]
 fn keys_are_rotated_without_a_stop() {
     run_on(1, async |ex| {
-        let keys = fresh("rotation", "keys");
-        let next = fresh("rotation", "next");
+        let keys = create_keys("rotation", "keys");
+        let next = create_keys("rotation", "next");
         let fleet = start(ex, &keys, "rotation").await;
-        answers(&fleet).await;
+        assert_serving(&fleet).await;
         let read =
             |folder: &Path, name: &str| fs::read_to_string(folder.join(name)).expect("a key");
         let (old, new) = (read(&keys, "authority.pem"), read(&next, "authority.pem"));
-        // First both authorities are believed, then the new keys are used, then the old authority goes.
+        // Trust both authorities, then use the new certificate and key, then remove the old authority.
         let steps = [
             vec![("authority.pem", format!("{old}{new}"))],
             vec![
@@ -118,10 +118,10 @@
                     .expect("a request");
                 let res = exchange(daemon.addresses.admin, req, Duration::from_secs(20)).await;
                 assert!(res.is_ok_and(|res| res.status().is_success()));
-                answers(&fleet).await;
+                assert_serving(&fleet).await;
             }
         }
-        // Keys that don't fit are refused, and the old ones stay.
+        // Mismatched keys are rejected, and the current ones stay in use.
         fs::write(keys.join("daemon.pem"), old).expect("written");
         let req = Request::post("/keys/reload")
             .body(Bytes::new())
@@ -133,6 +133,6 @@
         )
         .await;
         assert_eq!(res.expect("an answer").status(), 409);
-        answers(&fleet).await;
+        assert_serving(&fleet).await;
     });
 }
--- a/crates/sorrelturn-bench/tests/streaming.rs
+++ b/crates/sorrelturn-bench/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Large answers pass with bounded memory, and a slow reader holds nobody else up.
+//! Daemons forward large answers with bounded memory, and slow readers do not block other requests.
 
 mod common;
 
@@ -11,13 +11,13 @@
 use sorrelturn_bench::{FleetPlan, ProcessFleet, memory, run_on};
 use std::{net::SocketAddr, time::Duration};
 
-const PACK_BYTES: usize = 200_000_000;
-/// What a daemon may hold more while a pack passes through it.
-const BOUND_BYTES: u64 = 40_000_000;
+const ANSWER_BYTES: usize = 200_000_000;
+/// The maximum memory growth of a daemon while it forwards the answers.
+const MAX_MEMORY_GROWTH_BYTES: u64 = 40_000_000;
 
-async fn ask(addr: SocketAddr) -> TcpStream {
+async fn request_large_answer(addr: SocketAddr) -> TcpStream {
     let mut tcp = TcpStream::connect(addr).await.expect("the port is open");
-    let req = format!("GET /audio/7?bytes={PACK_BYTES} HTTP/1.1\r\nhost: x\r\n\r\n");
+    let req = format!("GET /audio/7?bytes={ANSWER_BYTES} HTTP/1.1\r\nhost: x\r\n\r\n");
     tcp.write_all(req.as_bytes()).await.expect("sent");
     tcp
 }
@@ -37,7 +37,7 @@
             .expect("the example has it");
         pack.calls.clear();
         pack.attempts = 1;
-        // The one thread of the fake backend server makes six packs one after another.
+        // The fake backend server has one thread, so it produces the six answers slowly.
         pack.deadline_ms = 120_000;
         let plan = FleetPlan::new(deployment, &[("audio", 1), ("archive", 1)], &["a"], &[]);
         let fleet = ProcessFleet::start(ex, plan, &folder("streaming")).await;
@@ -47,34 +47,37 @@
             .iter()
             .map(|d| memory(d.process.pid()))
             .collect();
-        // More slow readers than the backend server has slots: each reads the head and stops.
-        let mut slow = Vec::new();
+        // More slow readers than the backend server has slots. Each reads the first bytes and stops.
+        let mut slow_readers = Vec::new();
         for _ in 0..5 {
-            let mut tcp = ask(entry).await;
+            let mut tcp = request_large_answer(entry).await;
             let mut head = [0; 64];
             tcp.read_exact(&mut head).await.expect("a head");
-            slow.push(tcp);
+            slow_readers.push(tcp);
         }
         Timer::after(Duration::from_millis(300)).await;
-        let mut tcp = ask(entry).await;
+        let mut tcp = request_large_answer(entry).await;
         let mut buf = vec![0; 1 << 20];
-        let (mut received, mut most) = (0, vec![0; 2]);
-        while received < PACK_BYTES {
-            let len = tcp.read(&mut buf).await.expect("the pack goes on");
-            assert_ne!(len, 0, "cut after {received} bytes");
+        let (mut received, mut peak) = (0, vec![0; 2]);
+        while received < ANSWER_BYTES {
+            let len = tcp.read(&mut buf).await.expect("the answer continues");
+            assert_ne!(len, 0, "truncated after {received} bytes");
             received += len;
-            for (at, daemon) in fleet.daemons.iter().enumerate() {
-                most[at] = memory(daemon.process.pid()).max(most[at]);
+            for (index, daemon) in fleet.daemons.iter().enumerate() {
+                peak[index] = memory(daemon.process.pid()).max(peak[index]);
             }
         }
-        for (before, most) in before.iter().zip(&most) {
-            assert!(most - before < BOUND_BYTES, "{before} grew to {most}");
+        for (before, peak) in before.iter().zip(&peak) {
+            assert!(
+                peak - before < MAX_MEMORY_GROWTH_BYTES,
+                "{before} grew to {peak}"
+            );
         }
         println!(
             "daemons grew by {:?} bytes",
-            most.iter()
+            peak.iter()
                 .zip(&before)
-                .map(|(m, b)| m - b)
+                .map(|(p, b)| p - b)
                 .collect::<Vec<_>>()
         );
     });
--- a/crates/sorrelturn-bench/tests/telemetry.rs
+++ b/crates/sorrelturn-bench/tests/telemetry.rs
@@ -1,5 +1,5 @@
-//! Spans of every hop reach a receiver in OpenTelemetry's format, metrics reach one for StatsD,
-//! and a request is explained over all its hops.
+//! Every hop exports spans to an OpenTelemetry collector and metrics to a StatsD server, and the
+//! explanation of a request covers all its hops.
 
 mod common;
 
@@ -24,7 +24,7 @@
     time::Duration,
 };
 
-const TRACE: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
+const TRACE_ID: &str = "4bf92f3577b34da6a3ce929d0e0e4736";
 
 #[test]
 fn every_hop_makes_a_span_and_the_explanation_names_every_hop() {
@@ -32,15 +32,16 @@
         let exports = Arc::new(Mutex::new(Vec::<ExportTraceServiceRequest>::new()));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let collector = listener.local_addr().expect("address");
-        let (kept, for_conns) = (Arc::clone(&exports), Arc::clone(&ex));
+        let (exports_of_receiver, ex_of_receiver) = (Arc::clone(&exports), Arc::clone(&ex));
         let _receiver = ex.spawn(async move {
             while let Ok((tcp, _)) = listener.accept().await {
-                let kept = Arc::clone(&kept);
+                let exports = Arc::clone(&exports_of_receiver);
                 let conn = async move {
                     let service = service_fn(|req: Request<Incoming>| async {
                         let body = req.into_body().collect().await.map(|body| body.to_bytes());
                         let export = serde_json::from_slice(&body.unwrap_or_default());
-                        kept.lock()
+                        exports
+                            .lock()
                             .expect("lock")
                             .push(export.expect("an OTLP export in JSON"));
                         Ok::<_, Infallible>(Response::new(Full::new(Bytes::from("{}"))))
@@ -49,7 +50,7 @@
                         .serve_connection(hyper_io(tcp), service)
                         .await;
                 };
-                for_conns.spawn(conn).detach();
+                ex_of_receiver.spawn(conn).detach();
             }
         });
         let statsd = UdpSocket::bind("127.0.0.1:0").await.expect("bind");
@@ -64,13 +65,13 @@
         let fleet = LocalFleet::start(ex, plan).await;
 
         let mut req = request("GET", "/k0/7");
-        let parent = format!("00-{TRACE}-00f067aa0ba902b7-01");
+        let parent = format!("00-{TRACE_ID}-00f067aa0ba902b7-01");
         req.headers_mut()
             .insert("traceparent", parent.parse().expect("a value"));
         let answer = fleet.caller(2).send(req, None).await.expect("an answer");
         assert_eq!(answer.status, 200);
 
-        // Six spans: the root's, then at each owner a server's, and a client's for each nested call.
+        // Six spans: one for the root, one server span per owner, and one client span per nested call.
         let mut spans = HashMap::new();
         for _ in 0..1_000 {
             for export in exports.lock().expect("lock").drain(..) {
@@ -93,14 +94,14 @@
             .values()
             .filter(|span| !spans.contains_key(&span.parent_span_id))
             .count();
-        assert_eq!(roots, 1, "all hops hang together");
+        assert_eq!(roots, 1, "all spans belong to one tree");
         for span in spans.values() {
-            let trace: String = span
+            let trace_id: String = span
                 .trace_id
                 .iter()
                 .map(|byte| format!("{byte:02x}"))
                 .collect();
-            assert_eq!(trace, TRACE);
+            assert_eq!(trace_id, TRACE_ID);
         }
 
         let id = answer.header("sorrelturn-request-id").expect("an id");
@@ -119,11 +120,13 @@
         assert_eq!(served, 3, "{records:#?}");
 
         let mut buf = [0; 65_536];
-        let mut seen = String::new();
-        while !(seen.contains("sorrelturn.requests") && seen.contains("sorrelturn.backend.limit")) {
+        let mut metrics = String::new();
+        while !(metrics.contains("sorrelturn.requests")
+            && metrics.contains("sorrelturn.backend.limit"))
+        {
             let len = statsd.recv(&mut buf).await.expect("a metric");
-            seen.push_str(&String::from_utf8_lossy(&buf[..len]));
+            metrics.push_str(&String::from_utf8_lossy(&buf[..len]));
         }
-        assert!(seen.contains("importance:normal"), "{seen}");
+        assert!(metrics.contains("importance:normal"), "{metrics}");
     });
 }
--- a/crates/sorrelturn-bench/tests/whole_path.rs
+++ b/crates/sorrelturn-bench/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path in separate processes: caller, entry, owner, backend server, nested call.
+//! A request passes through separate processes from caller to nested call and is answered completely.
 
 mod common;
 
@@ -43,10 +43,13 @@
             .args(["explain", id, "--daemon", &daemon])
             .output()
             .expect("sorrelctl runs");
-        let words = String::from_utf8_lossy(&explained.stdout);
+        let explanation = String::from_utf8_lossy(&explained.stdout);
         assert!(explained.status.success(), "{explained:?}");
         for kind in ["transcript-open", "speaker-index", "seal-record"] {
-            assert!(words.contains(kind), "{kind} is not explained:\n{words}");
+            assert!(
+                explanation.contains(kind),
+                "{kind} is not explained:\n{explanation}"
+            );
         }
     });
 }
