--- a/crates/sorrelturn-bench/src/backend.rs
+++ b/crates/sorrelturn-bench/src/backend.rs
@@ -1,4 +1,5 @@
-//! A fake backend server with configurable slots, work, nested calls and faults; it counts executions.
+//! A fake backend server with configurable slots, work, nested calls and faults that counts its
+//! executions.
 
 use crate::{
     client::{self, Client},
--- a/crates/sorrelturn-bench/src/client.rs
+++ b/crates/sorrelturn-bench/src/client.rs
@@ -33,7 +33,8 @@
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
-    /// Whether a successful answer has an unexpected body: another caller's, or truncated without an error.
+    /// Whether a successful answer has an unexpected body: another caller's, or truncated without an
+    /// error.
     pub wrong: bool,
 }
 
--- a/crates/sorrelturn-bench/src/exchanges.rs
+++ b/crates/sorrelturn-bench/src/exchanges.rs
@@ -1,5 +1,5 @@
-//! Makes many concurrent exchanges with failing backend servers and disconnecting callers, and checks
-//! that each answer is complete and belongs to its request.
+//! Makes many concurrent exchanges with failing backend servers and disconnecting callers, and
+//! checks that each answer is complete and belongs to its request.
 
 use crate::{client::Expected, fleet::LocalFleet, plan::Fault};
 use bytes::Bytes;
--- a/crates/sorrelturn-bench/src/load.rs
+++ b/crates/sorrelturn-bench/src/load.rs
@@ -67,7 +67,7 @@
 pub struct Load {
     /// The executor that runs the callers.
     pub ex: Arc<Executor<'static>>,
-    /// Clients of the entry daemons, used in turn.
+    /// Clients of the entry points, used in turn.
     pub entries: Vec<Client>,
     /// The requests they send.
     pub workload: Arc<Workload>,
--- a/crates/sorrelturn-bench/tests/at_most_once.rs
+++ b/crates/sorrelturn-bench/tests/at_most_once.rs
@@ -287,7 +287,8 @@
         let (token, used) = (token_owned_by(stopped).await, token_owned_by(stopped).await);
         assert_eq!(book(&caller, "sorrelturn-token", &used).await.status, 200);
         let incarnation = token.parse::<ExecutionToken>().expect("a token").owner;
-        // The stop writes the last outcomes and the closing record although the store's answers are lost.
+        // The stop writes the last outcomes and the closing record even if the store's answers are
+        // lost.
         let lose_answers = Faults {
             lose_write_answers: 4,
             ..Faults::default()
--- a/crates/sorrelturn-bench/tests/cut_network.rs
+++ b/crates/sorrelturn-bench/tests/cut_network.rs
@@ -148,7 +148,7 @@
             let answer = caller.send(request("GET", "/k0/7"), None).await;
             lost += u32::from(answer.expect("an answer").status != 200);
         }
-        // Consecutive failures eject the instance; without ejection, every fourth call (50) would be lost.
+        // Consecutive failures eject the instance; without ejection, every fourth call would be lost.
         assert!(lost <= 20, "{lost} of 200 calls were lost");
     });
 }
--- a/crates/sorrelturn-bench/tests/leaving.rs
+++ b/crates/sorrelturn-bench/tests/leaving.rs
@@ -185,7 +185,8 @@
     }
 }
 
-/// Waits until the leaving instance's backend server receives no new requests; returns its executions.
+/// Waits until the leaving instance's backend server receives no new requests, and returns its
+/// number of executions.
 async fn wait_until_idle(fleet: &ProcessFleet) -> u64 {
     let deadline = Instant::now() + Duration::from_secs(60);
     let mut last = executions(fleet, 0).await;
--- a/crates/sorrelturn-bench/tests/security.rs
+++ b/crates/sorrelturn-bench/tests/security.rs
@@ -1,5 +1,5 @@
-//! With fleet keys, strangers receive no data from the peer and control ports, and keys can be rotated
-//! without downtime.
+//! With fleet keys, strangers receive no data from the peer and control ports, and keys can be
+//! rotated without downtime.
 
 mod common;
 
--- a/crates/sorrelturn-bench/tests/streaming.rs
+++ b/crates/sorrelturn-bench/tests/streaming.rs
@@ -37,7 +37,7 @@
             .expect("the example has it");
         pack.calls.clear();
         pack.attempts = 1;
-        // The fake backend server has one thread, so it produces the six answers slowly.
+        // The fake backend server has one thread, so it produces the six answers in turn.
         pack.deadline_ms = 120_000;
         let plan = FleetPlan::new(deployment, &[("audio", 1), ("archive", 1)], &["a"], &[]);
         let fleet = ProcessFleet::start(ex, plan, &folder("streaming")).await;
