--- a/crates/sorrelturn-bench/src/soak/caller.rs
+++ b/crates/sorrelturn-bench/src/soak/caller.rs
@@ -1,7 +1,7 @@
 //! A caller that reads and writes raw bytes, so that it sees where a response ends or is cut off.
 
 use super::checker::Ending;
-use crate::client::{Expected, is_own_and_whole};
+use crate::client::{Expected, is_expected_body};
 use smol::{
     Timer,
     future::FutureExt,
@@ -134,7 +134,7 @@
         }
         let body = &self.unread[head_end..response_len];
         let echo = request.id.to_owned();
-        let own = is_own_and_whole(body, &Expected { echo });
+        let own = is_expected_body(body, &Expected { echo });
         let has_foreign_id = head.id.is_some_and(|id| id != request.id);
         self.unread.drain(..response_len);
         CallerResponse {
