--- a/crates/sorrelturn-daemon/src/clock.rs
+++ b/crates/sorrelturn-daemon/src/clock.rs
@@ -4,8 +4,8 @@
 use sorrelturn_policy::Now;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A monotonic clock that starts with the process and includes the time while the process is paused or its VM is
-/// suspended.
+/// A monotonic clock that starts at zero when it is created. It includes the time while the process is paused or its VM
+/// is suspended.
 ///
 /// The runtime's timers and [`std::time::Instant`] stop while a VM is suspended, but other daemons continue: their
 /// timeouts and leases expire. Every duration that depends on other daemons is therefore measured by this clock.
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -46,43 +46,51 @@
 /// The fraction of the configured retry slack that daemons use. Daemons that restart within a window lose their counts
 /// and may use their share again.
 const RETRY_SLACK_FRACTION: f64 = 0.5;
-/// The minimum number of members for dividing the retry slack, since few are known after a start.
-const MIN_SLACK_SHARERS: usize = 12;
+/// The retry slack is divided by at least this many members, because a daemon knows few of them after its start.
+const MIN_MEMBERS_FOR_SLACK_SHARE: usize = 12;
 
-/// The shared state of one daemon.
+/// The shared state of one daemon, called node in the code.
 pub(crate) struct Node {
     pub(crate) ex: Arc<Executor<'static>>,
     pub(crate) clock: Clock,
     pub(crate) timers: Timers,
     pub(crate) settings: Settings,
     pub(crate) incarnation: Incarnation,
+    /// The public keys of the operators whose bundles are accepted.
     pub(crate) trusted: TrustedKeys,
+    /// The fleet keys.
     pub(crate) keys: FleetKeys,
     pub(crate) platform: Platform,
     pub(crate) backend: Backend,
-    /// Connections that broke at the backend server.
+    /// Interrupted and abandoned requests at the backend server, and its last crash.
     pub(crate) crashes: Crashes,
     /// Requests suspected of crashing backend servers.
     pub(crate) suspected_requests: SuspectedRequests,
     /// Present if routes determine the kinds of requests and the backend server announces itself.
     pub(crate) routed: Option<Routed>,
     pub(crate) admission: Arc<Admission>,
+    /// Requests in progress at the backend server; nested calls refer to them.
     pub(crate) parents: Arc<Parents>,
+    /// The bundle in force; empty before the first one.
     pub(crate) in_force: ArcSwapOption<InForce>,
     /// The staleness of the route table.
     pub(crate) route_staleness: RouteStaleness,
     /// The quotas of workspaces.
     pub(crate) quota: Quota,
+    /// The instances that calls can be sent to.
     pub(crate) instances: ArcSwap<InstanceTable>,
     pub(crate) ledger: Mutex<Ledger>,
     /// Attempts that other daemons sent here.
     pub(crate) attempts: Mutex<AttemptRegister>,
+    /// Versions of the outcome segments in the store.
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
     pub(crate) bundle_tracker: Mutex<BundleTracker>,
     pub(crate) domain_view: Mutex<DomainView>,
     pub(crate) control_links: ControlLinks,
+    /// Instances that this daemon keeps connections to and pushes updates to.
     pub(crate) neighbours: Mutex<VecDeque<String>>,
+    /// When each instance last started a gossip exchange with this daemon.
     pub(crate) inbound_peers: Mutex<HashMap<String, Now>>,
     pub(crate) leaving: Mutex<Leaving>,
     pub(crate) shutdown: Shutdown,
@@ -112,7 +120,7 @@
     pub(crate) control_bytes: AtomicU64,
 }
 
-/// The shared time of the last occurrence of something; infinitely long ago until it is set.
+/// The time at which an event last occurred; infinitely long ago if it has not occurred.
 #[derive(Default)]
 pub(crate) struct LastTime(Mutex<Option<Now>>);
 
@@ -166,7 +174,7 @@
     }
 }
 
-/// Locks a mutex and ignores poisoning: every critical section is a single step, so a panic leaves no partial change.
+/// Locks a mutex and ignores poisoning: a panic in one task must not stop the others.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -209,8 +217,8 @@
             .map_or(0, |in_force| in_force.bundle.version)
     }
 
-    /// Returns the staleness of the bundle in milliseconds, or `None` if the bundle has no workspaces and so no
-    /// credentials.
+    /// Returns the staleness of the route table in milliseconds. Returns `None` before the first bundle, before the
+    /// first read of the route table, and if the bundle has no workspaces and so no credentials.
     pub(crate) fn knowledge_age_ms(&self) -> Option<u32> {
         let in_force = self.in_force.load();
         let has_workspaces = in_force.as_ref()?.bundle.has_workspaces();
@@ -238,7 +246,7 @@
         if let Some(routed) = &self.routed {
             routed.retain_kinds(&bundle);
         }
-        let retries = self.retry_terms();
+        let retries = self.retry_limits();
         let in_force = InForce::new(bundle, origin, before.as_deref(), now, retries);
         self.in_force.store(Some(Arc::new(in_force)));
         drop(tracker);
@@ -249,8 +257,8 @@
         true
     }
 
-    /// Returns this daemon's share of the retries that all daemons may make together. It needs no coordination.
-    fn retry_terms(&self) -> RetryLimits {
+    /// Returns this daemon's retry limits: the configured ratio, and its share of the slack by the number of members.
+    fn retry_limits(&self) -> RetryLimits {
         let Some(routes) = &self.settings.routes else {
             return RetryLimits::default();
         };
@@ -258,7 +266,7 @@
         RetryLimits {
             ratio: routes.retry_ratio,
             slack: routes.retry_slack * RETRY_SLACK_FRACTION
-                / members.max(MIN_SLACK_SHARERS) as f64,
+                / members.max(MIN_MEMBERS_FOR_SLACK_SHARE) as f64,
             window: Duration::from_secs_f64(routes.retry_window_s),
         }
     }
@@ -295,7 +303,7 @@
         if !membership.merge(self.now(), record) {
             return false;
         }
-        self.rebuild_routes(&membership);
+        self.rebuild_instance_table(&membership);
         drop(membership);
         self.record_event(kind, fields);
         true
@@ -338,7 +346,7 @@
         true
     }
 
-    /// Merges many records with one rebuild of the routes. Returns those that changed anything.
+    /// Merges many records with one rebuild of the instance table. Returns those that changed anything.
     pub(crate) fn merge_members(&self, records: Vec<MemberRecord>) -> Vec<MemberRecord> {
         let mut membership = lock(&self.membership);
         let now = self.now();
@@ -349,12 +357,12 @@
             .filter(|record| membership.merge(now, record.clone()))
             .collect();
         if !updates.is_empty() {
-            self.rebuild_routes(&membership);
+            self.rebuild_instance_table(&membership);
         }
         updates
     }
 
-    fn rebuild_routes(&self, membership: &Membership) {
+    fn rebuild_instance_table(&self, membership: &Membership) {
         let in_force = self.in_force.load();
         let cold_start = |service: &str| {
             let service = in_force
@@ -364,8 +372,8 @@
         };
         let domain = &self.settings.failure_domain;
         let before = self.instances.load();
-        let routes = before.rebuild(membership, domain, self.clock, cold_start);
-        self.instances.store(Arc::new(routes));
+        let table = before.rebuild(membership, domain, self.clock, cold_start);
+        self.instances.store(Arc::new(table));
     }
 
     /// Changes the state in the own record. The gossip task sends it to peers.
@@ -385,7 +393,7 @@
         self.own_record.store(Arc::new(record.clone()));
         let mut membership = lock(&self.membership);
         membership.merge(self.now(), record.clone());
-        self.rebuild_routes(&membership);
+        self.rebuild_instance_table(&membership);
         record
     }
 
--- a/crates/sorrelturn-daemon/src/operators/admin.rs
+++ b/crates/sorrelturn-daemon/src/operators/admin.rs
@@ -21,7 +21,8 @@
 /// The maximum size of a bundle that an operator uploads.
 const MAX_BUNDLE_BYTES: usize = 64 << 20;
 
-/// An accepted bundle that an operator uploads directly, in case the platform fails right after accepting it.
+/// A signed bundle that an operator uploads to a daemon directly, for use when the platform is unavailable after the
+/// publication.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct OperatorBundle {
     manifest: SignedManifest,
@@ -44,7 +45,7 @@
             json(&report(node))
         }
         (&Method::POST, "/keys/reload") => reload_keys(node),
-        (&Method::PUT, "/bundle") => accept_bundle(node, req).await,
+        (&Method::PUT, "/bundle") => receive_bundle(node, req).await,
         (&Method::GET, path) => match path.strip_prefix("/explain/").map(str::parse) {
             Some(Ok(request)) => json(&explain::explain(node, request).await),
             Some(Err(_)) => status(StatusCode::BAD_REQUEST),
@@ -85,7 +86,7 @@
     }
 }
 
-async fn accept_bundle(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
+async fn receive_bundle(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let Ok(body) = Limited::new(req.into_body(), MAX_BUNDLE_BYTES)
         .collect()
         .await
--- a/crates/sorrelturn-daemon/src/operators/metrics_page.rs
+++ b/crates/sorrelturn-daemon/src/operators/metrics_page.rs
@@ -9,7 +9,7 @@
     sync::{Arc, Mutex},
 };
 
-/// The upper bounds of a histogram's buckets; they cover a hop's own time and the deadlines of requests.
+/// The upper bounds of the histogram buckets, in milliseconds. One further bucket holds all longer durations.
 const BUCKET_BOUNDS_MS: [u64; 13] = [
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000,
 ];
--- a/crates/sorrelturn-daemon/src/operators/status.rs
+++ b/crates/sorrelturn-daemon/src/operators/status.rs
@@ -14,7 +14,7 @@
     pub in_flight: u32,
     /// Calls queued for a slot.
     pub waiting: usize,
-    /// The current concurrency limit.
+    /// The concurrency limit, without the variation while two limits are compared.
     pub limit: u32,
     /// Known members that aren't gone.
     pub members: usize,
--- a/crates/sorrelturn-daemon/src/operators/workspaces.rs
+++ b/crates/sorrelturn-daemon/src/operators/workspaces.rs
@@ -16,7 +16,7 @@
     pub instance: String,
     /// The staleness of its route table in milliseconds; absent before the first read.
     pub knowledge_age_ms: Option<u32>,
-    /// The fraction of its quota shares that it currently leases to allocators, 0 to 1.
+    /// The fraction of its quota shares that it has leased to the daemons that allocate quota, 0 to 1.
     pub part_lent: f64,
     /// The usage of each workspace by name.
     pub workspaces: BTreeMap<String, WorkspaceUsage>,
--- a/crates/sorrelturn-daemon/src/process.rs
+++ b/crates/sorrelturn-daemon/src/process.rs
@@ -12,10 +12,10 @@
 const EXIT_START_FAILED: u8 = 3;
 /// The daemon stopped, but requests were still in progress.
 const EXIT_REQUESTS_CUT_OFF: u8 = 4;
-/// The settings file if the command line names none.
-const SETTINGS_VARIABLE: &str = "SORRELTURN_SETTINGS";
+/// The environment variable with the path of the settings file, used without `--settings`.
+const SETTINGS_ENV_VAR: &str = "SORRELTURN_SETTINGS";
 
-fn signature(name: &'static str) -> Command {
+fn cli_command(name: &'static str) -> Command {
     Command::new(name)
         .version(env!("CARGO_PKG_VERSION"))
         .about("The overload control daemon for a backend server.")
@@ -29,7 +29,7 @@
         .arg(
             Arg::new("settings")
                 .long("settings")
-                .env(SETTINGS_VARIABLE)
+                .env(SETTINGS_ENV_VAR)
                 .value_name("FILE")
                 .help("The settings file, in JSON with comments; see docs/SETTINGS.md")
                 .required(true)
@@ -46,7 +46,7 @@
 /// Runs the daemon as the program `name`. It uses `dialect` if its settings name a route table.
 pub fn main(name: &'static str, dialect: Dialect) -> ExitCode {
     log_sink::start();
-    let code = run(&signature(name).get_matches(), dialect);
+    let code = run(&cli_command(name).get_matches(), dialect);
     log_sink::flush();
     code
 }
@@ -130,8 +130,8 @@
     }
 }
 
-/// Spawns a task that forwards the signals of the process to a channel. The main thread polls for signals whenever it
-/// wakes; polling the channel saves a system call.
+/// Spawns a task that forwards the signals of the process to a channel. The main thread polls for signals on every
+/// wake-up, and polling a channel needs no system call.
 fn spawn_signal_listener(ex: &Arc<Executor<'static>>) -> channel::Receiver<Signal> {
     let (tx, rx) = channel::unbounded();
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -52,27 +52,28 @@
 };
 
 /// The gate's configuration until the first bundle arrives. Without a bundle the daemon admits no requests.
-const GATE_BEFORE_BUNDLE: GateConfig = GateConfig {
+const INITIAL_GATE_CONFIG: GateConfig = GateConfig {
     slots: 1,
     queue_len: 1,
     queue_timeout: Duration::from_millis(100),
     cold_start: Duration::ZERO,
     call_queue_timeout: None,
 };
-/// How long a stopping daemon is announced as leaving before it closes the connections of callers.
+/// How long a stopping daemon waits before it closes the connections of callers. It is announced as leaving during
+/// this time if the service has another instance.
 const LEAVING_NOTICE_DURATION: Duration = Duration::from_millis(700);
-/// Replaces [`LEAVING_NOTICE_DURATION`] for the only instance of a service, because its callers have no other one.
+/// How long the only instance of a service waits after it closed those connections and announced that it is leaving.
 const ONLY_INSTANCE_NOTICE_DURATION: Duration = Duration::from_millis(100);
 /// How often a stopping daemon checks whether requests or connections remain.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long before the exit the final answers are due. The rest is for sending them and for writing the last records to
-/// the store.
+/// How long before the stop deadline the final answers are due. The rest is for sending them and for writing the last
+/// records to the store.
 const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(300);
 /// The timeout for sending the final answers.
 const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// The minimum timeout for connections to close, even if the stop takes too long.
+/// The minimum timeout for connections to close, even if the stop deadline has passed.
 const MIN_FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
-/// The maximum timeout for connections to close after the last request ended.
+/// The maximum timeout for connections to close, from when the close guard is dropped.
 const MAX_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// The timeout for writing the final member record to the store.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -108,7 +109,7 @@
     /// The addresses that its listeners are bound to.
     pub addresses: ListenSettings,
     node: Arc<Node>,
-    /// Dropped first, after the notice to peers: closes connections of callers.
+    /// Dropped first: closes connections of callers.
     entry_close_guard: Sender<()>,
     /// Dropped second: requests that still wait get their final answers.
     answer_guard: Sender<()>,
@@ -141,7 +142,7 @@
             settings, dialect, ex, clock, &addresses, shutdown,
         )?);
         if node.routed.is_some() {
-            // Not available until the backend server announces itself or answers.
+            // Accept no calls (state `Leaving`) until the backend server announces itself or answers.
             node.start_leaving(LeavingCause::Backend);
         }
         let (entry_close_guard, entries_closed) = channel::bounded(1);
@@ -188,10 +189,10 @@
         gossip::push_own_record(node);
     }
 
-    /// Checks settings that were read again and records an event. Changes take effect at the next start.
-    pub fn settings_changed(&self, read: Result<Settings, String>) {
+    /// Records an event about settings that were read again, valid or not. Changes take effect at the next start.
+    pub fn settings_changed(&self, result: Result<Settings, String>) {
         let node = &self.node;
-        match read {
+        match result {
             Ok(settings) => {
                 let changed = settings != node.settings;
                 let fields = vec![Field::new("changed", changed)];
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Stops the daemon. It reports itself as not ready at once, refuses new requests after a notice to peers, finishes
+    /// Stops the daemon. It reports itself as not ready at once, refuses new requests after the linger time, finishes
     /// the requests in progress or refuses them by the deadline, and writes its last records. Returns whether no request
     /// was cut off.
     pub async fn stop(self) -> bool {
@@ -214,7 +215,7 @@
         node.shutdown.set_answer_deadline(answer_deadline);
         let linger = Duration::from_millis(node.settings.stop.linger_ms);
         node.record_event(&events::STOPPING, node.counts.as_fields());
-        // The backend server still works; other daemons use it as long as possible.
+        // Keep accepting calls for most of the linger time, so that readiness checks notice the stop first.
         Timer::after(linger.saturating_sub(LEAVING_NOTICE_DURATION)).await;
         let announce_leaving = || {
             gossip::leave(node, LeavingCause::Signal);
@@ -275,11 +276,11 @@
 
 /// Whether no other instance of this daemon's service is known to accept calls.
 fn is_only_instance(node: &Node) -> bool {
-    let routes = node.instances.load();
-    let instances = routes.live_of_service(&node.settings.service);
+    let table = node.instances.load();
+    let instances = table.live_of_service(&node.settings.service);
     instances
         .iter()
-        .all(|route| route.record.incarnation == node.incarnation)
+        .all(|instance| instance.record.incarnation == node.incarnation)
 }
 
 /// Announces to peers and the store that this incarnation is gone, at the latest by `stop_deadline`.
@@ -322,18 +323,18 @@
         control_addr: settings.advertise.control.unwrap_or(addresses.control),
         backend: None,
     };
-    let ledger = LedgerConfig {
+    let ledger_config = LedgerConfig {
         ttl: Duration::from_secs(settings.once.ttl_s),
         capacity: settings.once.capacity,
         max_retained_bytes: settings.once.kept_bytes,
     };
-    let spans = settings.trace.map_or(0, |trace| trace.buffer);
-    let timeout = Duration::from_millis(settings.platform.timeout_ms);
+    let span_capacity = settings.trace.map_or(0, |trace| trace.buffer);
+    let platform_timeout = Duration::from_millis(settings.platform.timeout_ms);
     let quota_bound = settings.routes.as_ref().map(RouteSettings::quota_bound);
-    let quota_terms = settings.routes.as_ref().map(RouteSettings::quota_validity);
+    let quota_validity = settings.routes.as_ref().map(RouteSettings::quota_validity);
     let connect_timeout = Duration::from_millis(settings.backend.connect_ms);
     Ok(Node {
-        platform: Platform::new(settings.platform.address, timeout)
+        platform: Platform::new(settings.platform.address, platform_timeout)
             .with_objects_path(&settings.platform.objects_path),
         routed: settings.routes.as_ref().map(|_| Routed::new(dialect)),
         backend: Backend::new(settings.backend.address, connect_timeout, clock),
@@ -342,7 +343,7 @@
         admission: Arc::new(Admission::new(
             clock,
             timers.clone(),
-            Gate::new(GATE_BEFORE_BUNDLE, clock.now()),
+            Gate::new(INITIAL_GATE_CONFIG, clock.now()),
         )),
         parents: Arc::new(Parents::default()),
         in_force: ArcSwapOption::empty(),
@@ -350,11 +351,11 @@
         quota: Quota::new(
             incarnation,
             quota_bound.unwrap_or_default(),
-            quota_terms.unwrap_or_default(),
+            quota_validity.unwrap_or_default(),
             clock.now(),
         ),
         instances: ArcSwap::from_pointee(InstanceTable::default()),
-        ledger: Mutex::new(Ledger::new(incarnation, ledger, mac_key)),
+        ledger: Mutex::new(Ledger::new(incarnation, ledger_config, mac_key)),
         attempts: Mutex::default(),
         segment_versions: AsyncMutex::default(),
         membership: Mutex::new(Membership::default()),
@@ -367,7 +368,7 @@
         shutdown,
         own_record: ArcSwap::from_pointee(record),
         events: EventRing::new(&settings.instance, settings.events.kept),
-        spans: SpanBuffer::new(spans),
+        spans: SpanBuffer::new(span_capacity),
         metrics,
         metrics_page,
         connections: Connections::new(settings.connections),
--- a/crates/sorrelturn-daemon/src/shutdown.rs
+++ b/crates/sorrelturn-daemon/src/shutdown.rs
@@ -2,8 +2,8 @@
 //!
 //! A process that received a stop signal is killed some time later, even with requests in progress. A caller whose
 //! connection closes without an answer doesn't know whether its request ran. A daemon that shuts down therefore answers
-//! every request by a deadline, and refuses a request that can't finish in time as not run while that is still
-//! correct. See `docs/design/leaving.md`.
+//! every request by a deadline. It refuses a request that can't finish in time before it reaches a backend server, with
+//! the statement that it was not executed. See `docs/design/leaving.md`.
 
 use smol::channel::{self, Receiver, Sender};
 use sorrelturn_policy::Now;
@@ -12,11 +12,11 @@
     time::Duration,
 };
 
-/// Forwarded requests time out this long before the final answers, so that an answer sent at their deadline still
-/// arrives.
-const ANSWER_MARGIN: Duration = Duration::from_millis(100);
+/// The deadline of forwarded requests is this much earlier than that of the final answers, so that an answer sent at the
+/// last moment still arrives.
+const FORWARD_DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 /// The value of [`Shutdown::answer_deadline_ms`] before the shutdown begins.
-const NOT_STOPPING: u64 = u64::MAX;
+const NOT_BEGUN: u64 = u64::MAX;
 
 /// The state of the shutdown and the deadline for all answers.
 pub(crate) struct Shutdown {
@@ -25,14 +25,14 @@
 }
 
 impl Shutdown {
-    /// Creates the state before a shutdown. Final answers are due when the sender is dropped.
+    /// Creates the state before a shutdown. Also returns a guard: final answers are due when it is dropped.
     pub(crate) fn new() -> (Self, Sender<()>) {
-        let (sender, answers_due) = channel::bounded(1);
+        let (answer_guard, answers_due) = channel::bounded(1);
         let shutdown = Self {
-            answer_deadline_ms: AtomicU64::new(NOT_STOPPING),
+            answer_deadline_ms: AtomicU64::new(NOT_BEGUN),
             answers_due,
         };
-        (shutdown, sender)
+        (shutdown, answer_guard)
     }
 
     /// Begins the shutdown and sets the deadline for all answers. An earlier deadline stays.
@@ -43,14 +43,14 @@
 
     /// Whether the shutdown has begun.
     pub(crate) fn has_begun(&self) -> bool {
-        self.answer_deadline_ms.load(Ordering::Relaxed) != NOT_STOPPING
+        self.answer_deadline_ms.load(Ordering::Relaxed) != NOT_BEGUN
     }
 
     /// Returns the deadline for forwarding a request: its own or that of the shutdown, whichever is earlier.
     pub(crate) fn cap_deadline(&self, deadline: Now) -> Now {
         match self.answer_deadline_ms.load(Ordering::Relaxed) {
-            NOT_STOPPING => deadline,
-            ms => deadline.min(Duration::from_millis(ms).saturating_sub(ANSWER_MARGIN)),
+            NOT_BEGUN => deadline,
+            ms => deadline.min(Duration::from_millis(ms).saturating_sub(FORWARD_DEADLINE_MARGIN)),
         }
     }
 
