--- a/crates/sorrelturn-telemetry/src/events.rs
+++ b/crates/sorrelturn-telemetry/src/events.rs
@@ -27,12 +27,12 @@
     LEAVING = 4 "leaving" Info "The daemon stops accepting new calls.";
     STAYING = 5 "staying" Info "The reason for leaving no longer applies; the daemon accepts calls again.";
 
-    SETTINGS_RELOADED = 6 "settings-reloaded" Info "The settings file was reloaded.";
+    SETTINGS_RELOADED = 6 "settings-reloaded" Info "The settings file was read again and is valid; changes take effect at the next start.";
     SETTINGS_REFUSED = 7 "settings-refused" Error "The changed settings file can't be used; the daemon keeps its current settings.";
     STOPPING = 8 "stopping" Info "The process received a request to stop.";
 
     HOP_SERVED = 100 "hop-served" Debug "The backend server answered this hop.";
-    HOP_FORWARDED = 101 "hop-forwarded" Debug "The call was forwarded to the owner daemon.";
+    HOP_FORWARDED = 101 "hop-forwarded" Debug "The call was forwarded to the daemon of the chosen instance.";
     REQUEST_DONE = 102 "request-done" Debug "A request that entered the fleet on this VM was answered.";
     REFUSED = 110 "refused" Debug "The request was refused here.";
     REROUTED = 111 "rerouted" Debug "The request was sent to another instance, because the first one had not run it.";
@@ -56,7 +56,7 @@
     BACKEND_LEAVING = 205 "backend-leaving" Info "The backend server announced that it is leaving, and receives no new requests.";
 
     UNDER_LOAD = 206 "under-load" Debug "The demand for slots of the backend server exceeds its capacity; logged at most once per second.";
-    CALLS_LEARNT = 207 "calls-learnt" Debug "The nested calls of a request kind were learned again at its backend server.";
+    CALLS_LEARNT = 207 "calls-learnt" Debug "The nested calls observed for a request kind changed.";
 
     BACKEND_REPORT_REFUSED = 208 "backend-report-refused" Warn "A report about a backend server was invalid and was ignored; logged at most once in ten seconds.";
 
@@ -74,7 +74,7 @@
     WATCHER_STARTED = 403 "watcher-started" Info "This daemon started watching the platform for its failure domain.";
     WATCHER_ENDED = 404 "watcher-ended" Info "This daemon stopped watching the platform.";
     VM_LIST_NOT_BELIEVED = 405 "vm-list-not-believed" Warn "The list of VMs would remove more than half of a service and was ignored for that service.";
-    PAUSE_NOTICED = 406 "pause-noticed" Warn "The process was paused and discards state that may be out of date.";
+    PAUSE_NOTICED = 406 "pause-noticed" Warn "The process was paused; expired timers run now and the daemon announces itself again.";
     MEMBER_SWEPT = 407 "member-swept" Warn "A member did not answer the pings of a watcher for some time and is considered gone.";
     NEXT_RUN_FOUND = 408 "next-run-found" Info "The next incarnation of a daemon that had stopped was found at its address.";
 
--- a/crates/sorrelturn-telemetry/src/span.rs
+++ b/crates/sorrelturn-telemetry/src/span.rs
@@ -1,4 +1,4 @@
-//! Trace spans, one per hop, and their export in OpenTelemetry format.
+//! Trace spans, one for each side of a call, and their export in OpenTelemetry format.
 
 use crate::Field;
 use opentelemetry_proto::tonic::{
@@ -16,13 +16,13 @@
 /// The side of a call that a span describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpanKind {
-    /// The daemon received the call.
+    /// The daemon received the call, or the root request as its entry.
     Server,
-    /// The daemon forwarded the call.
+    /// The daemon forwarded a nested call.
     Client,
 }
 
-/// The span of one hop of one request.
+/// The span of one side of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Span {
     /// The trace id.
@@ -39,7 +39,7 @@
     pub start_ns: u64,
     /// The end time, in nanoseconds since the Unix epoch.
     pub end_ns: u64,
-    /// Whether the hop failed.
+    /// Whether the call failed.
     pub failed: bool,
     /// Further attributes of the span.
     pub attributes: Vec<Field>,
@@ -142,6 +142,7 @@
             .map(|field| attribute(&field.name, &field.value))
             .collect(),
         status: Some(Status {
+            // `StatusCode::Error` or `StatusCode::Ok`.
             code: if span.failed { 2 } else { 1 },
             ..Status::default()
         }),
--- a/crates/sorrelturn-telemetry/tests/trace_context.rs
+++ b/crates/sorrelturn-telemetry/tests/trace_context.rs
@@ -1,4 +1,4 @@
-//! Malformed W3C Trace Context headers are rejected.
+//! Valid W3C Trace Context headers survive a round trip, and malformed ones are rejected.
 
 use sorrelturn_telemetry::TraceContext;
 
