--- a/crates/sorrelturn-bundle/src/check.rs
+++ b/crates/sorrelturn-bundle/src/check.rs
@@ -85,24 +85,24 @@
     if PathPattern::parse(&kind.path).is_none() {
         at(
             "path",
-            format!(
-                "kind {name} has the path {:?}, which is no pattern",
-                kind.path
-            ),
+            format!("kind {name} has the invalid path pattern {:?}", kind.path),
             "write literal segments and {names}, as in /transcripts/{id}".to_owned(),
         );
     }
     if kind.method.is_empty() || kind.method.bytes().any(|b| !b.is_ascii_uppercase()) {
         at(
             "method",
-            format!("kind {name} has the method {:?}", kind.method),
+            format!("kind {name} has the invalid HTTP method {:?}", kind.method),
             "write an HTTP method in upper case, as in GET".to_owned(),
         );
     }
     if kind.deadline_ms == 0 || kind.deadline_ms > MAX_DEADLINE_MS {
         at(
             "deadline_ms",
-            format!("kind {name} has a deadline of {} ms", kind.deadline_ms),
+            format!(
+                "kind {name} has a deadline of {} ms, which is out of range",
+                kind.deadline_ms
+            ),
             format!("write a time in milliseconds, from 1 to {MAX_DEADLINE_MS}"),
         );
     }
@@ -110,7 +110,7 @@
         at(
             "attempts",
             format!(
-                "kind {name} may cost {} executions but needs {min_executions}",
+                "kind {name} has {} attempts, but one request needs {min_executions} executions",
                 kind.attempts
             ),
             format!(
@@ -172,7 +172,7 @@
             if !by_name.contains_key(child.as_str()) {
                 findings.push(map.at(
                     &["services", service, "kinds", name, "calls", child],
-                    format!("kind {name} calls {child}, which no service answers"),
+                    format!("kind {name} calls {child}, which no service defines"),
                     "correct the name or define that kind",
                 ));
             }
@@ -187,7 +187,7 @@
         if reaches(&by_name, name, name, 0) {
             findings.push(map.at(
                 &["services", service, "kinds", name, "calls"],
-                format!("kind {name} ends up calling itself"),
+                format!("kind {name} calls itself directly or through other kinds"),
                 "remove a call, so that the call graph has no cycle",
             ));
         }
@@ -243,7 +243,7 @@
             if Network::parse(network).is_none() {
                 at(
                     "networks",
-                    format!("caller {name} has the network {network:?}"),
+                    format!("caller {name} has the invalid network {network:?}"),
                     "write an address and its prefix length, as in 10.1.0.0/16",
                 );
             }
@@ -262,7 +262,7 @@
         if caller.rate_per_second.is_nan() || caller.rate_per_second <= 0.0 {
             at(
                 "rate_per_second",
-                format!("caller {name} may send nothing"),
+                format!("rate_per_second of caller {name} must be above 0"),
                 "write a rate in requests per second, above 0",
             );
         }
@@ -270,7 +270,7 @@
             at(
                 "retry_fraction",
                 format!(
-                    "caller {name} has the retry fraction {}",
+                    "caller {name} has the retry fraction {}, which is out of range",
                     caller.retry_fraction
                 ),
                 "write a number from 0 to 1",
@@ -280,7 +280,7 @@
             if !names.contains(kind.as_str()) {
                 at(
                     "kinds",
-                    format!("caller {name} may use {kind}, which no service answers"),
+                    format!("caller {name} may use {kind}, which no service defines"),
                     "correct the name or define that kind",
                 );
             }
@@ -298,7 +298,7 @@
             findings.push(map.at(
                 &["services", &section.name],
                 format!("section {} has {} bytes", section.name, section.bytes.len()),
-                format!("the maximum is {MAX_SECTION_BYTES} bytes: split the service in two"),
+                format!("the maximum is {MAX_SECTION_BYTES} bytes: make the section smaller, for a service by splitting it"),
             ));
         }
     }
--- a/crates/sorrelturn-bundle/src/index.rs
+++ b/crates/sorrelturn-bundle/src/index.rs
@@ -3,7 +3,7 @@
 use crate::{
     BundleSource, Caller, CredentialHash, Execution, Kind, Limits, PathPattern, RouteEntry,
     RouteTable, Service, WorkspaceEntry,
-    routes::{RouteIndex, routed_service},
+    routes::{RouteIndex, default_service},
     workspaces::{WorkspaceIndex, caller_id},
 };
 use sorrelturn_protocol::{CallerId, Importance};
@@ -14,7 +14,7 @@
     time::Duration,
 };
 
-/// A request kind as request handling needs it.
+/// A request kind with its parsed path pattern.
 #[derive(Clone, Debug)]
 pub struct KindEntry {
     /// The name of the kind.
@@ -56,7 +56,7 @@
     }
 }
 
-/// A caller as the entry daemon needs it.
+/// A caller with its id and its parsed networks.
 #[derive(Clone, Debug)]
 pub struct CallerEntry {
     /// The id of the caller.
@@ -101,7 +101,7 @@
     }
 }
 
-/// A checked and indexed bundle.
+/// An indexed bundle.
 #[derive(Clone, Debug, Default)]
 pub struct Bundle {
     /// The version, which increases with each publication.
@@ -117,7 +117,8 @@
 }
 
 impl Bundle {
-    /// Indexes a bundle that passed [`check`](crate::check()). Kinds with invalid paths and invalid networks are skipped.
+    /// Indexes a bundle. The publisher has run [`check`](crate::check()); kinds with invalid paths and invalid networks
+    /// are skipped.
     pub fn new(version: u64, source: BundleSource) -> Self {
         let min_executions = min_executions_by_kind(&source);
         let mut kinds = HashMap::new();
@@ -164,7 +165,7 @@
         let services = table
             .services
             .iter()
-            .map(|(name, service)| (name.clone(), routed_service(service)))
+            .map(|(name, service)| (name.clone(), default_service(service)))
             .collect();
         let probe_paths = table
             .services
@@ -201,7 +202,7 @@
         self.probe_paths.get(service).map(String::as_str)
     }
 
-    /// Returns whether requests need credentials.
+    /// Returns whether requests need a credential, except on open routes.
     pub fn has_workspaces(&self) -> bool {
         self.workspaces().next().is_some()
     }
--- a/crates/sorrelturn-bundle/src/manifest.rs
+++ b/crates/sorrelturn-bundle/src/manifest.rs
@@ -64,7 +64,7 @@
     UnknownOperator(String),
     /// the signature of operator {0} is invalid
     BadSignature(String),
-    /// the manifest can't be read
+    /// the manifest or one of its sections can't be parsed
     Unreadable,
     /// section {0} is missing
     SectionMissing(String),
@@ -121,16 +121,16 @@
             return Err(ManifestError::SectionHashMismatch(name.clone()));
         }
         if name == CALLERS_SECTION {
-            source.callers = read::<BTreeMap<String, Caller>>(bytes)?;
+            source.callers = parse_section::<BTreeMap<String, Caller>>(bytes)?;
         } else {
             source
                 .services
-                .insert(name.clone(), read::<Service>(bytes)?);
+                .insert(name.clone(), parse_section::<Service>(bytes)?);
         }
     }
     Ok(Bundle::new(manifest.version, source))
 }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ManifestError> {
+fn parse_section<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, ManifestError> {
     serde_json::from_slice(bytes).map_err(|_| ManifestError::Unreadable)
 }
--- a/crates/sorrelturn-bundle/src/parse.rs
+++ b/crates/sorrelturn-bundle/src/parse.rs
@@ -12,20 +12,20 @@
     parse_settings(file, text, "docs/BUNDLE.md")
 }
 
-/// Parses a settings file in JSON with comments. `page` is the documentation page of its fields.
+/// Parses a file in JSON with comments. `docs_page` is the documentation page of its fields.
 ///
 /// Comments are replaced by spaces, so that lines and columns in errors match the file.
 pub fn parse_settings<T: DeserializeOwned>(
     file: &str,
     text: &str,
-    page: &str,
+    docs_page: &str,
 ) -> Result<T, ParseError> {
     serde_json::from_reader(StripComments::new(text.as_bytes())).map_err(|error| Diagnostic {
         file: file.to_owned(),
         line: error.line(),
         column: error.column(),
         message: without_position(&error),
-        help: format!("see {page} for each field, its type and its unit"),
+        help: format!("see {docs_page} for each field, its type and its unit"),
     })
 }
 
--- a/crates/sorrelturn-bundle/src/routes.rs
+++ b/crates/sorrelturn-bundle/src/routes.rs
@@ -25,7 +25,7 @@
     pub routes: BTreeMap<String, Route>,
     /// Services that routes refer to, by name.
     pub services: BTreeMap<String, RoutedService>,
-    /// What a caller may send.
+    /// Size and time limits of requests and connections.
     #[serde(default)]
     pub limits: Limits,
     /// Workspaces by name. If there are any, requests need a credential of one of them, except on
@@ -107,7 +107,7 @@
 /// The reason why a route table is rejected.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum RouteError {
-    /// the route table has no version
+    /// the version of the route table must be 1 or more
     NoVersion,
     /// route {0}: path_prefix must begin and end with a slash
     InvalidPrefix(String),
@@ -238,7 +238,7 @@
             by_host
                 .entry(route.host.to_ascii_lowercase())
                 .or_default()
-                .push(Arc::new(entry(name, route)));
+                .push(Arc::new(route_entry(name, route)));
         }
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
@@ -263,7 +263,7 @@
     }
 }
 
-fn entry(name: &str, route: &Route) -> RouteEntry {
+fn route_entry(name: &str, route: &Route) -> RouteEntry {
     let mut cumulative_weight = 0;
     let is_split = route.shares.len() > 1;
     let shares = route
@@ -301,7 +301,7 @@
 }
 
 /// Returns the defaults of a service until its instances announce their slots.
-pub(crate) fn routed_service(routed: &RoutedService) -> Service {
+pub(crate) fn default_service(routed: &RoutedService) -> Service {
     Service {
         slots: 1,
         connections: routed.connections,
--- a/crates/sorrelturn-bundle/src/workspaces.rs
+++ b/crates/sorrelturn-bundle/src/workspaces.rs
@@ -75,10 +75,10 @@
     pub burst: f64,
 }
 
-/// A workspace as the entry daemon needs it.
+/// An indexed workspace, without its credentials.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkspaceEntry {
-    /// The id of the workspace.
+    /// The id of the workspace. It identifies the caller if requests carry credentials.
     pub id: CallerId,
     /// The name of the workspace.
     pub name: String,
@@ -99,7 +99,7 @@
     pub(crate) fn new(workspaces: &BTreeMap<String, Workspace>) -> Self {
         let mut index = Self::default();
         for (name, workspace) in workspaces {
-            let entry = Arc::new(entry(name, workspace));
+            let entry = Arc::new(workspace_entry(name, workspace));
             for credential in &workspace.credentials_blake3 {
                 index.by_credential.insert(*credential, Arc::clone(&entry));
             }
@@ -121,7 +121,7 @@
     }
 }
 
-fn entry(name: &str, workspace: &Workspace) -> WorkspaceEntry {
+fn workspace_entry(name: &str, workspace: &Workspace) -> WorkspaceEntry {
     let limit = QuotaLimit {
         rate: workspace.rate_per_second,
         burst: workspace.burst,
