--- a/crates/sorrelturn-bundle/src/check.rs
+++ b/crates/sorrelturn-bundle/src/check.rs
@@ -52,14 +52,14 @@
         if service.connections < service.slots {
             findings.push(map.at(
                 &["services", name, "connections"],
-                format!("service {name} takes fewer connections than it has slots"),
+                format!("service {name} accepts fewer connections than it has slots"),
                 format!("write {} or more", service.slots),
             ));
         }
         if service.kinds.is_empty() {
             findings.push(map.at(
                 &["services", name, "kinds"],
-                format!("service {name} answers no kind of request"),
+                format!("service {name} defines no request kind"),
                 "define one or remove the service",
             ));
         }
--- a/crates/sorrelturn-bundle/src/routes.rs
+++ b/crates/sorrelturn-bundle/src/routes.rs
@@ -65,7 +65,7 @@
 pub struct Share {
     /// The name of the service.
     pub service: String,
-    /// The weight relative to the other shares of the route. 0 gets no requests.
+    /// The weight relative to the other shares of the route. A share of weight 0 receives no requests.
     pub weight: u32,
 }
 
@@ -194,7 +194,7 @@
     }
 }
 
-/// A route as request handling needs it.
+/// An indexed route with the request kinds of its shares.
 #[derive(Clone, Debug)]
 pub struct RouteEntry {
     /// The name of the route.
--- a/crates/sorrelturn-bundle/tests/routes.rs
+++ b/crates/sorrelturn-bundle/tests/routes.rs
@@ -77,13 +77,13 @@
         })
         .count();
     assert_eq!(count_of_a, 900);
-    let routes = vec![("r", route_with_zero())];
+    let routes = vec![("r", route_with_zero_weight())];
     let bundle = Bundle::from_route_table(&table(routes));
     let route = bundle.match_route("h", "/1").expect("a matching route");
     assert!(route.kinds().all(|kind| kind.service == "b"));
 }
 
-fn route_with_zero() -> Route {
+fn route_with_zero_weight() -> Route {
     route("h", "/", &[("a", 0), ("b", 5)])
 }
 
--- a/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
+++ b/crates/sorrelturn-bundle/tests/sections_and_signatures.rs
@@ -63,8 +63,8 @@
 
 #[test]
 fn an_unknown_operator_is_refused_by_name() {
-    let stranger = OperatorKey::from_hex("eve", SECRET).expect("a key");
-    let signed = SignedManifest::sign(&manifest(&[]), &stranger);
+    let untrusted_key = OperatorKey::from_hex("eve", SECRET).expect("a key");
+    let signed = SignedManifest::sign(&manifest(&[]), &untrusted_key);
     assert_eq!(
         signed.verify(&trusted()),
         Err(ManifestError::UnknownOperator("eve".to_owned()))
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -58,7 +58,7 @@
     pub(crate) incarnation: Incarnation,
     /// The public keys of the operators whose bundles are accepted.
     pub(crate) trusted: TrustedKeys,
-    /// The fleet keys.
+    /// The keys by which daemons prove that they belong to the fleet.
     pub(crate) keys: FleetKeys,
     pub(crate) platform: Platform,
     pub(crate) backend: Backend,
@@ -77,16 +77,19 @@
     pub(crate) route_staleness: RouteStaleness,
     /// The quotas of workspaces.
     pub(crate) quota: Quota,
-    /// The instances that calls can be sent to.
+    /// The known instances that are not gone, by service.
     pub(crate) instances: ArcSwap<InstanceTable>,
     pub(crate) ledger: Mutex<Ledger>,
     /// Attempts that other daemons sent here.
     pub(crate) attempts: Mutex<AttemptRegister>,
-    /// Versions of the outcome segments in the store.
+    /// Store versions of the outcome segments; the lock on them serializes all writes.
     pub(crate) segment_versions: AsyncMutex<SegmentVersions>,
     pub(crate) membership: Mutex<Membership>,
+    /// The bundle version in force, and the fetches of higher versions.
     pub(crate) bundle_tracker: Mutex<BundleTracker>,
+    /// The reports that this daemon received as a watcher of its failure domain.
     pub(crate) domain_view: Mutex<DomainView>,
+    /// Open connections to the control ports of other daemons.
     pub(crate) control_links: ControlLinks,
     /// Instances that this daemon keeps connections to and pushes updates to.
     pub(crate) neighbours: Mutex<VecDeque<String>>,
@@ -134,6 +137,7 @@
         lock(&self.0).is_some_and(|last| last >= since)
     }
 
+    /// Returns the time from the last occurrence until `now`.
     pub(crate) fn elapsed_since(&self, now: Now) -> Duration {
         lock(&self.0).map_or(Duration::MAX, |last| now.saturating_sub(last))
     }
--- a/crates/sorrelturn-daemon/src/operators/status.rs
+++ b/crates/sorrelturn-daemon/src/operators/status.rs
@@ -22,6 +22,6 @@
     pub control_bytes: u64,
     /// Calls to the platform since the start.
     pub platform_calls: u64,
-    /// Whether it watches the platform for its failure domain.
+    /// Whether the daemon watches the platform for its failure domain.
     pub watcher: bool,
 }
--- a/crates/sorrelturn-daemon/src/process.rs
+++ b/crates/sorrelturn-daemon/src/process.rs
@@ -72,7 +72,9 @@
 fn read_settings(file: &PathBuf) -> Result<Settings, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| {
-        format!("error: can't read {name}: {error}\n  help: give a readable settings file")
+        format!(
+            "error: can't read {name}: {error}\n  help: pass the path of a readable settings file"
+        )
     })?;
     Settings::parse(&name, &text).map_err(|findings| {
         let findings: Vec<String> = findings.iter().map(ToString::to_string).collect();
--- a/crates/sorrelturn-telemetry/src/events.rs
+++ b/crates/sorrelturn-telemetry/src/events.rs
@@ -31,7 +31,7 @@
     SETTINGS_REFUSED = 7 "settings-refused" Error "The changed settings file can't be used; the daemon keeps its current settings.";
     STOPPING = 8 "stopping" Info "The process received a request to stop.";
 
-    HOP_SERVED = 100 "hop-served" Debug "The backend server answered this hop.";
+    HOP_SERVED = 100 "hop-served" Debug "The backend server answered the call.";
     HOP_FORWARDED = 101 "hop-forwarded" Debug "The call was forwarded to the daemon of the chosen instance.";
     REQUEST_DONE = 102 "request-done" Debug "A request that entered the fleet on this VM was answered.";
     REFUSED = 110 "refused" Debug "The request was refused here.";
