--- a/crates/sorrelturn-bundle/src/check.rs
+++ b/crates/sorrelturn-bundle/src/check.rs
@@ -298,7 +298,9 @@
             findings.push(map.at(
                 &["services", &section.name],
                 format!("section {} has {} bytes", section.name, section.bytes.len()),
-                format!("the maximum is {MAX_SECTION_BYTES} bytes: make the section smaller, for a service by splitting it"),
+                format!(
+                    "the maximum is {MAX_SECTION_BYTES} bytes: split the service or remove callers"
+                ),
             ));
         }
     }
--- a/crates/sorrelturn-daemon/src/node.rs
+++ b/crates/sorrelturn-daemon/src/node.rs
@@ -328,8 +328,8 @@
     }
 
     /// Moves the start time of this incarnation after that of an earlier one, which looks newer if the wall clock was
-    /// set back. Does so only within [`OUTRANK_PERIOD`]; after that, the other incarnation is assumed to be the newer one.
-    /// Returns whether the own record changed.
+    /// set back. Does so only within [`OUTRANK_PERIOD`]; after that, the other incarnation is assumed to be the newer
+    /// one. Returns whether the own record changed.
     pub(crate) fn outrank_earlier_incarnation(&self, other: &MemberRecord) -> bool {
         let own = self.own_record.load();
         let is_other_incarnation =
--- a/crates/sorrelturn-daemon/src/run.rs
+++ b/crates/sorrelturn-daemon/src/run.rs
@@ -59,8 +59,8 @@
     cold_start: Duration::ZERO,
     call_queue_timeout: None,
 };
-/// How long before the end of the linger time a stopping daemon announces that it is leaving, if its service has another
-/// instance. It closes the connections of callers at the end of the linger time.
+/// How long before the end of the linger time a stopping daemon announces that it is leaving, if its service has
+/// another instance. It closes the connections of callers at the end of the linger time.
 const LEAVING_NOTICE_DURATION: Duration = Duration::from_millis(700);
 /// How long the only instance of a service waits after it closed those connections and announced that it is leaving.
 const ONLY_INSTANCE_NOTICE_DURATION: Duration = Duration::from_millis(100);
@@ -206,8 +206,8 @@
     }
 
     /// Stops the daemon. It reports itself as not ready at once, announces that it is leaving at the end of the linger
-    /// time or shortly before it, finishes the requests in progress or refuses them by the deadline, and writes its last
-    /// records. Returns whether no request was cut off.
+    /// time or shortly before it, finishes the requests in progress or refuses them by the deadline, and writes its
+    /// last records. Returns whether no request was cut off.
     pub async fn stop(self) -> bool {
         let node = &self.node;
         let stop_deadline = node.now() + Duration::from_millis(node.settings.stop.most_ms);
--- a/crates/sorrelturn-daemon/src/shutdown.rs
+++ b/crates/sorrelturn-daemon/src/shutdown.rs
@@ -12,8 +12,8 @@
     time::Duration,
 };
 
-/// The deadline of forwarded requests is this much earlier than that of the final answers, so that an answer sent at the
-/// last moment still arrives.
+/// The deadline of forwarded requests is this much earlier than that of the final answers, so that an answer sent at
+/// the last moment still arrives.
 const FORWARD_DEADLINE_MARGIN: Duration = Duration::from_millis(100);
 /// The value of [`Shutdown::answer_deadline_ms`] before the shutdown begins.
 const NOT_BEGUN: u64 = u64::MAX;
--- a/crates/sorrelturn-telemetry/src/metrics.rs
+++ b/crates/sorrelturn-telemetry/src/metrics.rs
@@ -38,7 +38,7 @@
     ENTRY_REFUSALS = Counter "entry.refusals" "Refusals of requests at their entry daemon, by reason.";
     KNOWLEDGE_AGE = Gauge "knowledge.age" "The staleness of the route table, in milliseconds.";
     RETRIES = Counter "retries" "Retries that may have caused an additional execution.";
-    HOP_TIME = Timer "hop.time" "The time from the arrival of a root request at its entry to the head of its answer, by importance.";
+    HOP_TIME = Timer "hop.time" "The time from a root request's arrival at its entry to the head of its answer, by importance.";
     IN_FLIGHT = Gauge "backend.in_flight" "Calls in flight to the backend server.";
     WAITING = Gauge "backend.waiting" "Calls queued for a slot.";
     LIMIT = Gauge "backend.limit" "The concurrency limit of the backend server, without the variation while two limits are compared.";
