--- a/crates/sorrelturn-daemon/src/operators/status.rs
+++ b/crates/sorrelturn-daemon/src/operators/status.rs
@@ -14,7 +14,7 @@
     pub in_flight: u32,
     /// Calls queued for a slot.
     pub waiting: usize,
-    /// The current concurrency limit.
+    /// The concurrency limit, without the variation while two limits are compared.
     pub limit: u32,
     /// Known members that aren't gone.
     pub members: usize,
@@ -22,6 +22,6 @@
     pub control_bytes: u64,
     /// Calls to the platform since the start.
     pub platform_calls: u64,
-    /// Whether it watches the platform for its failure domain.
+    /// Whether the daemon watches the platform for its failure domain.
     pub watcher: bool,
 }
