--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -22,11 +22,11 @@
 /// Why a bundle could not be fetched.
 #[derive(Debug, Display)]
 pub(crate) enum FetchError {
-    /// the peer doesn't respond: {0}
+    /// the call to the peer failed: {0}
     Peer(ControlError),
     /// the peer is not a member any more
     UnknownPeer,
-    /// the platform doesn't respond: {0}
+    /// reading from the platform failed: {0}
     Platform(PlatformError),
     /// the source has no bundle
     Absent,
@@ -85,7 +85,8 @@
     fetch_from_member(node, peer.as_ref()).await
 }
 
-/// Does the same as [`fetch_from`]; `None` stands for the platform's store.
+/// Fetches the bundle or route table of a member, or that of the platform's store if `peer` is
+/// `None`, and puts it in force if its version is higher.
 pub(crate) async fn fetch_from_member(
     node: &Arc<Node>,
     peer: Option<&MemberRecord>,
@@ -175,7 +176,8 @@
     accept_table(node, &(routed.dialect.read_routes)(text)?)
 }
 
-/// Does the same for the form that daemons exchange, which has hashes in place of credentials.
+/// Puts a route table in force if its version is higher, given in the form that daemons exchange,
+/// which has hashes in place of credentials.
 fn accept_peer_routes(node: &Arc<Node>, text: &str) -> Result<(), String> {
     let table: RouteTable = serde_json::from_str(text).map_err(|error| error.to_string())?;
     accept_table(node, &table)
@@ -242,6 +244,7 @@
             .map_err(FetchError::Platform)?
             .ok_or(FetchError::Absent)?;
         sections.push(SectionBytes {
+            // `put_bundle_in_force` takes the name from the manifest.
             name: String::new(),
             bytes: object.value.into_bytes(),
         });
--- a/crates/sorrelturn-daemon/src/config/in_force.rs
+++ b/crates/sorrelturn-daemon/src/config/in_force.rs
@@ -1,4 +1,5 @@
-//! The bundle in force, with what the daemon learns while it is.
+//! The bundle in force, and the state that the daemon keeps for it: caller budgets, learned
+//! thresholds and retry windows.
 
 use crate::node::{LastTime, lock};
 use sorrelturn_bundle::{
@@ -17,14 +18,14 @@
     time::Duration,
 };
 
-/// The retries allowed for each first attempt of a kind.
-const EDGE_RETRY_RATIO: f64 = 0.1;
-/// The retries of a kind allowed in addition, in each window.
-const EDGE_RETRY_SLACK: f64 = 10.0;
-/// The window of both.
-const EDGE_RETRY_WINDOW: Duration = Duration::from_secs(10);
+/// The retries allowed for each first attempt of a kind, without a route table.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
+/// The retries of a kind allowed in addition, in each window, without a route table.
+const DEFAULT_RETRY_SLACK: f64 = 10.0;
+/// The window of the retry limits, without a route table.
+const DEFAULT_RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// How long a service below a kind is assumed to have no instance after a refusal for that
+/// How long a service that a kind calls is assumed to have no instance after a refusal for that
 /// reason.
 const NO_INSTANCE_RETENTION: Duration = Duration::from_millis(200);
 
@@ -46,7 +47,7 @@
     pub(crate) ratio: f64,
     /// The retries in addition, in each window.
     pub(crate) slack: f64,
-    /// The window of both.
+    /// The window of `ratio` and `slack`.
     pub(crate) window: Duration,
 }
 
@@ -61,9 +62,9 @@
 impl Default for RetryLimits {
     fn default() -> Self {
         Self {
-            ratio: EDGE_RETRY_RATIO,
-            slack: EDGE_RETRY_SLACK,
-            window: EDGE_RETRY_WINDOW,
+            ratio: DEFAULT_RETRY_RATIO,
+            slack: DEFAULT_RETRY_SLACK,
+            window: DEFAULT_RETRY_WINDOW,
         }
     }
 }
@@ -76,10 +77,11 @@
     kinds: HashMap<String, Arc<KindState>>,
     callers: HashMap<CallerId, CallerState>,
     /// The lowest importance of a workspace.
-    lowest_workspace: Option<Importance>,
-    /// One bit for each importance of root requests that were answered.
+    lowest_workspace_importance: Option<Importance>,
+    /// A bit set, by importance rank, of the kinds that have been answered and are not nested
+    /// calls (root kinds).
     root_importances: AtomicU8,
-    /// The same for requests that may be repeated.
+    /// The same, only for kinds that may run more than once.
     repeatable_importances: AtomicU8,
 }
 
@@ -99,8 +101,9 @@
     pub(crate) is_call: AtomicBool,
     /// Whether a request of this kind was answered.
     was_answered: AtomicBool,
-    /// When a request of this kind was refused last because a service below had no instance.
-    no_instance_below_at: LastTime,
+    /// When a request of this kind was refused last because a service that it calls had no
+    /// instance.
+    callee_unavailable_at: LastTime,
     /// Detects retries of callers by the remaining time of their requests.
     pub(crate) retry_detector: Mutex<RetryDetector>,
     /// How long this daemon has been refusing requests of this kind as the entry.
@@ -126,7 +129,7 @@
                 let known = before.and_then(|before| before.kinds.get(name));
                 (
                     name.clone(),
-                    known.map_or_else(|| KindState::fresh(limits), Arc::clone),
+                    known.map_or_else(|| KindState::with_own_retry_window(limits), Arc::clone),
                 )
             })
             .collect();
@@ -145,9 +148,9 @@
         let workspace_importances = bundle
             .workspaces()
             .filter_map(|workspace| workspace.importance);
-        let lowest_workspace = workspace_importances.min();
+        let lowest_workspace_importance = workspace_importances.min();
         let in_force = Self {
-            lowest_workspace,
+            lowest_workspace_importance,
             bundle,
             origin,
             kinds,
@@ -155,7 +158,7 @@
             root_importances: AtomicU8::new(0),
             repeatable_importances: AtomicU8::new(0),
         };
-        in_force.count_root_importances();
+        in_force.update_root_importances();
         in_force
     }
 
@@ -164,11 +167,11 @@
         let before = state.is_call.swap(is_call, Ordering::Relaxed);
         let known = state.was_answered.swap(true, Ordering::Relaxed);
         if before != is_call || !known {
-            self.count_root_importances();
+            self.update_root_importances();
         }
     }
 
-    fn count_root_importances(&self) {
+    fn update_root_importances(&self) {
         let (mut all, mut repeatable) = (0, 0);
         for kind in self.bundle.route_kinds() {
             let state = self.kinds.get(&kind.name);
@@ -186,13 +189,14 @@
             .store(repeatable, Ordering::Relaxed);
     }
 
-    /// Returns whether a kind must not run twice while root requests of the same importance may.
+    /// Returns whether a kind is at-most-once and some root kind of the same importance may run
+    /// more than once.
     pub(crate) fn is_at_most_once_among_repeatable(&self, kind: &KindEntry) -> bool {
         let repeatable = self.repeatable_importances.load(Ordering::Relaxed);
         kind.at_most_once() && repeatable & (1 << kind.importance().rank()) != 0
     }
 
-    /// Returns the number of lower importances among root requests, and the number of all.
+    /// Returns the rank of an importance among those of root kinds, and how many there are.
     pub(crate) fn root_rank(&self, importance: Importance) -> (usize, usize) {
         let lower = (1u8 << importance.rank()) - 1;
         let bits = self.root_importances.load(Ordering::Relaxed);
@@ -204,7 +208,7 @@
     pub(crate) fn rank_above_lowest(&self, workspace: Option<&WorkspaceEntry>) -> usize {
         let own = workspace.and_then(|workspace| workspace.importance);
         let own = own.map_or(0, Importance::rank);
-        let lowest = self.lowest_workspace.map_or(0, Importance::rank);
+        let lowest = self.lowest_workspace_importance.map_or(0, Importance::rank);
         usize::from(own.saturating_sub(lowest))
     }
 
@@ -218,12 +222,13 @@
 
     /// Returns what is learned about a kind of this bundle.
     pub(crate) fn kind_state(&self, kind: &KindEntry) -> Arc<KindState> {
-        self.kinds
-            .get(&kind.name)
-            .map_or_else(|| KindState::fresh(RetryLimits::default()), Arc::clone)
+        self.kinds.get(&kind.name).map_or_else(
+            || KindState::with_own_retry_window(RetryLimits::default()),
+            Arc::clone,
+        )
     }
 
-    /// Returns the highest known threshold of all that a kind calls.
+    /// Returns the highest known threshold of the kinds that a kind calls.
     pub(crate) fn threshold_below(&self, kind: &KindEntry, now: Now) -> Priority {
         self.max_threshold(kind.kind.calls.keys().map(String::as_str), now)
     }
@@ -270,18 +275,18 @@
 }
 
 impl KindState {
-    /// Records a refusal because a service below this kind has no instance.
+    /// Records a refusal because a service that this kind calls has no instance.
     pub(crate) fn record_no_instance_below(&self, now: Now) {
-        self.no_instance_below_at.set(now);
+        self.callee_unavailable_at.set(now);
     }
 
     /// Returns whether the next request would probably be refused for the same reason.
     pub(crate) fn had_no_instance_below_recently(&self, now: Now) -> bool {
-        self.no_instance_below_at
+        self.callee_unavailable_at
             .is_after(now.saturating_sub(NO_INSTANCE_RETENTION))
     }
 
-    fn fresh(limits: RetryLimits) -> Arc<Self> {
+    fn with_own_retry_window(limits: RetryLimits) -> Arc<Self> {
         Self::new(LearnedThreshold::default(), limits.new_window())
     }
 
@@ -295,7 +300,7 @@
             retries,
             is_call: AtomicBool::new(false),
             was_answered: AtomicBool::new(false),
-            no_instance_below_at: LastTime::default(),
+            callee_unavailable_at: LastTime::default(),
             retry_detector: Mutex::default(),
             refusal_streak: Mutex::default(),
         })
--- a/crates/sorrelturn-daemon/src/config/route_staleness.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -20,13 +20,12 @@
     time::Duration,
 };
 
-/// Subtracted from the revocation time, for uneven clocks and the delay until a request is
-/// checked.
+/// Subtracted from the revocation time, for differences between clock rates and the delay until a
+/// request is checked.
 const REVOCATION_MARGIN: Duration = Duration::from_millis(500);
-/// The staleness from which a request with a credential refreshes the table is random in this
-/// range. The first daemon to read it spares the others, which get the update with the next
-/// responses.
-const REFRESH_AGE_RANGE: (Duration, Duration) =
+/// The range of the staleness at which a request triggers a refresh. It is chosen at random after
+/// each confirmation, so that one daemon reads first and the others learn it from its responses.
+const REFRESH_STALENESS_RANGE: (Duration, Duration) =
     (Duration::from_millis(2_500), Duration::from_millis(3_500));
 /// The delay after a failed read; it doubles with each further failure.
 const MIN_READ_RETRY_INTERVAL: Duration = Duration::from_millis(500);
@@ -44,14 +43,14 @@
 pub(crate) struct RouteStaleness {
     freshness: Mutex<Freshness>,
     /// The revision of the table's object that was accepted last; it needn't be parsed again.
-    accepted: AtomicU64,
+    accepted_revision: AtomicU64,
     is_reading: AtomicBool,
     last_failure: LastTime,
     /// The number of consecutive failed reads.
     failures: AtomicU32,
-    refresh_age: Mutex<Duration>,
+    refresh_staleness: Mutex<Duration>,
     unknown_reads: Mutex<RateBucket>,
-    /// Credentials that the newest table lacked at an earlier request.
+    /// Credentials that were looked up and not found.
     unknown: Mutex<HashSet<CredentialHash>>,
     waiters: Mutex<Vec<Sender<()>>>,
 }
@@ -60,11 +59,11 @@
     pub(crate) fn new(now: Now) -> Self {
         Self {
             freshness: Mutex::default(),
-            accepted: AtomicU64::new(0),
+            accepted_revision: AtomicU64::new(0),
             is_reading: AtomicBool::new(false),
             last_failure: LastTime::default(),
             failures: AtomicU32::new(0),
-            refresh_age: Mutex::new(REFRESH_AGE_RANGE.0),
+            refresh_staleness: Mutex::new(REFRESH_STALENESS_RANGE.0),
             unknown_reads: Mutex::new(RateBucket::new(MAX_UNKNOWN_READS_PER_SECOND, now)),
             unknown: Mutex::default(),
             waiters: Mutex::default(),
@@ -78,12 +77,14 @@
 
     /// Returns the revision of the table that was accepted last.
     pub(crate) fn accepted_revision(&self) -> u64 {
-        self.accepted.load(Ordering::Relaxed)
+        self.accepted_revision.load(Ordering::Relaxed)
     }
 
-    /// Records that the table with this revision, or a higher version, is in force.
+    /// Records that the table at this revision of its object was accepted: its version, or a higher
+    /// one, is in force.
     pub(crate) fn record_accepted(&self, revision: u64) {
-        self.accepted.fetch_max(revision, Ordering::Relaxed);
+        self.accepted_revision
+            .fetch_max(revision, Ordering::Relaxed);
     }
 
     /// Returns the staleness of the table; `None` if it is unknown.
@@ -97,7 +98,7 @@
         u32::try_from(age.as_millis()).ok()?.checked_add(1)
     }
 
-    /// Returns whether an unknown credential may cause a read now.
+    /// Takes one read from the rate limit for unknown credentials. Returns whether it is allowed.
     pub(crate) fn try_take_read_for_unknown(&self, now: Now) -> bool {
         lock(&self.unknown_reads).take(now)
     }
@@ -107,9 +108,8 @@
         lock(&self.freshness).is_confirmed_since(at)
     }
 
-    /// Returns whether a credential that the table in force lacks was unknown at an earlier
-    /// request. Repeated use of a revoked credential causes no further read, even after a new
-    /// table.
+    /// Returns whether a credential was looked up before and not found. While the
+    /// table is valid, repeated use of such a credential causes no further read.
     pub(crate) fn is_unknown(&self, credential: CredentialHash) -> bool {
         lock(&self.unknown).contains(&credential)
     }
@@ -126,9 +126,9 @@
     fn confirm(&self, at: Now) {
         lock(&self.freshness).confirm(at);
         self.failures.store(0, Ordering::Relaxed);
-        let (minimum, maximum) = REFRESH_AGE_RANGE;
+        let (minimum, maximum) = REFRESH_STALENESS_RANGE;
         let jitter = (maximum - minimum).mul_f64(fastrand::f64());
-        *lock(&self.refresh_age) = minimum + jitter;
+        *lock(&self.refresh_staleness) = minimum + jitter;
         self.wake_waiters();
     }
 
@@ -165,8 +165,8 @@
     Ok(())
 }
 
-/// Returns whether a credential in the table may be accepted now. None is accepted for longer
-/// than the revocation time without a confirmation of the table.
+/// Returns whether the table was confirmed recently enough, given the revocation time, to accept
+/// the credentials in it.
 pub(crate) fn is_valid(node: &Node, now: Now) -> bool {
     let max_age = node
         .settings
@@ -182,9 +182,9 @@
 
 /// Reads the table in the background if it is stale.
 pub(crate) fn refresh(node: &Arc<Node>) {
-    let refresh_age = *lock(&node.route_staleness.refresh_age);
+    let refresh_staleness = *lock(&node.route_staleness.refresh_staleness);
     let age = node.route_staleness.age(node.now());
-    if age.is_none_or(|age| age > refresh_age) {
+    if age.is_none_or(|age| age > refresh_staleness) {
         start_read(node);
     }
 }
@@ -226,7 +226,8 @@
     let (node, object) = (Arc::clone(node), routes.object.clone());
     let ex = Arc::clone(&node.ex);
     let read = async move {
-        // The watchers log the reason of a failure; here, credentials are refused.
+        // Not logged: the watchers log invalid tables. If the table gets too stale, requests with
+        // credentials are refused.
         if read_table(&node, &object).await.is_err() {
             node.route_staleness.last_failure.set(node.now());
             node.route_staleness
--- a/crates/sorrelturn-daemon/src/config/settings.rs
+++ b/crates/sorrelturn-daemon/src/config/settings.rs
@@ -45,8 +45,8 @@
     /// The number of threads that handle requests.
     #[serde(default = "default_threads")]
     pub threads: usize,
-    /// The number of open connections of all listeners at which each new one closes the one that
-    /// has been idle longest.
+    /// The limit of open connections of all listeners. At the limit, each new connection closes the
+    /// one that has been idle longest; connections that carry requests stay open.
     #[serde(default = "default_connections")]
     pub connections: usize,
     /// At-most-once execution.
@@ -143,7 +143,7 @@
     /// The retries that all daemons together may make in addition, in each window.
     #[serde(default = "default_retry_slack")]
     pub retry_slack: f64,
-    /// The window of both, in seconds.
+    /// The window of `retry_ratio` and `retry_slack`, in seconds.
     #[serde(default = "default_retry_window_s")]
     pub retry_window_s: f64,
     /// How long a credential may be accepted after its revocation, even at an unreachable VM, in
@@ -159,9 +159,11 @@
     /// The number of requests by which the count may exceed it in addition.
     #[serde(default)]
     pub quota_slack: f64,
-    /// The duration of a lease of a daemon's share of all quotas, in milliseconds. A lost
-    /// allocator is missed, and a new daemon has no share to lease, for that long. With less than
-    /// ten round trips between the farthest daemons, shares stay unused.
+    /// The minimum duration of a lease of a daemon's share of all quotas, in milliseconds; large
+    /// fleets use longer leases. The shares leased to an allocator that fails stay unusable for the
+    /// duration of a lease, and a new daemon has no share to lease for that long. Should be at
+    /// least ten times the longest round trip between daemons; otherwise part of the quota stays
+    /// unused.
     #[serde(default = "default_quota_lease_ms")]
     pub quota_lease_ms: u64,
 }
@@ -181,8 +183,9 @@
         }
     }
 
-    /// Returns the durations of leases and grants. What is granted before a window and used in it
-    /// has to fit into the overage.
+    /// Returns the validity of leases (of a daemon's share to an allocator) and of grants (of
+    /// single requests by an allocator). Grants issued before a window may be used in it, so they
+    /// have to fit into the overage.
     pub(crate) fn quota_validity(&self) -> ValidityConfig {
         let overage = self.quota_window_s * self.quota_overage * GRANT_FRACTION_OF_OVERAGE;
         ValidityConfig {
@@ -192,9 +195,10 @@
     }
 }
 
-/// The fraction of the overage for unused grants; the rest is for bursts.
+/// The fraction of the overage for grants that were issued before a window and are used in it;
+/// the rest is for bursts.
 const GRANT_FRACTION_OF_OVERAGE: f64 = 0.3;
-/// The maximum time for which a grant stays unused: others could use it.
+/// The maximum validity of a grant; until it expires, no other daemon can use it.
 const MAX_GRANT_VALIDITY: Duration = Duration::from_millis(150);
 
 /// The events retained for explanations.
@@ -289,8 +293,7 @@
     2
 }
 
-/// Half of a limit of 4,100 file descriptors; connections to the backend server use up to 1,800
-/// of the rest.
+/// Leaves file descriptors for the connections to the backend server.
 fn default_connections() -> usize {
     2_048
 }
@@ -337,8 +340,8 @@
 
 const MAX_THREADS: usize = 64;
 
-/// The maximum number of unexpired tokens: their outcomes have to fit into one object of the
-/// store.
+/// The maximum of `once.capacity`: if all tokens are issued within one segment of outcomes, which
+/// covers a minute, their outcomes have to fit into one object of the store.
 const MAX_TOKENS: usize = 20_000;
 
 /// The range of the window for retries, in seconds.
@@ -347,10 +350,11 @@
 
 /// The range of the window for quotas, in seconds.
 const QUOTA_WINDOW_RANGE_S: RangeInclusive<f64> = 0.1..=3_600.0;
-/// The range of the duration of quota leases, in milliseconds; shorter ones would cause too many
-/// renewals.
+/// The range of the minimum duration of quota leases, in milliseconds; shorter ones would cause
+/// too many renewals.
 const QUOTA_LEASE_RANGE_MS: RangeInclusive<u64> = 100..=10_000;
-/// The minimum revocation time: twice the interval between two reads of the table.
+/// The minimum revocation time: the minimum staleness at which a request refreshes the table, plus
+/// the revocation margin.
 const MIN_REVOCATION_MS: u64 = 3_000;
 
 /// The minimum time for requests after the linger time, in milliseconds.
@@ -381,7 +385,11 @@
         ] {
             if !is_name(value) {
                 let help = "write lower-case letters, digits, hyphens and dots, 63 at most";
-                at(&[name], &format!("{name} is {value:?}"), help);
+                at(
+                    &[name],
+                    &format!("{name} is not a valid name: {value:?}"),
+                    help,
+                );
             }
         }
         if !self.listen.local.ip().is_loopback() {
@@ -413,14 +421,21 @@
         }
         if self.threads == 0 || self.threads > MAX_THREADS {
             let help = format!("write a number from 1 to {MAX_THREADS}");
-            at(&["threads"], &format!("threads is {}", self.threads), &help);
+            at(
+                &["threads"],
+                &format!("threads is {}, which is out of range", self.threads),
+                &help,
+            );
         }
         if let Some(routes) = &self.routes
             && !(MIN_RETRY_WINDOW_S..=MAX_RETRY_WINDOW_S).contains(&routes.retry_window_s)
         {
             at(
                 &["routes", "retry_window_s"],
-                &format!("routes.retry_window_s is {}", routes.retry_window_s),
+                &format!(
+                    "routes.retry_window_s is {}, which is out of range",
+                    routes.retry_window_s
+                ),
                 &format!("write seconds from {MIN_RETRY_WINDOW_S} to {MAX_RETRY_WINDOW_S}"),
             );
         }
@@ -434,7 +449,7 @@
                 &["routes", "quota_window_s"],
                 "routes.quota_window_s, routes.quota_overage or routes.quota_slack is out of range",
                 &format!(
-                    "write seconds from {minimum} to {maximum}, a fraction from 0 to 1, and 0 or more"
+                    "quota_window_s: {minimum} to {maximum}; quota_overage: 0 to 1; quota_slack: 0 or more"
                 ),
             );
         }
@@ -444,7 +459,10 @@
             let (minimum, maximum) = (QUOTA_LEASE_RANGE_MS.start(), QUOTA_LEASE_RANGE_MS.end());
             at(
                 &["routes", "quota_lease_ms"],
-                &format!("routes.quota_lease_ms is {}", routes.quota_lease_ms),
+                &format!(
+                    "routes.quota_lease_ms is {}, which is out of range",
+                    routes.quota_lease_ms
+                ),
                 &format!("write milliseconds from {minimum} to {maximum}"),
             );
         }
@@ -472,7 +490,7 @@
         if self.platform.timeout_ms == 0 || self.backend.connect_ms == 0 {
             at(
                 &["platform", "timeout_ms"],
-                "a timeout of 0 ms lets no call succeed",
+                "platform.timeout_ms or backend.connect_ms is 0, so every call would time out",
                 "write milliseconds, 1 or more",
             );
         }
@@ -481,7 +499,7 @@
         {
             at(
                 &["routes", "object"],
-                &format!("routes.object is {:?}", routes.object),
+                &format!("routes.object has no slash: {:?}", routes.object),
                 "write a kind, a slash and a name, as in config/main",
             );
         }
@@ -497,7 +515,7 @@
             at(
                 &["stop", "most_ms"],
                 "the stop would end before accepted requests are answered",
-                &format!("write stop.linger_ms and {MIN_TIME_AFTER_LINGER_MS} ms, or more"),
+                &format!("write at least stop.linger_ms + {MIN_TIME_AFTER_LINGER_MS}"),
             );
         }
         if self.once.ttl_s == 0 || self.once.capacity == 0 {
