--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -1,8 +1,9 @@
 //! The listener for announcements of the own backend server, and the readiness endpoint.
 //!
-//! A backend server announces its incarnation and its state at intervals. That it is leaving is
-//! acknowledged once the state is in the platform's store, or after a timeout by which other
-//! daemons know it, so that the next incarnation of this daemon learns it, too.
+//! A backend server announces its incarnation and its state at intervals. An announcement that it
+//! is leaving is acknowledged only after it was written to the store, so that a restarted daemon
+//! still knows it. If the write takes too long, it is acknowledged anyway, since gossip has
+//! notified the other daemons by then.
 
 use crate::{
     backend::report::{read_deregistration, read_heartbeat},
@@ -118,9 +119,9 @@
     Response::new(body::full("{}"))
 }
 
-/// Refuses a malformed report; the known state stays.
+/// Refuses a report that is malformed or names another service; the known state stays.
 fn refuse(node: &Node, routed: &Routed, reason: &str) -> Response<Body> {
-    state::log_foreign_report(node, routed, reason);
+    state::log_refused_report(node, routed, reason);
     let mut res = Response::new(body::full(format!("{reason}\n")));
     *res.status_mut() = StatusCode::BAD_REQUEST;
     res
--- a/crates/sorrelturn-daemon/src/backend/crash.rs
+++ b/crates/sorrelturn-daemon/src/backend/crash.rs
@@ -52,22 +52,22 @@
     fn take_abandoned(&mut self, now: Now) -> impl Iterator<Item = RequestFingerprint> + use<> {
         let abandoned = std::mem::take(&mut self.abandoned);
         let is_recent = move |at: Now| at + ABANDONED_RETENTION >= now;
-        let names = abandoned.into_iter().filter(move |(at, _)| is_recent(*at));
-        names.flat_map(|(_, request)| request.iter())
+        let recent = abandoned.into_iter().filter(move |(at, _)| is_recent(*at));
+        recent.flat_map(|(_, request)| request.iter())
     }
 }
 
 /// The last crash, and how many connections had been opened before it.
 struct LastCrash {
     id: CrashId,
-    opened: u64,
+    connections_opened: u64,
 }
 
-/// A check whether the backend server has ended, shared by all exchanges that were interrupted.
+/// A check whether the backend server has crashed, shared by all exchanges that were interrupted.
 #[derive(Default)]
 struct CrashCheck {
     interrupted: Mutex<Vec<RequestFingerprint>>,
-    is_gone: OnceCell<bool>,
+    has_crashed: OnceCell<bool>,
 }
 
 /// A request that the backend server may be running. If it is dropped before
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Records that the backend server responded completely, interrupted the exchange or never
-    /// received the request.
+    /// Records that the request is no longer running at the backend server or never reached it, or
+    /// that its exchange was interrupted.
     pub(crate) fn mark_finished(mut self) {
         self.is_finished = true;
     }
@@ -107,8 +107,8 @@
     }
 }
 
-/// Reports a crash: another incarnation is ready, and the one before never announced that it was
-/// leaving.
+/// Reports a crash that was detected because another incarnation is ready without the earlier one
+/// having announced that it was leaving.
 pub(crate) fn report_replaced(node: &Arc<Node>) {
     report(node, false);
 }
@@ -122,7 +122,7 @@
         lock(&check.interrupted).extend(request.iter());
         Arc::clone(check)
     };
-    *check.is_gone.wait().await
+    *check.has_crashed.wait().await
 }
 
 /// Runs the check in a task of its own, since the request that needs it may be cancelled.
@@ -135,22 +135,22 @@
     check
 }
 
-/// Checks whether the backend server has ended, and reports the interrupted requests if so.
+/// Checks whether the backend server has crashed, and reports the interrupted requests if so.
 async fn run_check(node: &Arc<Node>, check: &CrashCheck) {
-    let is_gone = is_gone(node).await;
-    if !is_gone {
+    let has_crashed = has_crashed(node).await;
+    if !has_crashed {
         lock(&node.crashes.0).check = None;
     }
     // Only this task sets it.
-    let _ = check.is_gone.set(is_gone).await;
-    if is_gone {
+    let _ = check.has_crashed.set(has_crashed).await;
+    if has_crashed {
         report(node, false);
         Timer::after(COLLECT_DURATION).await;
         report(node, true);
     }
 }
 
-async fn is_gone(node: &Node) -> bool {
+async fn has_crashed(node: &Node) -> bool {
     Timer::after(CLOSE_DETECTION_DELAY).await;
     if node.backend.has_open_connection() {
         return false;
@@ -167,7 +167,7 @@
 /// Reports the crash to the fleet. The id stays the same until a new connection is opened. If
 /// `is_final`, requests that are interrupted later start a new check.
 fn report(node: &Arc<Node>, is_final: bool) {
-    let opened = node.backend.connections_opened();
+    let connections_opened = node.backend.connections_opened();
     let (id, running) = {
         let mut state = lock(&node.crashes.0);
         let check = if is_final {
@@ -178,9 +178,15 @@
         let running = check.map(|check| std::mem::take(&mut *lock(&check.interrupted)));
         let mut running = running.unwrap_or_default();
         running.extend(state.take_abandoned(node.now()));
-        let same_crash = state.last.as_ref().filter(|last| last.opened == opened);
+        let same_crash = state
+            .last
+            .as_ref()
+            .filter(|last| last.connections_opened == connections_opened);
         let id = same_crash.map_or_else(|| CrashId(fastrand::u64(..)), |last| last.id);
-        state.last = Some(LastCrash { id, opened });
+        state.last = Some(LastCrash {
+            id,
+            connections_opened,
+        });
         (id, running)
     };
     if running.is_empty() {
--- a/crates/sorrelturn-daemon/src/backend/link.rs
+++ b/crates/sorrelturn-daemon/src/backend/link.rs
@@ -28,7 +28,7 @@
     addr: SocketAddr,
     connect_timeout: Duration,
     pool: Arc<Pool>,
-    opened: AtomicU64,
+    connections_opened: AtomicU64,
 }
 
 /// The head of a response.
@@ -47,7 +47,7 @@
             addr,
             connect_timeout,
             pool: Pool::new(CONNECTIONS_BEFORE_BUNDLE, clock),
-            opened: AtomicU64::new(0),
+            connections_opened: AtomicU64::new(0),
         }
     }
 
@@ -74,20 +74,20 @@
 
     /// Returns the number of connections opened so far.
     pub(crate) fn connections_opened(&self) -> u64 {
-        self.opened.load(Ordering::Relaxed)
+        self.connections_opened.load(Ordering::Relaxed)
     }
 
-    /// Drops the idle connections, which lead to a backend server that has ended.
+    /// Drops the idle connections, which lead to an earlier incarnation of the backend server.
     pub(crate) fn drop_idle(&self) {
         self.pool.drop_idle();
     }
 
     /// Sends a request and waits for the head of the response.
     ///
-    /// If the response is overdue on a reused connection, and no other connection of that age
-    /// gets a response, the path may be broken without a reset. The request is then sent once
-    /// more if `make_copy` gave a copy and `may_send_again` allows it, and the first response
-    /// counts. The first attempt continues, since it may only be slow. See
+    /// If the response is overdue on a reused connection, and no connection older than the overdue
+    /// timeout has got a response since, the path may be broken without a reset. The request is
+    /// then sent once more if `make_copy` gave a copy and `may_send_again` allows it, and the first
+    /// response counts. The first attempt continues, since it may only be slow. See
     /// `docs/design/silent-connections.md`.
     pub(crate) async fn send(
         &self,
@@ -125,7 +125,7 @@
             (Err(_), true) => second.await,
             (Err(_), false) => first.await,
         };
-        // Whichever attempt failed, the other one may have run.
+        // Both attempts failed. The error of one doesn't rule out that the other ran.
         let mut response = response.map_err(|_| SendError::Interrupted)?;
         response.sent_twice = true;
         Ok(response)
@@ -139,7 +139,7 @@
         let connect = || async {
             let tcp = TcpStream::connect(self.addr).await?;
             tcp.set_nodelay(true)?;
-            self.opened.fetch_add(1, Ordering::Relaxed);
+            self.connections_opened.fetch_add(1, Ordering::Relaxed);
             Ok(Opened {
                 stream: Box::new(ReadySocket::new(tcp.clone())),
                 socket: tcp,
--- a/crates/sorrelturn-daemon/src/backend/state.rs
+++ b/crates/sorrelturn-daemon/src/backend/state.rs
@@ -32,8 +32,8 @@
 /// wastes the work of the calling request.
 const CALL_QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The minimum interval between log entries about reports that name no backend server.
-const FOREIGN_REPORT_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// The minimum interval between log entries about refused reports.
+const REFUSED_REPORT_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The backend server beside this daemon, and its dialect.
 pub(crate) struct Routed {
@@ -48,8 +48,8 @@
     pub(crate) last_unknown_credential_event: LastTime,
     /// Where the requests for the backend server come from.
     pub(crate) origins: Mutex<RequestOrigins>,
-    /// When a report that names no backend server was logged last.
-    foreign_logged_at: LastTime,
+    /// When a refused report was logged last.
+    last_refused_report_event: LastTime,
     /// Whether the platform's store has the newest state, for the next incarnation of this
     /// daemon.
     is_saved: AtomicBool,
@@ -76,7 +76,7 @@
             last_nested_call_failure: LastTime::default(),
             last_unknown_credential_event: LastTime::default(),
             origins: Mutex::default(),
-            foreign_logged_at: LastTime::default(),
+            last_refused_report_event: LastTime::default(),
             is_saved: AtomicBool::new(false),
         }
     }
@@ -111,7 +111,7 @@
         lock(&self.origins).retain(exists);
     }
 
-    /// Classifies a response by the request id that it returns.
+    /// Classifies a response by its request id, its not-run header and status 421.
     pub(crate) fn classify_response(
         &self,
         sent_id: Option<&HeaderValue>,
@@ -142,14 +142,14 @@
     }
 }
 
-/// Logs that a report names no backend server, and why, at most once per
-/// [`FOREIGN_REPORT_LOG_INTERVAL`].
-pub(crate) fn log_foreign_report(node: &Node, routed: &Routed, reason: &str) {
+/// Logs that a report was refused, and why, at most once per
+/// [`REFUSED_REPORT_LOG_INTERVAL`].
+pub(crate) fn log_refused_report(node: &Node, routed: &Routed, reason: &str) {
     let now = node.now();
-    if routed.foreign_logged_at.elapsed_since(now) < FOREIGN_REPORT_LOG_INTERVAL {
+    if routed.last_refused_report_event.elapsed_since(now) < REFUSED_REPORT_LOG_INTERVAL {
         return;
     }
-    routed.foreign_logged_at.set(now);
+    routed.last_refused_report_event.set(now);
     node.record_event(
         &events::BACKEND_REPORT_REFUSED,
         vec![Field::new("reason", reason)],
@@ -182,7 +182,7 @@
         }
         PresenceChange::NoChange | PresenceChange::Outdated | PresenceChange::Unconfirmed => {}
         PresenceChange::Foreign => {
-            log_foreign_report(node, routed, "it lacks the start time of its incarnation")
+            log_refused_report(node, routed, "it lacks the start time of its incarnation")
         }
     }
     change
@@ -217,7 +217,7 @@
     }
 }
 
-/// Returns the number of slots in the load header of a response.
+/// Returns the number of slots, the third comma-separated field of a response's load header.
 pub(crate) fn announced_slots(routed: &Routed, headers: &HeaderMap) -> Option<u32> {
     let load = headers.get(&routed.dialect.headers.load)?.to_str().ok()?;
     load.split(',').nth(2)?.trim().parse().ok()
