--- a/crates/sorrelturn-daemon/src/net/connections.rs
+++ b/crates/sorrelturn-daemon/src/net/connections.rs
@@ -14,19 +14,20 @@
     },
 };
 
-/// Marks a connection that carries a request, in place of its idle time.
+/// Marks a connection that carries a request, in place of a sequence number.
 const ACTIVE: u64 = u64::MAX;
 
 /// The open connections of a daemon.
 pub(crate) struct Connections {
     max_open: usize,
-    /// Orders the times at which connections became idle, without a clock reading per request.
-    idle_counter: AtomicU64,
+    /// The next sequence number, for connection ids and the order in which connections became idle;
+    /// saves a clock reading per request.
+    sequence_counter: AtomicU64,
     open: Mutex<HashMap<u64, Arc<State>>>,
 }
 
 struct State {
-    idle_since: AtomicU64,
+    idle_sequence: AtomicU64,
     /// Closed to make the connection end.
     close: Sender<()>,
 }
@@ -47,7 +48,7 @@
     pub(crate) fn new(max_open: usize) -> Arc<Self> {
         Arc::new(Self {
             max_open,
-            idle_counter: AtomicU64::new(0),
+            sequence_counter: AtomicU64::new(0),
             open: Mutex::default(),
         })
     }
@@ -60,7 +61,7 @@
         let (close, closed) = channel::bounded(1);
         let id = self.next_sequence();
         let state = Arc::new(State {
-            idle_since: AtomicU64::new(id),
+            idle_sequence: AtomicU64::new(id),
             close,
         });
         lock(&self.open).insert(id, Arc::clone(&state));
@@ -77,7 +78,7 @@
         let open = lock(&self.open);
         let mut idle: Vec<_> = open.values().filter_map(State::idle_sender).collect();
         if count < idle.len() {
-            idle.select_nth_unstable_by_key(count, |(since, _)| *since);
+            idle.select_nth_unstable_by_key(count, |(sequence, _)| *sequence);
         }
         for (_, close) in idle.into_iter().take(count) {
             close.close();
@@ -85,21 +86,21 @@
     }
 
     fn next_sequence(&self) -> u64 {
-        self.idle_counter.fetch_add(1, Ordering::Relaxed)
+        self.sequence_counter.fetch_add(1, Ordering::Relaxed)
     }
 }
 
 impl State {
     fn idle_sender(self: &Arc<Self>) -> Option<(u64, &Sender<()>)> {
-        let since = self.idle_since.load(Ordering::Relaxed);
-        (since != ACTIVE && !self.close.is_closed()).then_some((since, &self.close))
+        let sequence = self.idle_sequence.load(Ordering::Relaxed);
+        (sequence != ACTIVE && !self.close.is_closed()).then_some((sequence, &self.close))
     }
 }
 
 impl Connection {
     /// Marks the connection as active until the guard is dropped.
     pub(crate) fn mark_active(&self) -> ActiveGuard<'_> {
-        self.state.idle_since.store(ACTIVE, Ordering::Relaxed);
+        self.state.idle_sequence.store(ACTIVE, Ordering::Relaxed);
         ActiveGuard(self)
     }
 
@@ -118,7 +119,10 @@
 impl Drop for ActiveGuard<'_> {
     fn drop(&mut self) {
         let connection = self.0;
-        let now = connection.connections.next_sequence();
-        connection.state.idle_since.store(now, Ordering::Relaxed);
+        let sequence = connection.connections.next_sequence();
+        connection
+            .state
+            .idle_sequence
+            .store(sequence, Ordering::Relaxed);
     }
 }
--- a/crates/sorrelturn-daemon/src/net/listeners.rs
+++ b/crates/sorrelturn-daemon/src/net/listeners.rs
@@ -69,7 +69,8 @@
         })
     }
 
-    /// Accepts connections until `closing` ends; those of callers until `closing_entries` does.
+    /// Accepts connections until `closing` closes; those of the callers' listener until
+    /// `closing_entries` does.
     pub(crate) fn serve(self, node: &Arc<Node>, closing_entries: &Closing, closing: &Closing) {
         let spawn = |listener, serve: fn(Arc<Node>, Accepted, Closing) -> _| {
             let task = serve::accept(Arc::clone(node), listener, closing.clone(), serve);
--- a/crates/sorrelturn-daemon/src/net/mod.rs
+++ b/crates/sorrelturn-daemon/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Listeners, connections and timers, independent of what the requests mean.
+//! Listeners, connections and timers.
 
 pub(crate) mod connections;
 pub(crate) mod listeners;
--- a/crates/sorrelturn-daemon/src/net/pool.rs
+++ b/crates/sorrelturn-daemon/src/net/pool.rs
@@ -22,15 +22,15 @@
     time::Duration,
 };
 
-/// The maximum number of retained idle connections.
-const MAX_IDLE: usize = 256;
+/// The maximum number of idle connections.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 /// The maximum idle time of a reused connection. The peer may close it after that, and a request
 /// that is sent at the same time may have run.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The idle time after which connections opened for a burst are dropped, to free their memory.
-/// [`RETAINED_IDLE_COUNT`] are retained for infrequent calls.
+/// [`MIN_RETAINED_IDLE`] are retained for infrequent calls.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-const RETAINED_IDLE_COUNT: usize = 4;
+const MIN_RETAINED_IDLE: usize = 4;
 /// The percentage of the peer's idle timeout for which a connection is reused.
 const PEER_IDLE_TIMEOUT_PERCENT: u64 = 60;
 /// The buffer limit of a connection, in bytes; it bounds the memory for a slow reader.
@@ -45,7 +45,7 @@
 /// The divisor of the moving average of response times.
 const SMOOTHING_DIVISOR: u64 = 16;
 
-/// Why a request has no response.
+/// Why a request has no response. [`Pool`] itself doesn't return the last two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendError {
     /// Nothing was sent: the limit of open connections is reached.
@@ -57,7 +57,7 @@
     /// The request was sent over a broken path; the peer never received it and will refuse it
     /// from now on.
     NeverArrived,
-    /// The request arrived, and its response was lost on a broken path.
+    /// The response was lost on a broken path; the request may have run.
     AnswerLost,
 }
 
@@ -66,51 +66,51 @@
     clock: Clock,
     max_open: AtomicUsize,
     idle_timeout_ms: AtomicU64,
-    open: Arc<AtomicUsize>,
+    open_count: Arc<AtomicUsize>,
     /// The most recently used connection is at the back.
     idle: Mutex<VecDeque<Idle>>,
     response_times: ResponseTimes,
 }
 
-/// What responses show about the path to the peer.
+/// Response time statistics, for detecting a broken path to the peer.
 struct ResponseTimes {
     clock: Clock,
     /// The moving average of the time until the head of a response, in microseconds.
-    typical_us: AtomicU64,
+    average_us: AtomicU64,
     /// When a response last arrived over a connection older than the overdue timeout.
-    old_connection_answer_ms: AtomicU64,
+    last_old_connection_response_ms: AtomicU64,
 }
 
 impl ResponseTimes {
     fn new(clock: Clock) -> Self {
         Self {
             clock,
-            typical_us: AtomicU64::new(0),
-            old_connection_answer_ms: AtomicU64::new(0),
+            average_us: AtomicU64::new(0),
+            last_old_connection_response_ms: AtomicU64::new(0),
         }
     }
 
     /// Concurrent calls may lose one sample, which later ones make up for.
-    fn record(&self, sent: Now, opened: Now) {
+    fn record(&self, sent: Now, opened_at: Now) {
         let now = self.clock.now();
         let took_us = (now - sent).as_micros() as u64;
-        let before = self.typical_us.load(Ordering::Relaxed);
+        let before = self.average_us.load(Ordering::Relaxed);
         let after = (before * (SMOOTHING_DIVISOR - 1) + took_us) / SMOOTHING_DIVISOR;
-        self.typical_us.store(after, Ordering::Relaxed);
-        if now - opened >= self.overdue_timeout() {
-            self.old_connection_answer_ms
+        self.average_us.store(after, Ordering::Relaxed);
+        if now - opened_at >= self.overdue_timeout() {
+            self.last_old_connection_response_ms
                 .store(now.as_millis() as u64, Ordering::Relaxed);
         }
     }
 
     fn overdue_timeout(&self) -> Duration {
-        let typical = Duration::from_micros(self.typical_us.load(Ordering::Relaxed));
-        (typical * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT)
+        let average = Duration::from_micros(self.average_us.load(Ordering::Relaxed));
+        (average * OVERDUE_FACTOR).max(MIN_OVERDUE_TIMEOUT)
     }
 
     /// Returns whether a response has arrived over an old connection since then.
     fn old_connection_answered_since(&self, since: Now) -> bool {
-        Duration::from_millis(self.old_connection_answer_ms.load(Ordering::Relaxed)) > since
+        Duration::from_millis(self.last_old_connection_response_ms.load(Ordering::Relaxed)) > since
     }
 }
 
@@ -124,8 +124,8 @@
 struct Conn {
     sender: SendRequest<Body>,
     socket: TcpStream,
-    opened: Now,
-    _open: Open,
+    opened_at: Now,
+    _open: OpenCountGuard,
 }
 
 /// A connection that was just opened.
@@ -157,10 +157,10 @@
         // Read under the lock, so that the queue is ordered by time.
         let now = self.pool.clock.now();
         // One per exchange is enough, since each exchange returns only one connection.
-        if is_spare(&idle, now) {
+        if has_surplus_idle(&idle, now) {
             idle.pop_front();
         }
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push_back(Idle {
                 conn: self.conn,
                 since: now,
@@ -170,16 +170,16 @@
 }
 
 /// Returns whether the connection that has been idle longest was opened for a burst that is over.
-fn is_spare(idle: &VecDeque<Idle>, now: Now) -> bool {
+fn has_surplus_idle(idle: &VecDeque<Idle>, now: Now) -> bool {
     let oldest = idle.front().map(|oldest| now.saturating_sub(oldest.since));
-    idle.len() >= RETAINED_IDLE_COUNT
+    idle.len() >= MIN_RETAINED_IDLE
         && oldest.is_some_and(|idle_time| idle_time >= SPARE_IDLE_TIMEOUT)
 }
 
 /// Counts a connection while it is open.
-struct Open(Arc<AtomicUsize>);
+struct OpenCountGuard(Arc<AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenCountGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -192,7 +192,7 @@
             clock,
             max_open: AtomicUsize::new(max_open),
             idle_timeout_ms: AtomicU64::new(IDLE_TIMEOUT.as_millis() as u64),
-            open: Arc::default(),
+            open_count: Arc::default(),
             idle: Mutex::default(),
             response_times: ResponseTimes::new(clock),
         })
@@ -241,8 +241,9 @@
         drop(idle.drain(..unanswered));
     }
 
-    /// Waits until the response to a request sent at `sent` is overdue and no connection of that
-    /// age gets one either. A peer that is only slow responds over the others meanwhile.
+    /// Waits until the response to a request sent at `sent` is overdue and no connection older than
+    /// the overdue timeout has got a response since. A peer that is only slow responds over the
+    /// others meanwhile.
     pub(crate) async fn wait_until_suspect(&self, timers: &Timers, sent: Now) {
         let mut since = sent;
         loop {
@@ -293,7 +294,7 @@
             let sent = self.clock.now();
             match conn.sender.try_send_request(req).await {
                 Ok(res) => {
-                    self.response_times.record(sent, conn.opened);
+                    self.response_times.record(sent, conn.opened_at);
                     let pool = Arc::clone(self);
                     return Ok((res, Lease { pool, conn }));
                 }
@@ -342,8 +343,9 @@
         connect_timeout: Duration,
         connect: impl Future<Output = io::Result<Opened>>,
     ) -> Result<Conn, SendError> {
-        let open = Open(Arc::clone(&self.open));
-        if self.open.fetch_add(1, Ordering::Relaxed) >= self.max_open.load(Ordering::Relaxed) {
+        let count_guard = OpenCountGuard(Arc::clone(&self.open_count));
+        if self.open_count.fetch_add(1, Ordering::Relaxed) >= self.max_open.load(Ordering::Relaxed)
+        {
             return Err(SendError::Full);
         }
         let timed_out = async {
@@ -367,8 +369,8 @@
         Ok(Conn {
             sender,
             socket: opened.socket,
-            opened: self.clock.now(),
-            _open: open,
+            opened_at: self.clock.now(),
+            _open: count_guard,
         })
     }
 }
--- a/crates/sorrelturn-daemon/src/net/serve.rs
+++ b/crates/sorrelturn-daemon/src/net/serve.rs
@@ -42,12 +42,14 @@
     time::Duration,
 };
 
-/// The timeout for the head of a request, so that slow senders don't occupy connections.
+/// The timeout for the next request head of callers, the own backend server and operators, idle
+/// time included, so that slow senders don't occupy connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The idle timeout of a peer's connection; longer than the peer reuses it.
-const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The timeout for the next request head, idle time included, of peers, readiness checks and
+/// announcements; longer than a peer reuses a connection.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The idle timeout of a caller's connection on the routed listener; longer than callers reuse
-/// one. The limit in the route table may change while connections are idle.
+/// one. Fixed, since `limits.idle_ms` of the route table may change while connections are idle.
 const ROUTED_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// The timeout for the head of a request on a connection that was opened while the daemon stops,
 /// so that an unused one doesn't delay the exit.
@@ -73,7 +75,7 @@
     pub(crate) conn: Connection,
 }
 
-/// Accepts connections until `closing` ends, and runs `serve` for each.
+/// Accepts connections until `closing` closes, and runs `serve` for each.
 pub(crate) async fn accept<F>(
     node: Arc<Node>,
     listener: TcpListener,
@@ -167,13 +169,13 @@
 /// Serves a connection for announcements of the own backend server.
 pub(crate) async fn announce(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::serve(node, req).await;
-    plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
+    plain(node, accepted, KEEP_ALIVE_TIMEOUT, closing, serve).await;
 }
 
 /// Serves a connection for readiness checks.
 pub(crate) async fn ready(node: Arc<Node>, accepted: Accepted, closing: Closing) {
     let serve = async |node: &Arc<Node>, req| announce::ready(node, req).await;
-    plain(node, accepted, PEER_IDLE_TIMEOUT, closing, serve).await;
+    plain(node, accepted, KEEP_ALIVE_TIMEOUT, closing, serve).await;
 }
 
 /// Serves a connection of the own backend server.
@@ -280,7 +282,7 @@
         async move { peer_call(&node, req).await }
     };
     let timers = node.timers.clone();
-    let result = http1(timers, stream, None, PEER_IDLE_TIMEOUT, closing, answer).await;
+    let result = http1(timers, stream, None, KEEP_ALIVE_TIMEOUT, closing, answer).await;
     if let Err(error) = result
         && error.is_parse()
     {
@@ -297,14 +299,20 @@
         if let Some(res) = status_query_response(node, req.headers()) {
             return res;
         }
-        node.record_event(&events::BAD_PEER, vec![Field::new("error", "no context")]);
+        node.record_event(
+            &events::BAD_PEER,
+            vec![Field::new(
+                "error",
+                "the context header is missing or malformed",
+            )],
+        );
         return status(StatusCode::BAD_REQUEST);
     };
     headers::strip_internal(req.headers_mut());
     let req = req.map(|body| body::with_stall_timeout(&node.timers, body, |_| {}));
     let Some(_guard) = AttemptGuard::begin(node, attempt_id(&context)) else {
-        // Its sender was told that the attempt never arrived, or stopped waiting for that status:
-        // it gets the status now, and may send another attempt.
+        // The attempt was already declared never arrived, so it must not run. The status is
+        // returned again in case the sender missed it.
         return attempt_status_response(AttemptStatus::NeverCame);
     };
     owner::serve(node, context, req).await.into_peer_response()
--- a/crates/sorrelturn-daemon/src/net/stream.rs
+++ b/crates/sorrelturn-daemon/src/net/stream.rs
@@ -25,7 +25,7 @@
 
 pub(crate) type BoxStream = Box<dyn Stream>;
 
-/// Why the fleet's keys can't be used.
+/// Why the fleet's keys can't be used, or a handshake with them failed.
 #[derive(Debug, Display)]
 pub enum KeysError {
     /// can't read {file}: {error}
@@ -35,7 +35,7 @@
         /// The reason.
         error: String,
     },
-    /// the keys don't match: {0}
+    /// the keys are invalid, or the TLS handshake failed: {0}
     Mismatch(String),
 }
 
--- a/crates/sorrelturn-daemon/src/net/timers.rs
+++ b/crates/sorrelturn-daemon/src/net/timers.rs
@@ -22,7 +22,7 @@
 };
 
 /// The maximum delay until an expired deadline is noticed.
-const TICK_INTERVAL: Duration = Duration::from_millis(5);
+const MAX_EXPIRY_DELAY: Duration = Duration::from_millis(5);
 
 /// The deadlines of one daemon.
 #[derive(Clone)]
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Wakes expired deadlines now, before the next regular check.
+    /// Wakes expired deadlines now, for use after a suspension of the VM, which delays the
+    /// runtime's timer.
     pub(crate) fn check_now(&self) {
         // If the channel is full, a check is due anyway.
         let _ = self.wake_up.try_send(());
@@ -116,13 +117,13 @@
         let later = waiters.wakers.split_off(&(now, u64::MAX));
         let due = std::mem::replace(&mut waiters.wakers, later);
         let first = waiters.wakers.first_key_value();
-        let next_check = first.map(|((at, _), _)| (*at).max(now + TICK_INTERVAL));
+        let next_check = first.map(|((at, _), _)| (*at).max(now + MAX_EXPIRY_DELAY));
         waiters.next_check = next_check;
         (due.into_values(), next_check)
     }
 }
 
-/// A future that completes at a point in time, or up to [`TICK_INTERVAL`] later.
+/// A future that completes at a point in time, or up to [`MAX_EXPIRY_DELAY`] later.
 pub(crate) struct Deadline {
     timers: Timers,
     at: Now,
@@ -158,7 +159,7 @@
         }
         if waiters
             .next_check
-            .is_none_or(|check| this.at + TICK_INTERVAL < check)
+            .is_none_or(|check| this.at + MAX_EXPIRY_DELAY < check)
         {
             waiters.next_check = Some(this.at);
             let _ = this.timers.wake_up.try_send(());
