--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -25,8 +25,9 @@
 use std::{sync::Arc, time::Duration};
 
 const MAX_ANNOUNCEMENT_BYTES: usize = 4 << 10;
-/// The time within which an announcement is acknowledged, even if the store doesn't respond.
-/// Backend servers wait for 1 s at most, and other daemons know the state by then.
+/// The maximum time until an announcement is acknowledged, even if the write to the store hasn't
+/// finished. Backend servers wait for 1 s at most, and gossip has notified the other daemons by
+/// then.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(600);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
--- a/crates/sorrelturn-daemon/src/backend/report.rs
+++ b/crates/sorrelturn-daemon/src/backend/report.rs
@@ -1,5 +1,5 @@
-//! The reports of backend servers. They are untrusted: anyone who reaches the port can send
-//! them.
+//! The reports of backend servers: heartbeats and deregistrations. They are untrusted: anyone who
+//! reaches the port can send them.
 
 use serde::Deserialize;
 use sorrelturn_protocol::BackendState;
--- a/crates/sorrelturn-daemon/src/config/route_staleness.rs
+++ b/crates/sorrelturn-daemon/src/config/route_staleness.rs
@@ -157,6 +157,7 @@
     let found = node.platform.get(object).await;
     let found = found.map_err(FetchError::Platform)?;
     let found = found.ok_or(FetchError::Absent)?;
+    // The version of the object is its revision in the store, not the version of the table.
     if !node.route_staleness.has_accepted(found.version) {
         fetch::accept_routes(node, &found.value).map_err(FetchError::RoutesRefused)?;
         node.route_staleness.record_accepted(found.version);
