--- a/crates/sorrelturn-daemon/src/backend/link.rs
+++ b/crates/sorrelturn-daemon/src/backend/link.rs
@@ -77,7 +77,7 @@
         self.connections_opened.load(Ordering::Relaxed)
     }
 
-    /// Drops the idle connections, which lead to an earlier incarnation of the backend server.
+    /// Drops the idle connections, which may lead to an earlier incarnation of the backend server.
     pub(crate) fn drop_idle(&self) {
         self.pool.drop_idle();
     }
