--- a/crates/sorrelturn-daemon/src/config/fetch.rs
+++ b/crates/sorrelturn-daemon/src/config/fetch.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// Fetches the bundle of a source and puts it in force if its version is higher.
+/// Fetches the bundle or route table of a source and puts it in force if its version is higher.
 pub(crate) async fn fetch_from(node: &Arc<Node>, source: &Source) -> Result<(), FetchError> {
     let peer = match source {
         Source::Store => None,
