--- a/crates/sorrelturn-daemon/src/backend/announce.rs
+++ b/crates/sorrelturn-daemon/src/backend/announce.rs
@@ -1,8 +1,9 @@
 //! The listener for announcements of the own backend server, and the readiness endpoint.
 //!
-//! A backend server announces its incarnation and its state at intervals. That it is leaving is
-//! acknowledged once the state is in the platform's store, or after a timeout by which other
-//! daemons know it, so that the next incarnation of this daemon learns it, too.
+//! A backend server announces its incarnation and its state at intervals. An announcement that it
+//! is leaving is acknowledged only after it was written to the store, so that a restarted daemon
+//! still knows it. If the write takes too long, it is acknowledged anyway, since gossip has
+//! notified the other daemons by then.
 
 use crate::{
     backend::report::{read_deregistration, read_heartbeat},
@@ -24,8 +25,9 @@
 use std::{sync::Arc, time::Duration};
 
 const MAX_ANNOUNCEMENT_BYTES: usize = 4 << 10;
-/// The time within which an announcement is acknowledged, even if the store doesn't respond.
-/// Backend servers wait for 1 s at most, and other daemons know the state by then.
+/// The maximum time until an announcement is acknowledged, even if the write to the store hasn't
+/// finished. Backend servers wait for 1 s at most, and gossip has notified the other daemons by
+/// then.
 const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(600);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
@@ -118,9 +120,9 @@
     Response::new(body::full("{}"))
 }
 
-/// Refuses a malformed report; the known state stays.
+/// Refuses a report that is malformed or names another service; the known state stays.
 fn refuse(node: &Node, routed: &Routed, reason: &str) -> Response<Body> {
-    state::log_foreign_report(node, routed, reason);
+    state::log_refused_report(node, routed, reason);
     let mut res = Response::new(body::full(format!("{reason}\n")));
     *res.status_mut() = StatusCode::BAD_REQUEST;
     res
