--- a/crates/sorrelturn-bench/src/soak/harness.rs
+++ b/crates/sorrelturn-bench/src/soak/harness.rs
@@ -72,7 +72,7 @@
     pub host: &'static str,
     /// Returns the route table of a version: `/safe/` leads to service `a` and is repeatable, `/once/` leads to `b` and
     /// is at-most-once, `/version/N/`, where N is the table's own version, is like `/safe/`. All have the deadline
-    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of [`CredentialKind`]; the last one has the
+    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of `CredentialKind`; the last one has the
     /// quota of [`SoakTarget::RATE`] and [`SoakTarget::BURST`].
     pub table: fn(u64) -> String,
 }
--- a/crates/sorrelturn-daemon/src/request/admission.rs
+++ b/crates/sorrelturn-daemon/src/request/admission.rs
@@ -14,18 +14,16 @@
     time::Duration,
 };
 
-/// The tuning sample of an admitted request, or the refusal.
 type AdmissionResult = Result<TuningSample, Refusal>;
 
-/// The gate's decision about an arrival. Only a queued request receives a later result.
+/// Only a queued request receives a later result.
 enum ArrivalDecision {
     Admitted(TuningSample),
     Refused(Refusal),
-    /// The request is queued: the channel of its result, and the queue timeout.
+    /// The channel of the result, and the queue timeout.
     Queued(Receiver<AdmissionResult>, Duration),
 }
 
-/// The gate before the backend server, shared by all requests.
 pub(crate) struct Admission {
     clock: Clock,
     timers: Timers,
@@ -38,25 +36,24 @@
     next_id: u64,
 }
 
-/// A slot at the backend server; released when it is dropped.
+/// Released when it is dropped.
 pub(crate) struct Slot {
     admission: Arc<Admission>,
     started: Now,
     sample: TuningSample,
-    /// The hash of the request's kind, if requests of this kind make no calls.
+    /// The hash of the kind, if requests of this kind make no calls.
     leaf_kind_hash: Option<u64>,
     outcome: Outcome,
 }
 
 impl Slot {
-    /// Marks the request as one that makes no calls, so that its duration is the backend server's own.
+    /// Marks a request that makes no calls: its duration is the backend server's own.
     pub(crate) fn set_leaf_kind(&mut self, kind: &str) {
         let mut hasher = DefaultHasher::new();
         kind.hash(&mut hasher);
         self.leaf_kind_hash = Some(hasher.finish());
     }
 
-    /// Releases the slot and reports the outcome to the gate.
     pub(crate) fn release(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -87,7 +84,7 @@
         }
     }
 
-    /// Waits for a slot. A refusal is final and returned as soon as it is known.
+    /// A refusal is final and returned as soon as it is known.
     pub(crate) async fn acquire_slot(
         self: &Arc<Self>,
         priority: Priority,
@@ -113,7 +110,6 @@
         }
     }
 
-    /// Calls `f` with the locked gate and the current time.
     pub(crate) fn with_gate<T>(&self, f: impl FnOnce(&mut Gate, Now) -> T) -> T {
         let now = self.clock.now();
         f(&mut self.lock().gate, now)
@@ -191,7 +187,7 @@
 }
 
 impl Inner {
-    /// Notifies queued requests. Returns the samples of admitted requests whose waiters are gone, if there are any.
+    /// Notifies queued requests and returns the samples of admitted requests whose waiters are gone.
     fn notify_waiters(&mut self, released: &Released) -> Option<Vec<TuningSample>> {
         for (id, refusal) in &released.refused {
             if let Some(tx) = self.waiters.remove(id) {
@@ -210,7 +206,7 @@
     }
 }
 
-/// A queued request; leaves the queue when it is dropped.
+/// Leaves the queue when it is dropped.
 struct QueuedRequest<'a> {
     admission: &'a Arc<Admission>,
     arrival: Arrival,
@@ -238,7 +234,7 @@
         }
     }
 
-    /// Leaves the queue after the timeout. A result that arrived in the meantime still counts.
+    /// Leaves the queue. A result that arrived in the meantime still counts.
     fn handle_timeout(&mut self, until: Now) -> Result<Slot, Refusal> {
         self.is_done = true;
         let mut inner = self.admission.lock();
--- a/crates/sorrelturn-daemon/src/request/answer.rs
+++ b/crates/sorrelturn-daemon/src/request/answer.rs
@@ -18,14 +18,13 @@
 
 /// The result of a call: a response, or a refusal without one.
 pub(crate) struct Reply {
-    /// The metadata that daemons exchange about the reply.
     pub(crate) context: AnswerContext,
-    /// The response, or `None` for a refusal.
+    /// `None` for a refusal.
     pub(crate) res: Option<Box<Response<Body>>>,
 }
 
 impl Reply {
-    /// A reply with a response: from a backend server, from a recorded outcome, or with an issued token.
+    /// From a backend server, from a recorded outcome, or with an issued token.
     pub(crate) fn answered(verdict: Verdict, res: Response<Body>) -> Self {
         Self {
             context: AnswerContext {
@@ -36,7 +35,6 @@
         }
     }
 
-    /// A refusal with the given verdict.
     pub(crate) fn refused(refusal: Refusal, verdict: Verdict) -> Self {
         Self {
             context: AnswerContext {
@@ -48,18 +46,16 @@
         }
     }
 
-    /// A refusal of a request that did not run on any backend server.
     pub(crate) fn not_run(refusal: Refusal) -> Self {
         Self::refused(refusal, Verdict::NotRun)
     }
 
-    /// Sets the time after which the caller should retry, in whole milliseconds on the wire.
+    /// Sent in whole milliseconds.
     pub(crate) fn with_retry_after(mut self, after: Duration) -> Self {
         self.context.retry_after_ms = after.as_millis() as u32;
         self
     }
 
-    /// Converts the reply into the response for a peer.
     pub(crate) fn into_peer_response(self) -> Response<Body> {
         let mut res = self.res.map(|res| *res).unwrap_or_else(|| {
             let mut res = Response::new(body::full(""));
@@ -71,8 +67,8 @@
         res
     }
 
-    /// Converts the reply into the response for a caller, or for a backend server that made a nested
-    /// call. The request counts as in flight until the last byte of the body is passed on.
+    /// The response for a caller, or a backend server that made a nested call. The request counts as in flight until
+    /// the last byte of the body.
     pub(crate) fn into_response(
         self,
         request: RequestId,
--- a/crates/sorrelturn-daemon/src/request/body.rs
+++ b/crates/sorrelturn-daemon/src/request/body.rs
@@ -13,12 +13,11 @@
     time::Duration,
 };
 
-/// The maximum time without progress from the sender of a body.
+/// The maximum time without progress of a sender.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// The maximum time without progress of a response after the deadline of its request.
 const STALL_TIMEOUT_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 
-/// A body of any origin.
 pub(crate) type Body = BoxBody<Bytes, BodyError>;
 
 /// The reason why a body ended early.
@@ -38,8 +37,7 @@
         .boxed()
 }
 
-/// Wraps a body that needs no stall detection, and calls `on_end` once: with true after the last byte, with
-/// false if the body was interrupted or dropped before that.
+/// Calls `on_end` once: with true after the last byte, with false if the body is interrupted or dropped before.
 pub(crate) fn with_end_callback(
     body: Body,
     on_end: impl FnOnce(bool) + Send + Sync + 'static,
@@ -47,8 +45,7 @@
     wrap(body, None, on_end)
 }
 
-/// Wraps a body from a connection as [`with_end_callback`] does, and ends it with an error if its sender
-/// stalls.
+/// As [`with_end_callback`], and ends the body with an error if its sender stalls.
 pub(crate) fn with_stall_timeout(
     timers: &Timers,
     body: Incoming,
@@ -57,8 +54,7 @@
     wrap(body, Some(StallDetector::new(timers)), on_end)
 }
 
-/// Wraps a response body as [`with_stall_timeout`] does, but allows any pause before `deadline`, the deadline of
-/// the request, and only short pauses after it.
+/// As [`with_stall_timeout`], but allows any pause before the deadline of the request and only short ones after it.
 pub(crate) fn response_with_stall_timeout(
     timers: &Timers,
     body: Incoming,
@@ -93,7 +89,6 @@
     wrapped.boxed()
 }
 
-/// Prepends bytes that have already been read to the rest of a body.
 pub(crate) fn prefixed(read: Vec<u8>, rest: Body) -> Body {
     let first = Some(Bytes::from(read));
     Prefixed { first, rest }.boxed()
@@ -158,7 +153,7 @@
         self.has_progressed = true;
     }
 
-    /// Returns whether there was no progress for a whole timeout. Detection takes up to two timeouts.
+    /// Detection takes up to two timeouts.
     fn is_stalled(&mut self, cx: &mut Context<'_>) -> bool {
         while Pin::new(&mut self.timer).poll(cx).is_ready() {
             if !std::mem::take(&mut self.has_progressed) {
--- a/crates/sorrelturn-daemon/src/request/dialect.rs
+++ b/crates/sorrelturn-daemon/src/request/dialect.rs
@@ -4,14 +4,14 @@
 use hyper::header::HeaderName;
 use sorrelturn_bundle::RouteTable;
 
-/// The names of the headers that describe a request and its response.
+/// The header names of a request and its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderNames {
-    /// The caller's id of one attempt. Backend servers return it with the response.
+    /// The caller's id of one attempt, which backend servers return.
     pub request_id: HeaderName,
     /// The time in milliseconds until the sender stops waiting for a response.
     pub time_left_ms: HeaderName,
-    /// To a backend server: the id of the only backend server that may run the request.
+    /// To a backend server: the id of the only one that may run the request.
     pub expected_backend: HeaderName,
     /// To a backend server: the service of the VM whose daemon first received the request.
     pub caller_service: HeaderName,
@@ -19,22 +19,20 @@
     pub not_run: HeaderName,
     /// From a backend server: its id.
     pub backend_id: HeaderName,
-    /// From a backend server: the numbers of running requests, queued requests and slots, separated
-    /// by commas.
+    /// From a backend server: running requests, queued requests, slots, separated by commas.
     pub load: HeaderName,
-    /// From a caller: its credential, which the entry does not forward.
+    /// From a caller: its credential, which isn't forwarded.
     pub credential: HeaderName,
-    /// To a backend server: the name of the workspace that the caller's credential belongs to.
+    /// To a backend server: the name of the caller's workspace.
     pub workspace: HeaderName,
 }
 
 /// The header names and the route table format of routed mode.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// The names of headers.
+    /// The header names.
     pub headers: HeaderNames,
-    /// Parses the text of a route table that operators put into the platform's store. The error is a
-    /// message.
+    /// Parses the operators' route table from the platform's store; the error is a message.
     pub read_routes: fn(&str) -> Result<RouteTable, String>,
 }
 
--- a/crates/sorrelturn-daemon/src/request/entry.rs
+++ b/crates/sorrelturn-daemon/src/request/entry.rs
@@ -29,7 +29,6 @@
 /// The path at which callers request tokens.
 const TOKENS_PATH: &str = "/.sorrelturn/tokens";
 
-/// An authorized root request.
 struct RootRequest {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
@@ -37,7 +36,7 @@
     context: CallContext,
 }
 
-/// The JSON body of a request for a token: the method and path that the token is for.
+/// The JSON body of a request for a token.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TokenRequest {
@@ -45,7 +44,6 @@
     path: String,
 }
 
-/// Serves one request of a caller.
 pub(crate) async fn serve(
     node: &Arc<Node>,
     caller_ip: IpAddr,
@@ -73,9 +71,7 @@
     reply.into_response(request_id, active_request)
 }
 
-/// Returns whether the request may repeat an at-most-once request that has already run.
-///
-/// Only the owner of its token knows whether it has.
+/// Whether the at-most-once request may have run already; only the owner of its token knows.
 fn may_be_repeat(node: &Node, req: &Request<Incoming>) -> bool {
     let has_token_or_key = [TOKEN, IDEMPOTENCY_KEY]
         .iter()
@@ -91,9 +87,8 @@
     has_token_or_key && !is_repeatable
 }
 
-/// Changes the verdict of a refusal to "may have run" where earlier copies of the request may exist.
-///
-/// After "not run" the caller could retry with another token or key, and both copies would run.
+/// Replaces "not run" where earlier copies of the request may exist: the caller could retry with another token or key,
+/// and both copies would run.
 fn with_unknown_outcome(mut reply: Reply) -> Reply {
     reply.context.verdict = reply.context.verdict.combine(Verdict::MayHaveRun);
     reply
@@ -145,12 +140,10 @@
     Ok((root, reply))
 }
 
-/// Makes an at-most-once call with the caller's idempotency key, which is bound to a token in the
-/// store.
+/// Makes an at-most-once call with an idempotency key, which the store binds to a token.
 ///
-/// If the token was refused before it ran, the key is bound to a new token, so that the caller can
-/// retry with the same key. Since a delayed copy could retry as well, a refusal of such a call never
-/// says "not run".
+/// If the token was refused before it ran, the key gets a new one, so that the caller can retry with the key. A delayed
+/// copy could retry as well, so a refusal never says "not run".
 async fn call_with_key(node: &Arc<Node>, mut call: Call, key: &str) -> Result<Reply, Reply> {
     let bound = tokens::bind(node, &call, key).await?;
     call.context.token = Some(bound.token);
@@ -164,7 +157,6 @@
     Ok(forward::call(node, &mut call).await)
 }
 
-/// Identifies the caller and the kind, and checks that the caller may request this kind now.
 fn authorize(
     node: &Arc<Node>,
     caller_ip: IpAddr,
@@ -224,9 +216,8 @@
     })
 }
 
-/// Refuses a request that a service further down the call tree would shed.
-///
-/// Requests with a token are always admitted, since the owner may already have the outcome.
+/// Refuses what a service further down the call tree would shed, except requests with a token, whose owner may already
+/// have the outcome.
 fn shed_early(node: &Node, root: &RootRequest, has_token: bool) -> Result<(), Reply> {
     let state = root.in_force.kind_state(&root.kind);
     let threshold = state.threshold.current(node.now());
@@ -249,14 +240,13 @@
     Err(Reply::not_run(Refusal::Overload).with_retry_after(owner::retry_after(node)))
 }
 
-/// Returns the path and query of a URI. The kind of the request decides which host it goes to.
+/// The path and query only: the kind of the request decides the host.
 pub(crate) fn target(uri: &Uri) -> Uri {
     uri.path_and_query()
         .and_then(|target| target.as_str().parse().ok())
         .unwrap_or_default()
 }
 
-/// Issues a token to the caller, who sends it with the at-most-once request itself.
 async fn issue_token(
     node: &Arc<Node>,
     caller_ip: IpAddr,
--- a/crates/sorrelturn-daemon/src/request/exchange.rs
+++ b/crates/sorrelturn-daemon/src/request/exchange.rs
@@ -20,7 +20,6 @@
 };
 use std::sync::Arc;
 
-/// The reason why an exchange with an instance has no reply.
 pub(crate) enum Failure {
     /// Nothing was sent, since the maximum number of connections is open.
     Full,
@@ -30,17 +29,16 @@
     Interrupted,
     /// The owner has not received the call and will refuse it if it arrives late.
     NeverArrived,
-    /// The owner received the call, but its reply was lost on an unresponsive connection.
+    /// The reply was lost on an unresponsive connection, or the owner's process is another one that may never have
+    /// received the call. The call may have run.
     AnswerLost,
     /// The call's deadline passed, or this daemon shut down, before the reply arrived.
     DeadlineExceeded,
 }
 
 impl Failure {
-    /// Returns the reply to the call.
-    ///
-    /// No failure of a call with a token is reported as "not run", since an earlier attempt with the same
-    /// token may have run. Only a reply of its owner can say so.
+    /// No failure of a call with a token is reported as "not run": an earlier attempt with the token may have run, and
+    /// only its owner knows.
     pub(crate) fn reply(&self, context: &CallContext) -> Reply {
         let has_token = context.token.is_some();
         match self {
@@ -62,8 +60,7 @@
     }
 }
 
-/// Sends one attempt to one instance and waits for the reply until the deadline or the shutdown of this
-/// daemon.
+/// Sends one attempt and waits for the reply until the deadline or the shutdown of this daemon.
 pub(crate) async fn exchange(
     node: &Arc<Node>,
     route: &KnownInstance,
@@ -102,7 +99,6 @@
     send.or(deadline_exceeded).await
 }
 
-/// Returns the id under which the owner registers an attempt.
 pub(crate) fn attempt_id(context: &CallContext) -> AttemptId {
     AttemptId {
         request: context.request,
@@ -142,7 +138,6 @@
     Ok(Reply { context, res })
 }
 
-/// Returns what the result of an exchange says about the instance.
 pub(crate) fn instance_report(result: &Result<Reply, Failure>) -> InstanceReport {
     match result {
         Ok(reply) if reply.context.leaving => InstanceReport::Leaving,
@@ -163,8 +158,7 @@
     }
 }
 
-/// Returns whether the backend server refused the call although its daemon had a free slot, or
-/// answered with status 500 for a reason other than a failed nested call.
+/// Whether the backend server refused the call despite a free slot, or answered 500 without a failed nested call.
 fn is_backend_error(reply: &Reply) -> bool {
     let status = reply.res.as_ref().map(|res| res.status());
     let is_internal_error =
@@ -173,7 +167,7 @@
     is_own_error || reply.context.refusal == Some(Refusal::BackendRefused)
 }
 
-/// Returns whether the call failed because of the instance and not because of a service that it calls.
+/// Whether the instance itself failed, not a service that it calls.
 fn is_instance_failure(reply: &Reply) -> bool {
     matches!(
         reply.context.refusal,
--- a/crates/sorrelturn-daemon/src/request/fingerprint.rs
+++ b/crates/sorrelturn-daemon/src/request/fingerprint.rs
@@ -4,11 +4,10 @@
 use hyper::{HeaderMap, Method, Uri, header::HOST};
 use sorrelturn_protocol::{CallerId, RequestFingerprint, RequestFingerprints};
 
-/// Computes the fingerprints of a request without and with its query, from method, host, path, caller and
-/// body.
+/// The fingerprints without and with the query, from method, host, path, caller and body.
 ///
-/// The service of the VM at which the request entered is not included, since a repeat may enter at
-/// any VM. Of a streamed body, only the declared length is included, if there is one.
+/// The entry's service is left out, since a repeat may enter at any VM. Of a streamed body, only the declared length
+/// is included.
 pub(crate) fn fingerprints_of(
     method: &Method,
     target: &Uri,
--- a/crates/sorrelturn-daemon/src/request/forward.rs
+++ b/crates/sorrelturn-daemon/src/request/forward.rs
@@ -33,44 +33,41 @@
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(5);
 /// The expected duration of a call whose kind has no latency target.
 const DEFAULT_EXPECTED_DURATION: Duration = Duration::from_secs(1);
-/// The maximum number of times a call with a token is sent to its owner again after an interrupted
-/// exchange.
+/// How often a token is sent to its owner again after an interrupted exchange.
 const MAX_OUTCOME_QUERIES: u32 = 2;
 
-/// A call to be forwarded.
 pub(crate) struct Call {
     pub(crate) in_force: Arc<InForce>,
     pub(crate) kind: Arc<KindEntry>,
-    /// The context of the call. `attempts` is the number of executions that this call may use, and
-    /// `parent` the span that makes the call.
+    /// `attempts` is the number of executions that the call may use, `parent` the span that makes it.
     pub(crate) context: CallContext,
     pub(crate) deadline: Now,
     pub(crate) method: Method,
     pub(crate) target: Uri,
     pub(crate) headers: HeaderMap,
     pub(crate) payload: Payload,
-    /// Of the requests that may have made this call, the fraction that are retries.
+    /// The fraction of retries among the requests that may have made this call.
     pub(crate) repeated_fraction: f64,
 }
 
 /// The progress of one call over all its attempts.
 struct CallProgress {
-    /// The number of executions that the whole call may use.
+    /// The executions that the whole call may use.
     total_attempts: u32,
     attempts_left: u32,
     verdict: Verdict,
     tried: Vec<Incarnation>,
     reroutes: u32,
-    /// The number of attempts that a backend server refused.
+    /// Attempts that a backend server refused.
     backend_refusals: u32,
-    /// The instance that refused the last such attempt. The next attempt goes to another one.
+    /// The instance of the last such refusal; the next attempt goes to another one.
     last_refused_by: Option<Incarnation>,
     outcome_queries: u32,
-    /// The number of backend servers that crashed while they ran the call.
+    /// Backend servers that crashed while they ran the call.
     crashes: usize,
 }
 
-/// Forwards a call, with retries, and returns the final reply.
+/// Forwards a call, with retries.
 pub(crate) async fn call(node: &Arc<Node>, call: &mut Call) -> Reply {
     if stops_before_answer(node, call) {
         let refused = Reply::not_run(Refusal::Leaving).with_retry_after(owner::retry_after(node));
@@ -117,20 +114,16 @@
     reply
 }
 
-/// Returns whether this daemon is expected to stop before the call is answered.
-///
-/// Such a call is refused while it has not run, instead of being cancelled halfway. Its expected
-/// duration is the latency target of its kind. Calls with a token are exempt, since only the owner
-/// knows whether the token has run.
+/// Whether this daemon will probably stop before the reply: such a call is refused while it has not run, not cancelled
+/// halfway. Calls with a token are exempt, since only the owner knows whether the token has run.
 fn stops_before_answer(node: &Node, call: &Call) -> bool {
     let expected_duration = call.kind.target.unwrap_or(DEFAULT_EXPECTED_DURATION);
     let expected_end = call.deadline.min(node.now() + expected_duration);
     call.context.token.is_none() && node.shutdown.cap_deadline(expected_end) < expected_end
 }
 
-/// Returns how long a request that crashes backend servers stays quarantined, or `None` if it isn't.
-///
-/// Calls with a token are exempt, since only the owner knows whether the token has run.
+/// The remaining quarantine of a request that crashes backend servers. Calls with a token are exempt, since only the
+/// owner knows whether the token has run.
 fn remaining_quarantine(node: &Node, call: &Call) -> Option<Duration> {
     if call.context.token.is_some() {
         return None;
@@ -151,7 +144,7 @@
     Some(remaining)
 }
 
-/// Sends one attempt to one instance. Returns `None` if no instance is left or the body is used up.
+/// Returns `None` if no instance is left or the body is used up.
 async fn send_attempt(
     node: &Arc<Node>,
     call: &mut Call,
@@ -222,7 +215,7 @@
     route: &'a KnownInstance,
     kind_state: &'a KindState,
     request: RequestId,
-    /// The time halfway between the start of the attempt and the deadline of the call.
+    /// Halfway between the start of the attempt and the deadline.
     halfway_at: Now,
     is_finished: bool,
 }
@@ -246,7 +239,7 @@
         }
     }
 
-    /// Reports the result, and returns whether it ejects the instance.
+    /// Returns whether the result ejects the instance.
     fn finish(mut self, report: InstanceReport) -> bool {
         self.is_finished = true;
         self.route.stats.finished(self.node.now(), report)
@@ -272,10 +265,7 @@
     }
 }
 
-/// Chooses the instance for the next attempt.
-///
-/// A call with a token goes to the owner of the token only, any other call to the better of two
-/// instances.
+/// A call with a token goes only to its owner, any other to the better of two instances.
 fn pick_route(node: &Node, call: &Call, progress: &CallProgress) -> Option<Arc<KnownInstance>> {
     let routes = node.instances.load();
     if let Some(token) = call.context.token {
@@ -292,9 +282,7 @@
     choose(stats, now, &excluded, &mut rng).map(|index| Arc::clone(&instances[index]))
 }
 
-/// Returns whether the backend server refused the call although its daemon had a free slot.
-///
-/// In routed mode, such a refusal uses up retry budget. Outside it, the result is always false.
+/// In routed mode, a backend server's refusal despite a free slot uses up retry budget. Always false outside it.
 fn is_routed_backend_refusal(node: &Node, reply: &Reply) -> bool {
     node.routed.is_some() && reply.context.refusal == Some(Refusal::BackendRefused)
 }
@@ -317,8 +305,6 @@
     Some(req)
 }
 
-/// Returns the number of executions that the next attempt may use.
-///
 /// A token runs only once however often it is sent, so each attempt may use all executions.
 fn execution_budget(call: &Call, progress: &CallProgress) -> u32 {
     match call.context.token {
@@ -327,10 +313,8 @@
     }
 }
 
-/// Applies the metadata of a reply: the overload threshold, whether the kind is called by other services,
-/// and the bundle version with its staleness.
-///
-/// A reply of another incarnation than the one addressed only triggers a query for the new incarnation.
+/// Applies the metadata of a reply. One of another incarnation than the one addressed only triggers a query for the new
+/// one.
 fn apply_answer_context(
     node: &Arc<Node>,
     call: &Call,
@@ -365,7 +349,6 @@
     );
 }
 
-/// Decides whether another attempt follows, and records the decision.
 fn should_retry(
     node: &Node,
     call: &mut Call,
@@ -436,25 +419,21 @@
     true
 }
 
-/// Takes one retry from the budget of the kind and, at the entry, from that of the caller.
-///
-/// Returns false if either budget is used up.
+/// Takes one retry from the budget of the kind and, at the entry, of the caller; false if either is used up.
 fn take_retry_budget(node: &Node, call: &Call, kind_state: &KindState) -> bool {
     let is_root = call.context.depth == 0;
     let is_within_caller_budget = !is_root || call.in_force.take_caller_retry(call.context.caller);
     is_within_caller_budget && lock(&kind_state.retries).try_retry(node.now())
 }
 
-/// Returns whether to send a token to its owner again, to query the outcome.
-///
-/// The owner runs a token only once, so a repeat returns the outcome of the first execution.
+/// A repeat returns the outcome of the first execution, since the owner runs a token only once.
 fn should_query_owner_again(progress: &mut CallProgress, reply: &Reply) -> bool {
     let is_interrupted = reply.context.refusal == Some(Refusal::PeerBroke);
     progress.outcome_queries += u32::from(is_interrupted);
     is_interrupted && progress.outcome_queries <= MAX_OUTCOME_QUERIES
 }
 
-/// Returns whether the backend server answered with a status other than a server error (5xx).
+/// Whether the backend server answered with a status other than 5xx.
 fn is_success(reply: &Reply) -> bool {
     reply
         .res
--- a/crates/sorrelturn-daemon/src/request/headers.rs
+++ b/crates/sorrelturn-daemon/src/request/headers.rs
@@ -21,7 +21,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes the hop-by-hop headers, including those that the `Connection` header lists.
+/// Also removes the headers that `Connection` lists.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let connection_headers: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -35,7 +35,7 @@
     }
 }
 
-/// Removes the project's internal headers, so that outsiders can't set importance, budget or identity.
+/// Removes the internal headers, so that outsiders can't set importance, budget or identity.
 pub(crate) fn strip_internal(headers: &mut HeaderMap) {
     let internal: Vec<HeaderName> = headers
         .keys()
@@ -47,21 +47,20 @@
     }
 }
 
-/// Removes the headers that are not forwarded between daemons.
 pub(crate) fn strip_for_peer(headers: &mut HeaderMap) {
     strip_hop_by_hop(headers);
     strip_internal(headers);
     headers.remove(HOST);
 }
 
-/// Sets a header, unless `value` contains characters that are invalid in a header.
+/// Does nothing if `value` contains characters that are invalid in a header.
 pub(crate) fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Returns a header as text, or `None` if it is missing or not visible ASCII.
+/// `None` if the header is missing or not visible ASCII.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/sorrelturn-daemon/src/request/hop.rs
+++ b/crates/sorrelturn-daemon/src/request/hop.rs
@@ -37,12 +37,11 @@
     time::Duration,
 };
 
-/// Responses of at most this known length hold their slot until the last byte. The duration of others
-/// depends on the client's reading speed, so their slot is released after the head. See
-/// `docs/design/streaming.md`.
+/// Longer responses, and those of unknown length, release their slot after the head, since their duration depends on
+/// the client's reading speed. See `docs/design/streaming.md`.
 const MAX_SLOT_HOLDING_BYTES: u64 = 64 << 10;
 
-/// Extra time after the deadline in which a backend server that stops at the deadline can report it.
+/// Lets a backend server that stops at the deadline report it.
 const DEADLINE_GRACE: Duration = Duration::from_millis(50);
 
 /// One execution of a call at its owner.
@@ -56,12 +55,11 @@
     pub(crate) started_unix_ns: u64,
     pub(crate) started_at: Now,
     pub(crate) _active_request: ActiveRequest,
-    /// The caller's request id header, in routed mode.
+    /// In routed mode only.
     pub(crate) caller_request_id: Option<HeaderValue>,
 }
 
 impl Hop {
-    /// Runs a call that has no token.
     pub(crate) async fn run_without_token(self, req: Request<Body>) -> Reply {
         let attempts = self.context.attempts;
         if self.node.is_leaving() {
@@ -76,10 +74,8 @@
         }
     }
 
-    /// Returns whether the call depends, directly or indirectly, on a service without any instance.
-    ///
-    /// Such a call is refused before it runs, so that its caller can retry it. Always false outside
-    /// routed mode.
+    /// Whether a service that the call needs, directly or indirectly, has no instance. Such a call is refused before it
+    /// runs, so that it can be retried. Always false outside routed mode.
     fn depends_on_missing_service(&self) -> bool {
         let Some(routed) = &self.node.routed else {
             return false;
@@ -95,14 +91,12 @@
         })
     }
 
-    /// Returns whether the request is quarantined because it crashes backend servers.
     fn is_quarantined(&self) -> bool {
         let suspects = &self.node.suspected_requests;
         let remaining = suspects.remaining_quarantine(self.node.now(), self.context.names);
         remaining.is_some()
     }
 
-    /// Waits for a slot at the backend server, or returns the refusal.
     pub(crate) async fn acquire_slot(&self) -> Result<Slot, Refusal> {
         let priority = self.context.priority();
         let is_nested = self.context.depth > 0;
@@ -122,7 +116,7 @@
         Ok(slot)
     }
 
-    /// Sends the call to the backend server and waits for the head of its response.
+    /// Waits only for the head of the response.
     pub(crate) async fn forward(self, slot: Slot, req: Request<Body>) -> Reply {
         let guard = ParentGuard::register(
             &self.node.parents,
@@ -191,8 +185,7 @@
         }
     }
 
-    /// Copies a repeatable request without a body, so that it can be sent again if a connection doesn't
-    /// respond. Returns `None` for other requests.
+    /// Copies a repeatable request without a body, to send it again if a connection doesn't respond; else `None`.
     fn copy_request(&self, req: &Request<Body>) -> Option<Request<Body>> {
         if self.kind.at_most_once() || !req.body().is_end_stream() {
             return None;
@@ -204,11 +197,8 @@
         Some(copy)
     }
 
-    /// Takes one retry from the budget for sending the request a second time, since both copies may run.
-    ///
-    /// Returns false if the budget is used up, if the request is quarantined, or if no backend server
-    /// accepts requests now. A backend server that has announced its shutdown relies on receiving no new
-    /// requests.
+    /// Takes one retry from the budget, since both copies may run. Returns false without budget, under quarantine, or
+    /// if no backend server accepts requests now: one that announced its shutdown relies on receiving none.
     fn take_retry_for_resend(&self) -> bool {
         let routed = self.node.routed.as_ref();
         let accepts_no_requests = routed.is_some_and(|routed| routed.serving_id().is_none());
@@ -228,8 +218,7 @@
         is_taken
     }
 
-    /// Adds the headers of routed mode for the backend server that accepts requests now. Returns `None` if
-    /// there is none.
+    /// Returns `None` if no backend server accepts requests now.
     fn with_routed_headers(
         &self,
         routed: &Routed,
@@ -243,7 +232,7 @@
         Some(req)
     }
 
-    /// Adds the headers that describe the call's context, for a backend server outside routed mode.
+    /// Describes the call's context to a backend server outside routed mode.
     fn with_context_headers(&self, mut req: Request<Body>) -> Request<Body> {
         let time_left = self.deadline.saturating_sub(self.node.now()).as_millis();
         let trace = TraceContext {
@@ -266,7 +255,6 @@
         req
     }
 
-    /// Handles a response whose head has arrived.
     fn handle_response(
         self,
         slot: Slot,
@@ -358,9 +346,8 @@
         Reply { context, res }
     }
 
-    /// Returns whether a nested call failed, so that this failure was already retried there. In routed
-    /// mode, calls don't name their parent, so any nested call that failed since the request started
-    /// counts.
+    /// The failure of a nested call was already retried there. In routed mode, calls don't name their parent, so any
+    /// that failed since the request started counts.
     fn has_failed_nested_call(&self, parent: &Parent) -> bool {
         match &self.node.routed {
             None => parent.nested_call_failed.load(Ordering::Relaxed),
@@ -368,8 +355,8 @@
         }
     }
 
-    /// Returns the highest known threshold of the kinds that this kind calls. In routed mode, also records
-    /// the end of the request in the call graph, and an event if this changed the learned calls.
+    /// Returns the highest known threshold of the kinds that this kind calls. In routed mode, also records the
+    /// request's end in the call graph, and an event if the learned calls changed.
     fn record_end_and_threshold_of_calls(&self) -> Priority {
         let now = self.node.now();
         let Some(routed) = &self.node.routed else {
@@ -388,8 +375,7 @@
             .max_threshold(calls.iter().map(String::as_str), now)
     }
 
-    /// Streams the body to the caller. The connection and the registration of the parent are released when
-    /// the body ends, and so is the slot if the body is small.
+    /// The end of the body releases the connection, the parent's registration and, if the body is small, the slot.
     fn stream(
         self,
         slot: Slot,
@@ -431,7 +417,7 @@
         })
     }
 
-    /// Returns the reply to a call that may have begun before the exchange with the backend server failed.
+    /// The reply to a call that may have begun before the exchange with the backend server failed.
     fn failure_reply(&self, guard: &ParentGuard, refusal: Refusal) -> Reply {
         let parent = guard.parent();
         let mut reply = self.refusal_reply(refusal);
--- a/crates/sorrelturn-daemon/src/request/identity.rs
+++ b/crates/sorrelturn-daemon/src/request/identity.rs
@@ -11,23 +11,20 @@
 use sorrelturn_telemetry::{Field, events};
 use std::{sync::Arc, time::Duration};
 
-/// The Retry-After time if a credential can't be checked now.
+/// Sent if a credential can't be checked now.
 const CREDENTIAL_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// The minimum time between two events about unknown credentials.
+/// The minimum time between two events.
 const UNKNOWN_CREDENTIAL_EVENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The route of a request and the workspace that sent it.
 pub(crate) struct Identified {
     pub(crate) in_force: Arc<InForce>,
     pub(crate) route: Arc<RouteEntry>,
-    /// `None` on open routes without a credential, and if there are no workspaces.
+    /// `None` on open routes without a credential, and without workspaces.
     pub(crate) workspace: Option<Arc<WorkspaceEntry>>,
 }
 
-/// Finds the route and the workspace of a request.
-///
-/// A caller doesn't retry after `UnknownCaller`, so this refusal is sent only if the route table without the
-/// credential was the newest one when the request arrived. Until that is known, the reply has a Retry-After time.
+/// Callers don't retry after `UnknownCaller`, so it is sent only if the newest route table at the arrival lacked the
+/// credential. Until that is known, the reply has a Retry-After time.
 pub(crate) async fn identify(
     node: &Arc<Node>,
     routed: &Routed,
@@ -87,8 +84,8 @@
     }
 }
 
-/// Returns whether it is certain that the newest route table doesn't contain the credential of a request, and
-/// remembers such a credential. A remembered one counts as unknown as long as the table is valid.
+/// Whether the newest route table certainly lacks the credential, which is then remembered as unknown as long as the
+/// table is valid.
 fn check_unknown(node: &Node, presented: Option<CredentialHash>, arrived_at: Now) -> bool {
     let is_confirmed = node.route_staleness.is_confirmed_since(arrived_at);
     match presented {
@@ -102,10 +99,8 @@
     is_confirmed
 }
 
-/// Returns the workspace that sent a request.
-///
-/// The outer `None` means that the credential is unknown, or missing although the route requires one. The
-/// inner `None` means that the request needs no workspace.
+/// The outer `None`: the credential is unknown, or missing although the route requires one. The inner `None`: the
+/// request needs no workspace.
 fn requesting_workspace(
     bundle: &Bundle,
     route: &RouteEntry,
@@ -120,8 +115,7 @@
     }
 }
 
-/// Returns the hash of a request's credential. A request with two credentials is malformed, since its sender
-/// is ambiguous.
+/// A request with two credentials is malformed, since its sender is ambiguous.
 fn presented_credential(
     headers: &HeaderMap,
     routed: &Routed,
--- a/crates/sorrelturn-daemon/src/request/nested.rs
+++ b/crates/sorrelturn-daemon/src/request/nested.rs
@@ -26,7 +26,6 @@
 use sorrelturn_telemetry::TraceContext;
 use std::{sync::Arc, time::Duration};
 
-/// Handles one call from this daemon's backend server.
 pub(crate) async fn serve(node: &Arc<Node>, req: Request<Incoming>) -> Response<Body> {
     let active_request = ActiveRequest::new(node);
     let parent = find_parent(node, &req);
@@ -100,10 +99,7 @@
     reply
 }
 
-/// Builds the context of a nested call.
-///
-/// It inherits request id, trace, importance and caller of its parent, and its deadline is at most the
-/// parent's. Without a known parent it is a root call without a caller.
+/// Inherits from the parent; the deadline is at most the parent's. Without a known parent, this is a root call without a caller.
 fn nested_context(
     node: &Node,
     parent: Option<&Parent>,
@@ -186,8 +182,7 @@
     reply
 }
 
-/// Returns the token of a nested call. A call with the same key and parent as an earlier one gets the token
-/// of that one.
+/// A call with the key and parent of an earlier one gets the token of that one.
 async fn token_for_call(
     node: &Arc<Node>,
     parent: Option<&Arc<Parent>>,
--- a/crates/sorrelturn-daemon/src/request/owner.rs
+++ b/crates/sorrelturn-daemon/src/request/owner.rs
@@ -17,7 +17,6 @@
 use sorrelturn_protocol::{CallContext, Refusal, SpanId, Verdict};
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-/// Runs a call at this daemon's backend server, or refuses it.
 pub(crate) async fn serve(node: &Arc<Node>, context: CallContext, req: Request<Body>) -> Reply {
     let routed_kind = node
         .routed
@@ -32,8 +31,7 @@
     if let Some((routed, kind)) = routed_kind {
         answer.is_call = is_nested_kind(node, routed, &kind);
     }
-    // Read before the version: a version that increases in between is still covered by this age. In the
-    // other order, the age of a newer version could be reported with an older one.
+    // Read before the version: otherwise the age of a newer version could be reported with an older one.
     answer.knowledge_age_ms = node.knowledge_age_ms();
     answer.bundle_version = node.bundle_version();
     answer.incarnation = node.incarnation;
@@ -51,13 +49,13 @@
     reply
 }
 
-/// Waits for the shutdown of this daemon, then refuses a request that can't be forwarded any more.
+/// Waits for the shutdown, then refuses a request that can't be forwarded any more.
 pub(crate) async fn refuse_at_shutdown(node: &Node) -> Reply {
     node.shutdown.answers_due().await;
     Reply::not_run(Refusal::Leaving).with_retry_after(retry_after(node))
 }
 
-/// Returns the Retry-After time for a refused caller. It depends on how long this daemon has been overloaded.
+/// Depends on how long this daemon has been overloaded.
 pub(crate) fn retry_after(node: &Node) -> Duration {
     let overload_duration = node
         .admission
@@ -106,16 +104,15 @@
     }
 }
 
-/// Returns whether requests of a kind are nested calls, judging by the services that they come from.
+/// Judges by the services that the requests come from.
 fn is_nested_kind(node: &Node, routed: &Routed, kind: &str) -> bool {
     let routes = node.instances.load();
     let share_of = |service: &str| routes.instance_fraction(service);
     lock(&routed.origins).are_calls(kind, routes.service_count(), share_of)
 }
 
-/// Builds an entry for a kind that this daemon's route table lacks. The daemon where the request entered
-/// decides which routes are in force. The call's context contains what is needed of the route, except the
-/// execution mode, so the strictest one is assumed.
+/// Builds an entry for a kind that this daemon's route table lacks, since the daemon of the entry decides which routes
+/// are in force. The context lacks the execution mode, so the strictest one is assumed.
 fn kind_from_context(node: &Node, context: &CallContext) -> Option<Arc<KindEntry>> {
     node.routed.as_ref()?;
     let kind = Kind {
@@ -137,14 +134,14 @@
     )))
 }
 
-/// Gives all executions that a call may use back to its caller, since the call did not run.
+/// The call did not run, so its caller gets all executions back.
 pub(crate) fn refund_attempts(mut reply: Reply, attempts: u32) -> Reply {
     reply.context.attempts_left = attempts;
     reply
 }
 
-/// Refuses a call before it runs. Its token, if it has one, is used up first, so that it can't run later.
-/// If the token may have run or can't be checked, the reply says that the outcome is unknown.
+/// Uses up the token first, so that it can't run later. If it may have run or can't be checked, the reply says that
+/// the outcome is unknown.
 fn refuse_call(node: &Node, context: &CallContext, refusal: Refusal) -> Reply {
     if let Some(token) = context.token {
         let mut ledger = lock(&node.ledger);
@@ -158,7 +155,7 @@
     Reply::not_run(refusal)
 }
 
-/// Returns the fingerprint that a token is bound to: a hash of the caller, the kind and the target.
+/// Hashes the caller, the kind and the target.
 pub(crate) fn token_fingerprint(context: &CallContext, target: &str) -> Fingerprint {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&context.caller.0.to_be_bytes());
--- a/crates/sorrelturn-daemon/src/request/owner_once.rs
+++ b/crates/sorrelturn-daemon/src/request/owner_once.rs
@@ -17,12 +17,11 @@
 use sorrelturn_telemetry::events;
 use std::sync::Arc;
 
-/// The maximum size of a response body of an at-most-once request that is recorded for repeats.
+/// Larger response bodies are not recorded for repeats.
 const MAX_RECORDED_BODY_BYTES: usize = 64 << 10;
 
 impl Hop {
-    /// Runs the call of a token at most once. The call continues if its caller disconnects, so that its
-    /// outcome is recorded.
+    /// The call continues if its caller disconnects, so that its outcome is recorded.
     pub(crate) async fn run_with_token(self, token: ExecutionToken, req: Request<Body>) -> Reply {
         let target = req
             .uri()
@@ -100,7 +99,6 @@
         reply
     }
 
-    /// Returns the recorded outcome of the earlier execution.
     fn replay(&self, outcome: OnceOutcome) -> Reply {
         self.record_event(&events::RECORDED_ANSWER, Vec::new());
         let Some(body) = outcome.body else {
@@ -116,7 +114,6 @@
         Reply::answered(outcome.verdict, res)
     }
 
-    /// Returns the reply to a call whose token can't begin an execution.
     fn not_begun_reply(&self, begin: &BeginResult) -> Reply {
         let (refusal, verdict) = match begin {
             BeginResult::InProgress => (Refusal::StillRunning, Verdict::MayHaveRun),
@@ -131,8 +128,7 @@
     }
 }
 
-/// The only execution of a token. Its outcome is recorded when it ends, or at the latest when this is
-/// dropped.
+/// The only execution of a token. Its outcome is recorded at its end, or when this is dropped.
 struct TokenExecution {
     node: Arc<Node>,
     token: ExecutionToken,
@@ -183,7 +179,7 @@
     Failed,
 }
 
-/// Reads a body up to `MAX_RECORDED_BODY_BYTES`. A larger one continues as a stream.
+/// Reads up to `MAX_RECORDED_BODY_BYTES`; a larger body continues as a stream.
 async fn collect(mut body: Body) -> Collected {
     let mut read = Vec::new();
     while let Some(frame) = body.frame().await {
--- a/crates/sorrelturn-daemon/src/request/parents.rs
+++ b/crates/sorrelturn-daemon/src/request/parents.rs
@@ -14,22 +14,21 @@
     time::Duration,
 };
 
-/// Deadlines are sent in whole milliseconds, so two readings of one deadline may differ by this much.
+/// Deadlines are sent in whole milliseconds, so two readings of one may differ by this much.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
 /// One request in progress at the backend server.
 pub(crate) struct Parent {
-    /// The context of the request.
     pub(crate) context: CallContext,
-    /// The span of this execution.
     pub(crate) span: SpanId,
     /// The time after which nobody waits for the response.
     pub(crate) deadline: Now,
     /// The executions that remain for its nested calls.
+    /// The executions that remain for its nested calls.
     pub(crate) attempts: Mutex<AttemptPool>,
     /// The tokens of its nested calls.
     pub(crate) tokens: Mutex<NestedTokens>,
-    /// Whether a nested call has failed after its retries; a failure of the parent is not retried then.
+    /// A nested call has failed after its retries, so a failure of the parent is not retried.
     pub(crate) nested_call_failed: AtomicBool,
     cancelled: Receiver<()>,
 }
@@ -40,13 +39,11 @@
         let _ = self.cancelled.recv().await;
     }
 
-    /// Records that a nested call has failed after its retries.
     pub(crate) fn record_failure(&self) {
         self.nested_call_failed.store(true, Ordering::Relaxed);
     }
 }
 
-/// All requests in progress at the backend server.
 #[derive(Default)]
 pub(crate) struct Parents {
     inner: Mutex<Inner>,
@@ -59,8 +56,7 @@
     totals: InProgressRequests,
 }
 
-/// The deadlines of the requests of one kind, stored contiguously: each call from the backend server scans all
-/// requests in progress.
+/// The deadlines of one kind, contiguous since each call from the backend server scans all requests in progress.
 struct KindDeadlines {
     kind: String,
     deadlines: Vec<(SpanId, Now)>,
@@ -107,8 +103,7 @@
 }
 
 impl KindDeadlines {
-    /// Counts the requests that may have made a call with this deadline: those with the same deadline and
-    /// those with a later one.
+    /// Counts the requests with this deadline and those with a later one, which may have made the call.
     fn candidate_parents(&self, call_deadline: Now) -> impl Iterator<Item = Candidate> {
         let (mut same_deadline, mut later) = (0, 0);
         for (_, deadline) in &self.deadlines {
@@ -133,7 +128,6 @@
 }
 
 impl ParentGuard {
-    /// Registers a request that is about to be forwarded to the backend server.
     pub(crate) fn register(
         parents: &Arc<Parents>,
         context: CallContext,
@@ -159,7 +153,6 @@
         }
     }
 
-    /// The registered request.
     pub(crate) fn parent(&self) -> &Parent {
         &self.parent
     }
@@ -172,9 +165,8 @@
 }
 
 impl Parents {
-    /// Finds the request that a nested call belongs to: by its span, or else by its trace if only one
-    /// request of that trace is in progress. Backend servers that create their own spans forward only
-    /// the trace.
+    /// Finds the parent by span, or else by trace if only one request of it is in progress: backend servers that create
+    /// their own spans forward only the trace.
     pub(crate) fn find(&self, span: Option<SpanId>, trace: Option<u128>) -> Option<Arc<Parent>> {
         let inner = lock(&self.inner);
         if let Some(parent) = span.and_then(|span| inner.by_span.get(&span)) {
@@ -189,12 +181,11 @@
         of_trace.next().is_none().then(|| Arc::clone(only))
     }
 
-    /// Returns the totals over all requests in progress.
     pub(crate) fn totals(&self) -> InProgressRequests {
         lock(&self.inner).totals
     }
 
-    /// Counts the requests that may have made a call with this deadline, by kind.
+    /// Counts the requests that may have made the call, by kind.
     pub(crate) fn candidate_parents(&self, call_deadline: Now) -> Vec<Candidate> {
         let inner = lock(&self.inner);
         let candidates = inner
--- a/crates/sorrelturn-daemon/src/request/payload.rs
+++ b/crates/sorrelturn-daemon/src/request/payload.rs
@@ -12,29 +12,25 @@
 use sorrelturn_protocol::Refusal;
 use std::time::Duration;
 
-/// The maximum size of a buffered body. Buffering keeps slow senders from occupying slots and allows
-/// retries.
+/// Buffering keeps slow senders from occupying slots and allows retries.
 const MAX_BUFFERED_BODY_BYTES: u64 = 64 << 10;
-/// The maximum time for reading a body into the buffer.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The body of a request that is to be forwarded.
 pub(crate) enum Payload {
-    /// Completely read, so that it can be sent several times.
+    /// Complete; can be sent several times.
     Buffered(Bytes),
-    /// Still arriving from its sender; can be sent once.
+    /// Still arriving; can be sent once.
     Stream {
-        /// The body, or `None` once it is sent.
+        /// `None` once it is sent.
         body: Option<Body>,
-        /// The length in bytes, if the sender has declared it.
+        /// In bytes, if the sender declared it.
         len: Option<u64>,
     },
 }
 
 impl Payload {
-    /// Reads a small body into a buffer and keeps a larger one, or one of unknown size, as a stream.
-    ///
-    /// Returns a refusal if reading fails or times out.
+    /// Buffers a small body; one that is larger or of unknown size stays a stream. Failed or late
+    /// reading is a refusal.
     pub(crate) async fn read(timers: &Timers, incoming: Incoming) -> Result<Self, Reply> {
         if incoming.is_end_stream() {
             return Ok(Self::Buffered(Bytes::new()));
@@ -58,7 +54,7 @@
             .ok_or_else(|| Reply::not_run(Refusal::Malformed))
     }
 
-    /// Returns the body for one attempt, or `None` if an earlier attempt used up the stream.
+    /// `None` if an earlier attempt used up the stream.
     pub(crate) fn take(&mut self) -> Option<Body> {
         match self {
             Self::Buffered(bytes) => Some(body::full(bytes.clone())),
@@ -66,7 +62,6 @@
         }
     }
 
-    /// Returns whether the body can still be sent.
     pub(crate) fn can_be_sent(&self) -> bool {
         match self {
             Self::Buffered(_) => true,
--- a/crates/sorrelturn-daemon/src/request/routed.rs
+++ b/crates/sorrelturn-daemon/src/request/routed.rs
@@ -32,12 +32,12 @@
     time::Duration,
 };
 
-/// Whether the connection of a request was opened before or after the daemon started to shut down.
+/// When the connection of a request was opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionPhase {
-    /// Opened before the shutdown. Its requests are subject to normal admission.
+    /// Before the shutdown: normal admission.
     Accepting,
-    /// Opened during the shutdown. Only nested calls of this daemon's backend server are admitted.
+    /// During the shutdown: only nested calls of this daemon's backend server are admitted.
     Draining,
 }
 
@@ -45,20 +45,17 @@
 struct ResolvedRequest {
     in_force: Arc<InForce>,
     kind: Arc<KindEntry>,
-    /// The workspace that the credential belongs to, if there is one.
     workspace: Option<Arc<WorkspaceEntry>>,
     request_id: RequestId,
-    /// The shedding level, learned from the replies to requests of this kind. It covers everything that they
-    /// call. In routed mode, the learned threshold is a shedding level.
+    /// The shedding level, learned from the replies to requests of this kind. It covers everything that they call.
     level: u16,
-    /// Whether the request is a nested call of this daemon's backend server.
+    /// Whether this is a call of this daemon's backend server.
     is_nested_call: bool,
-    /// The remaining time that the caller sent, in milliseconds.
+    /// The remaining time that the caller sent.
     remaining_ms: Option<u32>,
     deadline: Now,
 }
 
-/// Answers one request.
 pub(crate) async fn serve(
     node: &Arc<Node>,
     req: Request<Incoming>,
@@ -112,7 +109,6 @@
     })
 }
 
-/// Finds the route, the kind and the workspace of a request, and admits it or refuses it.
 async fn resolve(
     node: &Arc<Node>,
     routed: &Routed,
@@ -164,8 +160,8 @@
     Ok(resolved)
 }
 
-/// Refuses requests during the shutdown, and requests that a service further down the call tree would shed.
-/// Nested calls belong to requests in progress and are always admitted.
+/// Refuses requests during the shutdown, and those that a service further down the call tree would shed. Nested calls
+/// belong to requests in progress and are always admitted.
 fn admit(
     node: &Node,
     routed: &Routed,
@@ -279,8 +275,8 @@
         repeated_fraction,
     };
     let reply = forward::call(node, &mut call).await;
-    // A refusal because of a shutdown isn't recorded: another instance may succeed, so the failure of the
-    // request that made the call may be retried.
+    // A refusal because of a shutdown isn't recorded: another instance may succeed, so the failure of the parent may be
+    // retried.
     let is_shutdown = reply.context.refusal == Some(Refusal::Leaving);
     if resolved.is_nested_call && has_failed(&reply) && !is_shutdown {
         routed.last_nested_call_failure.set(node.now());
@@ -293,7 +289,6 @@
     res.is_none_or(|res| res.status().is_server_error())
 }
 
-/// Removes the headers that aren't forwarded, and adds the workspace and the calling service.
 fn prepare_headers(
     node: &Node,
     routed: &Routed,
@@ -317,7 +312,6 @@
     }
 }
 
-/// Records the event for a request that entered here.
 fn record_request_done(
     node: &Node,
     request_id: RequestId,
@@ -342,7 +336,7 @@
         .record(&events::REQUEST_DONE, Some(request_id), fields);
 }
 
-/// Returns the response to the caller. The status of a refusal depends on whether the request may have run.
+/// The status of a refusal depends on whether the request may have run.
 fn into_response(
     routed: &Routed,
     caller_request_id: Option<HeaderValue>,
--- a/crates/sorrelturn-daemon/src/request/tokens.rs
+++ b/crates/sorrelturn-daemon/src/request/tokens.rs
@@ -20,10 +20,10 @@
 use sorrelturn_protocol::{CallContext, ExecutionToken, Refusal, Verdict};
 use std::sync::Arc;
 
-/// The path on the listener for peers at which a daemon issues tokens.
+/// The path for issuing tokens, at the listener for peers.
 pub(crate) const ISSUE_PATH: &str = "/.sorrelturn/issue";
 
-/// Issues a token of this incarnation of the daemon, which is then the owner of the token.
+/// Issues a token, which this incarnation of the daemon owns.
 pub(crate) fn issue(node: &Node) -> Reply {
     if node.is_leaving() {
         return Reply::not_run(Refusal::Leaving);
@@ -41,7 +41,7 @@
     }
 }
 
-/// Requests a token for a call from an instance of the kind's service.
+/// Requests a token from an instance of the kind's service.
 pub(crate) async fn obtain(node: &Arc<Node>, call: &Call) -> Result<ExecutionToken, Reply> {
     let mut issue_call = Call {
         in_force: Arc::clone(&call.in_force),
@@ -75,15 +75,14 @@
         .ok_or_else(unreadable)
 }
 
-/// The token that is bound to a caller's idempotency key in the store.
+/// The token of a caller's idempotency key.
 pub(crate) struct BoundToken {
-    /// The token.
     pub(crate) token: ExecutionToken,
     /// The version of the binding in the store.
     pub(crate) version: u64,
 }
 
-/// Binds a caller's idempotency key to a token, unless it is bound already, and returns the token.
+/// Returns the bound token; binds a new one if there is none.
 pub(crate) async fn bind(node: &Arc<Node>, call: &Call, key: &str) -> Result<BoundToken, Reply> {
     // A repeated request finds the existing binding and needs no new token.
     match node.platform.get(&binding_object(call, key)).await {
@@ -93,9 +92,7 @@
     }
 }
 
-/// Replaces the token of a key, which was refused before it ran, by a new one.
-///
-/// `version` is that of the binding to be replaced.
+/// Replaces the token of a key, which was refused before it ran. `version` is that of the old binding.
 pub(crate) async fn rebind(
     node: &Arc<Node>,
     call: &Call,
@@ -129,7 +126,7 @@
     }
 }
 
-/// Returns the token of the binding found in the store, the only one that the key may use.
+/// The token in the store is the only one that the key may use.
 fn resolve_binding(node: &Node, call: &Call, found: Option<&Object>) -> Result<BoundToken, Reply> {
     let unavailable =
         || Reply::not_run(Refusal::StoreUnavailable).with_retry_after(owner::retry_after(node));
@@ -154,7 +151,7 @@
     owner::token_fingerprint(&call.context, &call.target.to_string())
 }
 
-/// Returns the reply for a token whose owner is lost, from the outcomes that the owner saved.
+/// Judges by the outcomes that the owner saved.
 pub(crate) async fn reply_for_lost_owner(node: &Node, token: &ExecutionToken) -> Reply {
     let verdict = recorded_verdict(node, token).await;
     let verdict = verdict.unwrap_or(Verdict::MayHaveRun);
@@ -165,9 +162,7 @@
     Reply::refused(refusal, verdict).with_retry_after(owner::retry_after(node))
 }
 
-/// Reads the saved verdict of a token.
-///
-/// The closing record is read first: if it exists, the segment that is read after it is complete.
+/// Reads the closing record first: if it exists, the segment read after it is complete.
 async fn recorded_verdict(node: &Node, token: &ExecutionToken) -> Result<Verdict, PlatformError> {
     let closing = node
         .platform
@@ -191,7 +186,6 @@
         .map_err(|_| PlatformError::Unreadable)
 }
 
-/// Sets the header that holds the caller's token.
 pub(crate) fn set_header(headers: &mut HeaderMap, token: &ExecutionToken) {
     headers::set(
         headers,
