--- a/crates/sorrelturn-fleet/src/bundle_tracker.rs
+++ b/crates/sorrelturn-fleet/src/bundle_tracker.rs
@@ -5,9 +5,9 @@
 use sorrelturn_protocol::MemberRecord;
 use std::time::Duration;
 
-/// The number of neighbours to which each daemon pushes an update, not counting peers that recently contacted it.
+/// How many neighbours each daemon pushes an update to, not counting peers that recently contacted it.
 pub const PUSH_FAN_OUT: usize = 5;
-/// After this time a new fetch may replace an unfinished one.
+/// After this a new fetch may replace an unfinished one.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The source of a bundle.
@@ -19,7 +19,7 @@
     Peer(String),
 }
 
-/// A request to fetch a bundle of at least the given version.
+/// A fetch of a bundle of at least the given version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// The announced version.
@@ -28,7 +28,7 @@
     pub source: Source,
 }
 
-/// Tracks the bundle version in force on one daemon, which only increases, and the fetches of higher versions.
+/// One daemon's bundle version in force, which only increases, and the fetches of higher ones.
 #[derive(Clone, Debug, Default)]
 pub struct BundleTracker {
     in_force: u64,
@@ -37,12 +37,12 @@
 }
 
 impl BundleTracker {
-    /// Returns the version in force; 0 before the first bundle.
+    /// The version in force; 0 before the first bundle.
     pub fn in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// Handles the announcement that `source` has `version`. Returns a fetch to start now, if any.
+    /// Handles an announcement; returns a fetch to start now, if any.
     pub fn version_announced(&mut self, now: Now, version: u64, source: Source) -> Option<Fetch> {
         if version <= self.in_force {
             return None;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Puts a fetched and validated version in force. Returns whether it is higher than the previous one.
+    /// Puts a validated version in force; returns whether it is higher than the previous one.
     pub fn put_in_force(&mut self, version: u64) -> bool {
         let is_higher = version > self.in_force;
         if is_higher {
@@ -69,7 +69,7 @@
         is_higher
     }
 
-    /// Handles the end of a fetch, whether it succeeded or failed. Returns the next fetch to start, if any.
+    /// Handles the success or failure of a fetch; returns the next one to start, if any.
     pub fn fetch_finished(&mut self, now: Now, fetch: &Fetch) -> Option<Fetch> {
         if self
             .fetching
@@ -88,8 +88,8 @@
     }
 }
 
-/// Chooses random peers: half in the daemon's own failure domain and half in others, so that an update pushed to them
-/// reaches all failure domains quickly and then spreads within each. If one half lacks members, the other is larger.
+/// Chooses random peers, half in the daemon's own failure domain and half in others, so that a push reaches all failure
+/// domains quickly and then spreads within each. If one half lacks members, the other is larger.
 pub fn sample_peers<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &MemberRecord,
--- a/crates/sorrelturn-fleet/src/lib.rs
+++ b/crates/sorrelturn-fleet/src/lib.rs
@@ -14,5 +14,5 @@
 pub use status::{DomainStatus, DomainView, MemberStatus, report_interval, silence_timeout};
 pub use vm_list::{VmListDiff, diff_vm_list};
 
-/// A point in time: the time since the process started, including time for which its VM was suspended.
+/// The time since the process started, including time for which its VM was suspended.
 pub type Now = std::time::Duration;
--- a/crates/sorrelturn-fleet/src/membership.rs
+++ b/crates/sorrelturn-fleet/src/membership.rs
@@ -9,18 +9,18 @@
 
 /// Records are compared bucket by bucket, so that an exchange sends only differing buckets.
 const BUCKET_COUNT: usize = 64;
-/// How long the record of a daemon in state `Gone` is retained to detect stale updates.
+/// How long records in state `Gone` are retained to detect stale updates.
 const GONE_RETENTION: Now = Now::from_secs(600);
 
-/// Checksums of the membership records, by which two daemons find differing records.
+/// Checksums by which two daemons find differing records.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct MembershipDigest {
-    /// One checksum per bucket over its records; equal checksums mean equal records.
+    /// One per bucket; equal checksums mean equal records.
     pub buckets: Vec<u64>,
 }
 
 impl MembershipDigest {
-    /// Returns the buckets in which two digests differ.
+    /// The buckets in which two digests differ.
     pub fn differing(&self, other: &Self) -> Vec<u8> {
         self.buckets
             .iter()
@@ -32,7 +32,7 @@
     }
 }
 
-/// Returns the bucket of an instance.
+/// An instance's bucket.
 pub fn bucket_of(instance: &str) -> u8 {
     let hash = blake3::hash(instance.as_bytes());
     hash.as_bytes()[0] % BUCKET_COUNT as u8
@@ -102,23 +102,23 @@
         }
     }
 
-    /// Returns the record of an instance.
+    /// The record of an instance.
     pub fn get(&self, instance: &str) -> Option<&MemberRecord> {
         self.members.get(instance).map(|known| &known.record)
     }
 
-    /// Iterates over all records, including those in state `Gone`.
+    /// All records, including those in state `Gone`.
     pub fn all(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|known| &known.record)
     }
 
-    /// Iterates over the members that are not in state `Gone`.
+    /// The members not in state `Gone`.
     pub fn present(&self) -> impl Iterator<Item = &MemberRecord> {
         self.all()
             .filter(|record| record.state != MemberState::Gone)
     }
 
-    /// Iterates over the members of a service that accept calls.
+    /// The members of a service that accept calls.
     pub fn live_of(&self, service: &str) -> impl Iterator<Item = &MemberRecord> {
         self.by_service
             .get(service)
@@ -128,19 +128,19 @@
             .filter(|record| record.state == MemberState::Live)
     }
 
-    /// Iterates over the services that have or had members.
+    /// The services that have or had members.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.by_service.keys().map(String::as_str)
     }
 
-    /// Returns the digest of all records.
+    /// The digest of all records.
     pub fn digest(&self) -> MembershipDigest {
         MembershipDigest {
             buckets: self.checksums.clone(),
         }
     }
 
-    /// Returns the records in the given buckets.
+    /// The records in the given buckets.
     pub fn in_buckets(&self, buckets: &[u8]) -> Vec<MemberRecord> {
         self.all()
             .filter(|record| buckets.contains(&bucket_of(&record.instance)))
@@ -159,7 +159,7 @@
     }
 }
 
-/// Returns the checksum of a record. It covers the fields that order records, so any newer record has another one.
+/// Covers the fields that order records, so any newer record has another checksum.
 fn checksum(record: &MemberRecord) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.instance.as_bytes());
--- a/crates/sorrelturn-fleet/src/messages.rs
+++ b/crates/sorrelturn-fleet/src/messages.rs
@@ -4,35 +4,34 @@
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::{CrashUpdate, MemberRecord, MemberState};
 
-/// The request of a periodic exchange between two daemons.
+/// The request of a periodic exchange.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExchangeRequest {
     /// The sender's own record.
     pub from: MemberRecord,
     /// The sender's bundle version in force.
     pub version: u64,
-    /// The checksum of the sender's membership records.
+    /// Checksum of the sender's membership records.
     pub members: u64,
-    /// The checksum of the sender's information about crashes of backend servers.
+    /// Checksum of the sender's information about crashes.
     pub crashes: u64,
 }
 
-/// The reply to an [`ExchangeRequest`]. If all checksums are equal, the exchange ends here.
+/// The reply to an [`ExchangeRequest`]; if all checksums are equal, the exchange ends here.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExchangeReply {
     /// The receiver's bundle version in force.
     pub version: u64,
-    /// The staleness of the receiver's configuration: the age of its last confirmation that no higher bundle version
-    /// exists, in milliseconds.
+    /// Milliseconds since the receiver last confirmed that no higher bundle version exists.
     pub knowledge_age_ms: Option<u32>,
-    /// The checksums of all buckets, if the membership checksums differ.
+    /// All buckets' checksums, if the membership checksums differ.
     pub members: Option<MembershipDigest>,
-    /// The receiver's information about crashes, if the checksums differ.
+    /// The receiver's information about crashes, if its checksum differs.
     pub crashes: Option<CrashUpdate>,
 }
 
 impl MembershipDigest {
-    /// Returns one checksum over all buckets.
+    /// One checksum over all buckets.
     pub fn checksum(&self) -> u64 {
         self.buckets
             .iter()
@@ -43,17 +42,17 @@
     }
 }
 
-/// The report that a daemon sends to the watchers of its failure domain, on a change and periodically.
+/// A daemon's report to the watchers of its failure domain, on a change and periodically.
 ///
-/// A watcher receives one from each member of its failure domain, so it is kept small.
+/// Kept small: a watcher receives one from each member.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
     /// The reporting instance.
     pub instance: String,
     /// Whether the daemon accepts new calls.
     pub state: MemberState,
-    /// The daemon's bundle version in force.
+    /// The bundle version in force.
     pub version: u64,
-    /// The reason why its bundle version is outdated, if known.
+    /// Why that version is outdated, if known.
     pub trouble: Option<String>,
 }
--- a/crates/sorrelturn-fleet/src/rank.rs
+++ b/crates/sorrelturn-fleet/src/rank.rs
@@ -1,17 +1,16 @@
 //! The choice of the daemons that watch the platform for a failure domain. See `docs/design/spread.md`.
 //!
-//! Every daemon ranks the members of its failure domain by the same hash and thus finds the same
-//! watchers without a lease. While views differ, there may be too many or too few watchers, which
-//! causes additional reads or a delay of seconds but never incorrect results.
+//! Every daemon ranks its failure domain by the same hash and finds the same watchers without a lease. While views
+//! differ there may be too many or too few, which costs additional reads or a delay of seconds but never correctness.
 
 use sorrelturn_protocol::MemberRecord;
 
-/// The number of daemons in a failure domain that watch the platform.
+/// Daemons per failure domain that watch the platform.
 pub const WATCHER_COUNT: usize = 2;
-/// The number of standby daemons, each of which checks whether the daemons ranked before it are alive.
+/// Standby daemons; each checks whether the daemons ranked before it are alive.
 pub const STANDBY_WATCHER_COUNT: usize = 3;
 
-/// Returns the members of a failure domain in rank order.
+/// The members of a failure domain in rank order.
 pub fn ranked<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     failure_domain: &str,
@@ -24,7 +23,7 @@
     ranked.into_iter().map(|(_, record)| record).collect()
 }
 
-/// Returns the members whose liveness this instance checks, or `None` if it is neither watcher nor standby.
+/// The members whose liveness this instance checks; `None` if it is neither watcher nor standby.
 pub fn predecessors<'a, 'b>(
     ranked: &'b [&'a MemberRecord],
     own_instance: &str,
@@ -44,9 +43,9 @@
     u64::from_be_bytes(weight)
 }
 
-/// Returns the names of the members that search for the next incarnation of an instance that has gone: those that
-/// follow it in the cyclic order of names. Daemons that know the same members choose the same searchers, and the load
-/// is distributed because each instance has different ones.
+/// The members that search for the next incarnation of a gone instance: those that follow it in the cyclic order of
+/// names. Daemons with the same members choose the same ones, and the load is distributed because each instance has
+/// different ones.
 pub fn searchers_for<'a>(
     members: impl Iterator<Item = &'a MemberRecord>,
     own: &'a MemberRecord,
--- a/crates/sorrelturn-fleet/src/status.rs
+++ b/crates/sorrelturn-fleet/src/status.rs
@@ -5,37 +5,35 @@
 use sorrelturn_protocol::MemberState;
 use std::{collections::BTreeMap, time::Duration};
 
-/// Limits the members that a status lists individually.
 const MAX_LISTED_MEMBERS: usize = 20;
 
-/// The minimum interval between periodic reports of a daemon whose state is unchanged.
+/// For a daemon whose state is unchanged.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(20);
-/// Limits the periodic reports that a watcher receives; in a large failure domain each member reports less often.
+/// Limits the reports to a watcher: in a large failure domain each member reports less often.
 const MAX_PERIODIC_REPORTS_PER_SECOND: f64 = 2.0;
-/// A member without a report for this many report intervals counts as silent.
 const SILENCE_TIMEOUT_INTERVALS: u32 = 3;
 
-/// Returns the interval between periodic reports of a daemon in a failure domain with `members` members.
+/// The interval between periodic reports in a failure domain with `members` members.
 pub fn report_interval(members: usize) -> Duration {
     let rate_limited = Duration::from_secs_f64(members as f64 / MAX_PERIODIC_REPORTS_PER_SECOND);
     MIN_REPORT_INTERVAL.max(rate_limited)
 }
 
-/// Returns the time without a report after which a member counts as silent.
+/// The time without a report after which a member is silent.
 pub fn silence_timeout(members: usize) -> Duration {
     report_interval(members) * SILENCE_TIMEOUT_INTERVALS
 }
 
-/// The status of one member that is outdated or silent.
+/// An outdated or silent member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The instance of the member.
     pub instance: String,
-    /// The bundle version in force in its last report.
+    /// The bundle version in its last report.
     pub version: u64,
-    /// The time since its last report, in milliseconds.
+    /// Milliseconds since its last report.
     pub heard_ms: u64,
-    /// The reported reason why its bundle version is outdated, if any.
+    /// Why its bundle version is outdated, if known.
     pub trouble: Option<String>,
 }
 
@@ -46,19 +44,19 @@
     pub failure_domain: String,
     /// The watcher that wrote the object.
     pub written_by: String,
-    /// The time of writing, in milliseconds since the Unix epoch.
+    /// Milliseconds since the Unix epoch.
     pub written_ms: u64,
-    /// The number of daemons that are not silent, by their bundle version in force.
+    /// The number of daemons not silent, by bundle version in force.
     pub in_force: BTreeMap<u64, usize>,
-    /// The number of daemons that are leaving and not silent.
+    /// The number of daemons leaving and not silent.
     pub leaving: usize,
     /// The number of silent daemons.
     pub silent: usize,
-    /// Members that are outdated or silent, up to a limit.
+    /// Outdated or silent members, up to a limit.
     pub behind: Vec<MemberStatus>,
 }
 
-/// The reports that a watcher received from its failure domain.
+/// A watcher's reports from its failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct DomainView {
     reports: BTreeMap<String, (Report, Now)>,
@@ -74,12 +72,12 @@
         }
     }
 
-    /// Removes the reports of instances for which `is_member` returns false.
+    /// Removes the reports of instances that aren't members.
     pub fn retain_members(&mut self, is_member: impl Fn(&str) -> bool) {
         self.reports.retain(|instance, _| is_member(instance));
     }
 
-    /// Summarizes the reports. A member counts as silent after `silence_timeout` without a report.
+    /// Summarizes the reports.
     pub fn status(
         &self,
         now: Now,
--- a/crates/sorrelturn-fleet/src/vm_list.rs
+++ b/crates/sorrelturn-fleet/src/vm_list.rs
@@ -4,25 +4,23 @@
 use sorrelturn_protocol::{MemberRecord, MemberState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The list is rejected for a service if it would remove more than this percentage of its members.
+/// Above this percentage of removed members of a service, its list is rejected.
 const MAX_REMOVED_PERCENT: usize = 50;
 
-/// The differences between the list and the membership that a watcher acts on.
+/// The differences that a watcher acts on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VmListDiff {
-    /// Live instances that are listed as leaving and have to be notified.
+    /// Live instances listed as leaving; to be notified.
     pub leaving: Vec<String>,
-    /// Leaving instances that are listed as live and have to be notified.
+    /// Leaving instances listed as live; to be notified.
     pub staying: Vec<String>,
-    /// Instances that are not listed; they are gone if they don't answer either.
+    /// Instances not listed; gone if they don't answer either.
     pub unlisted: Vec<String>,
-    /// Services for which the list was rejected.
+    /// Services whose list was rejected.
     pub rejected_services: Vec<String>,
 }
 
-/// Compares the list with the members of one failure domain.
-///
-/// `listed` maps each listed instance to whether it is leaving.
+/// Compares the list with the members of one failure domain. `listed` maps each instance to whether it is leaving.
 pub fn diff_vm_list(
     membership: &Membership,
     failure_domain: &str,
--- a/crates/sorrelturn-fleet/tests/membership.rs
+++ b/crates/sorrelturn-fleet/tests/membership.rs
@@ -123,7 +123,6 @@
         .version_announced(NOW, 5, peer("a"))
         .expect("a fetch");
     assert_eq!(tracker.version_announced(NOW, 5, peer("b")), None);
-    // The first source fails, so the second one is used.
     let second = tracker.fetch_finished(NOW, &first).expect("another fetch");
     assert_eq!(second.source, peer("b"));
     assert!(tracker.put_in_force(5));
@@ -140,7 +139,7 @@
     );
 }
 
-/// Returns how many daemons receive an update by push alone, if those with an index below `cut_off` are unreachable.
+/// How many daemons a push alone reaches, if those below `cut_off` are unreachable.
 fn push_to_all(count: usize, seed: u64, cut_off: usize) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let all = membership((0..count as u64).map(live));
--- a/crates/sorrelturn-once/src/attempts.rs
+++ b/crates/sorrelturn-once/src/attempts.rs
@@ -9,11 +9,11 @@
 
 type Now = Duration;
 
-/// How long an ended attempt is retained. Senders that wait for a response query its status more often than this. After
-/// an eviction, attempts that may have been sent before the evicted one ended are reported as [`AttemptStatus::Over`].
+/// How long an ended attempt is retained; waiting senders query more often than this. Attempts that may have been sent
+/// before an evicted one ended are reported as [`AttemptStatus::Over`].
 const ENDED_RETENTION: Duration = Duration::from_secs(5);
-/// How long an attempt that was reported as never arrived is refused. Its connection is closed when that is reported,
-/// and packets delayed in the network arrive within seconds.
+/// How long an attempt reported as never arrived is refused. Its connection is closed with that report,
+/// and delayed packets arrive within seconds.
 const FENCED_RETENTION: Duration = Duration::from_secs(60);
 /// The maximum network delay of a status query; its sender's timeout is shorter.
 const MAX_QUERY_DELAY: Duration = Duration::from_secs(1);
@@ -22,7 +22,6 @@
 #[derive(Debug, Default)]
 struct RecentAttempts {
     order: VecDeque<(Now, AttemptId)>,
-    /// The time of each attempt's last insertion.
     inserted_at: HashMap<AttemptId, Now>,
 }
 
@@ -36,8 +35,8 @@
         self.inserted_at.contains_key(&attempt)
     }
 
-    /// Removes the oldest insertion if it is older than `cutoff`, with its attempt unless that was inserted again;
-    /// returns the time of the removed insertion.
+    /// Removes the oldest insertion if older than `cutoff`, with its attempt unless that was inserted again; returns
+    /// its time.
     fn evict_oldest_before(&mut self, cutoff: Now) -> Option<Now> {
         let (at, attempt) = *self.order.front()?;
         if at >= cutoff {
@@ -51,20 +50,18 @@
     }
 }
 
-/// The attempts that other daemons made at this one.
+/// The attempts that other daemons made here.
 #[derive(Debug, Default)]
 pub struct AttemptRegister {
-    /// How many times each attempt is in progress: an attempt can arrive more than once, concurrently.
+    /// A count because an attempt can arrive more than once, concurrently.
     in_progress: HashMap<AttemptId, u32>,
     ended: RecentAttempts,
     fenced: RecentAttempts,
-    /// The end time of the most recently evicted attempt.
     last_evicted_end: Option<Now>,
 }
 
 impl AttemptRegister {
-    /// Registers an attempt that arrived; returns whether it may run. An attempt that was reported as never arrived may
-    /// not.
+    /// Registers an arrival; returns whether it may run: not if it was reported as never arrived.
     pub fn begin(&mut self, now: Now, attempt: AttemptId) -> bool {
         self.evict_expired(now);
         if self.fenced.contains(attempt) {
@@ -85,8 +82,8 @@
         self.ended.insert(now, attempt);
     }
 
-    /// Returns the status of an attempt that was sent `sent_ago` before the query. An attempt that never arrived is
-    /// fenced: it is refused if it arrives later.
+    /// The status of an attempt sent `sent_ago` before the query. One that never arrived is fenced: refused if it
+    /// arrives later.
     pub fn status(&mut self, now: Now, attempt: AttemptId, sent_ago: Duration) -> AttemptStatus {
         self.evict_expired(now);
         if self.in_progress.contains_key(&attempt) {
@@ -103,8 +100,7 @@
         AttemptStatus::NeverCame
     }
 
-    /// Evicts at most two ended attempts and one fenced attempt. Each attempt adds one ended entry, so two per call
-    /// keep up.
+    /// Evicts at most two ended attempts and one fenced: each attempt adds one ended entry, so two per call keep up.
     fn evict_expired(&mut self, now: Now) {
         for _ in 0..2 {
             let cutoff = now.saturating_sub(ENDED_RETENTION);
--- a/crates/sorrelturn-once/src/binding.rs
+++ b/crates/sorrelturn-once/src/binding.rs
@@ -6,17 +6,16 @@
 use serde::{Deserialize, Serialize};
 use sorrelturn_protocol::ExecutionToken;
 
-/// The stored object that binds a key to a token.
+/// The stored object that binds a key to a token, the only one that may be used for the key.
 ///
-/// Its token is the only one that may be used for the key. After a lost response or a lost race, a daemon reads the
-/// binding back and uses its token instead of its own.
+/// After a lost response or a lost race, a daemon reads the binding back and uses its token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Binding {
-    /// The token, formatted as in its header.
+    /// Formatted as in its header.
     pub token: String,
     /// The fingerprint of the first request that used the key.
     pub fingerprint: u64,
-    /// A random number, so that two writers never write the same value.
+    /// Random, so that two writers never write the same value.
     #[serde(rename = "attempt")]
     pub write_nonce: u64,
 }
@@ -33,7 +32,7 @@
 impl std::error::Error for BindingError {}
 
 impl Binding {
-    /// Returns the token if `fingerprint` is that of the request that the key is bound to.
+    /// The token, if the key is bound to a request with this fingerprint.
     pub fn token_for(&self, fingerprint: Fingerprint) -> Result<ExecutionToken, BindingError> {
         if self.fingerprint != fingerprint.0 {
             return Err(BindingError::Mismatch);
--- a/crates/sorrelturn-once/src/ledger.rs
+++ b/crates/sorrelturn-once/src/ledger.rs
@@ -11,19 +11,19 @@
 /// Limits of a ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LedgerConfig {
-    /// How long a token can be used and its outcome can be queried.
+    /// How long a token can be used and its outcome queried.
     pub ttl: Duration,
-    /// The maximum number of unexpired tokens. At the limit no new tokens are issued, and none are evicted.
+    /// The maximum number of unexpired tokens; at the limit none are issued and none evicted.
     pub capacity: usize,
-    /// The maximum number of response body bytes retained for repeats. A body that exceeds it is not retained.
+    /// The maximum response body bytes retained for repeats; a body that exceeds it is not retained.
     pub max_retained_bytes: usize,
 }
 
-/// A hash of the request that a token was first used for.
+/// A hash of a token's first request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// The result of a request, which is returned again if the caller repeats it.
+/// A request's result, returned again if the caller repeats it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// Whether the request may have run.
@@ -32,7 +32,7 @@
     pub status: u16,
     /// The content type of the body.
     pub content_type: Option<String>,
-    /// The whole body, or `None` if it was not retained.
+    /// `None` if it was not retained.
     pub body: Option<Vec<u8>>,
 }
 
@@ -42,18 +42,18 @@
     }
 }
 
-/// The result of [`Ledger::begin`]: whether a request may be forwarded.
+/// Whether a request may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeginResult {
-    /// The request may be forwarded. No other request with the token may.
+    /// It may be forwarded; no other request with the token may.
     MayRun,
     /// A request with the token is in progress.
     InProgress,
-    /// The request ended with this outcome.
+    /// It ended with this outcome.
     Recorded(Outcome),
-    /// The request was refused before it was forwarded, and stays refused.
+    /// It was refused before it was forwarded, and stays refused.
     Refused,
-    /// The token was not issued by this process, or was first used for another request.
+    /// Not issued by this process, or first used for another request.
     InvalidToken,
     /// The token has expired.
     Expired,
@@ -76,16 +76,16 @@
 
 /// Issues tokens and ensures that at most one request is forwarded per token.
 ///
-/// Capacity for a token is reserved when it is issued. Tokens carry a message authentication code with a key
-/// that only this process has, so forged tokens use no memory.
+/// Capacity is reserved at issue. Tokens carry a message authentication code with a key that only this process has, so
+/// forged ones use no memory.
 pub struct Ledger {
     owner: Incarnation,
     cfg: LedgerConfig,
     mac_key: [u8; 32],
     used: HashMap<u128, UsedToken>,
-    /// The issue times in milliseconds and the nonces of the used tokens.
+    /// Issue times in milliseconds and nonces of the used tokens.
     used_by_age: BTreeSet<(u64, u128)>,
-    /// The issue times of all unexpired tokens, used or not, oldest first.
+    /// Of all unexpired tokens, used or not, oldest first.
     unexpired_issued_ms: VecDeque<u64>,
     retained_bytes: usize,
     is_closed: bool,
@@ -96,7 +96,7 @@
 }
 
 impl Ledger {
-    /// Creates the ledger of a process that just started; `mac_key` must be secret and newly generated.
+    /// `mac_key` must be secret and newly generated.
     pub fn new(owner: Incarnation, cfg: LedgerConfig, mac_key: [u8; 32]) -> Self {
         Self {
             owner,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Issues a token. Returns `None` at the capacity limit and after the ledger is closed. Like everywhere in the
-    /// ledger, `now` is the time since the process started.
+    /// Issues a token; `None` at the capacity limit and after closing. Throughout the ledger, `now` is the time since
+    /// the process started.
     pub fn issue(&mut self, now: Duration, rng: &mut fastrand::Rng) -> Option<ExecutionToken> {
         self.evict_expired(now);
         if self.is_closed || self.unexpired_issued_ms.len() >= self.cfg.capacity {
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Registers a request that arrived with a token; returns whether it may be forwarded.
+    /// Registers a request with a token; returns whether it may be forwarded.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -156,10 +156,9 @@
         BeginResult::MayRun
     }
 
-    /// Records that a request was refused before any byte of it was forwarded.
+    /// Records a refusal before any byte was forwarded.
     ///
-    /// This must happen before the refusal is sent: a delayed copy of the request then stays refused, so the caller can
-    /// safely use a new token.
+    /// Call it before sending the refusal: a delayed copy then stays refused, so the caller can safely use a new token.
     pub fn refuse(&mut self, token: &ExecutionToken) {
         if let Some(used) = self.used.get_mut(&token.nonce) {
             used.state = TokenState::Refused;
@@ -187,13 +186,13 @@
         }
     }
 
-    /// Closes the ledger when the process stops: no token is issued and no request with an unused token is
-    /// forwarded afterwards.
+    /// Closes the ledger when the process stops: no token is issued and no request with an unused token forwarded
+    /// afterwards.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// Takes the segments to write to the store: those that changed since they were last taken.
+    /// Takes the segments that changed since they were last taken, to write them to the store.
     pub fn take_unsaved(&mut self) -> Vec<OutcomeSegment> {
         std::mem::take(&mut self.unsaved_segments)
             .iter()
@@ -201,12 +200,12 @@
             .collect()
     }
 
-    /// Marks a segment that could not be written, so that it is taken again.
+    /// Marks a segment that couldn't be written, so that it is taken again.
     pub fn mark_unsaved(&mut self, number: u64) {
         self.unsaved_segments.insert(number);
     }
 
-    /// Removes the segments whose tokens have all expired; returns their numbers for deletion from the store.
+    /// Removes segments whose tokens have all expired; returns their numbers for deletion from the store.
     pub fn remove_expired_segments(&mut self, now: Duration) -> Vec<u64> {
         let mut removed = Vec::new();
         while let Some(number) = self.segments.keys().next().copied() {
@@ -222,9 +221,9 @@
         removed
     }
 
-    /// Returns the closing record, once the ledger is closed, no request is in progress and every segment was taken.
+    /// The closing record, once the ledger is closed, no request is in progress and every segment was taken.
     ///
-    /// The segments must be written to the store before the closing record.
+    /// Write the segments to the store before it.
     pub fn closing_record(&self) -> Option<ClosingRecord> {
         let is_complete =
             self.is_closed && self.unsaved_segments.is_empty() && self.in_progress_count() == 0;
@@ -234,7 +233,7 @@
         })
     }
 
-    /// Returns the number of requests in progress.
+    /// The number of requests in progress.
     pub fn in_progress_count(&self) -> usize {
         self.used
             .values()
@@ -242,12 +241,12 @@
             .count()
     }
 
-    /// Returns the number of retained response body bytes.
+    /// The number of retained response body bytes.
     pub fn retained_bytes(&self) -> usize {
         self.retained_bytes
     }
 
-    /// Returns the number of issued tokens that have not expired.
+    /// The number of unexpired tokens.
     pub fn unexpired_count(&self) -> usize {
         self.unexpired_issued_ms.len()
     }
--- a/crates/sorrelturn-once/src/record.rs
+++ b/crates/sorrelturn-once/src/record.rs
@@ -5,31 +5,29 @@
 use sorrelturn_protocol::{ExecutionToken, Incarnation, Verdict};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The time range of issued tokens whose outcomes are stored in one object.
-///
-/// A longer range means fewer objects, a shorter one fewer bytes that are rewritten.
+/// The range of issue times whose outcomes share one object. Longer means fewer objects, shorter fewer bytes rewritten.
 pub const SEGMENT_DURATION: Duration = Duration::from_secs(60);
 const SEGMENT_MS: u64 = SEGMENT_DURATION.as_millis() as u64;
 
-/// One outcome without its body. The serialized names are short because one object holds thousands.
+/// An outcome without its body; serialized names are short because an object holds thousands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedOutcome {
     /// Whether the request may have run.
     #[serde(rename = "v")]
     pub verdict: Verdict,
-    /// The HTTP status returned to the caller.
+    /// The HTTP status of the response to the caller.
     #[serde(rename = "s")]
     pub status: u16,
 }
 
-/// The outcomes of an incarnation's tokens that were issued within one [`SEGMENT_DURATION`], stored as one object.
+/// The outcomes of an incarnation's tokens issued within one [`SEGMENT_DURATION`], stored as one object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeSegment {
-    /// The incarnation that issued the tokens.
+    /// The issuer of the tokens.
     pub owner: Incarnation,
-    /// The number of the segment, counted from the start of the owner.
+    /// Counted from the owner's start.
     pub number: u64,
-    /// The outcomes, keyed by the random half of the token's nonce in hexadecimal.
+    /// Keyed by the random half of the token's nonce in hexadecimal.
     pub outcomes: BTreeMap<String, RecordedOutcome>,
 }
 
@@ -43,12 +41,12 @@
         }
     }
 
-    /// Returns the number of the segment that a token belongs to.
+    /// The segment that a token belongs to.
     pub fn number_of(token: &ExecutionToken) -> u64 {
         token.issued_ms / SEGMENT_MS
     }
 
-    /// Returns the exclusive end of a segment, in milliseconds of the owner's clock.
+    /// The exclusive end, in milliseconds of the owner's clock.
     pub(crate) fn segment_end_ms(number: u64) -> u64 {
         (number + 1) * SEGMENT_MS
     }
@@ -61,17 +59,17 @@
 /// The owner's final record: it forwards no more requests, and the outcomes of unexpired tokens are in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClosingRecord {
-    /// The incarnation that wrote the record.
+    /// The writer of the record.
     pub owner: Incarnation,
-    /// The outcomes of all tokens issued from this time on are in the store. In milliseconds of the owner's clock.
+    /// All outcomes of tokens issued from this time on are in the store. In milliseconds of the owner's clock.
     pub complete_since_ms: u64,
 }
 
-/// Returns the verdict on a token whose owner can't be queried.
+/// The verdict on a token whose owner can't be queried.
 ///
-/// `closing` must have been read before `segment`, so that the segment is complete. A token without a recorded outcome
-/// is [`Verdict::NotRun`] only if a closing record covers its issue time: the owner writes the record after its last
-/// request ended and refuses all later ones. Otherwise the verdict is [`Verdict::MayHaveRun`].
+/// `closing` must have been read before `segment`, so that the segment is complete. Without a recorded outcome the
+/// verdict is [`Verdict::NotRun`] only if a closing record covers the issue time, because the owner writes it after its
+/// last request ended and refuses later ones; otherwise it is [`Verdict::MayHaveRun`].
 pub fn verdict_of_lost_owner(
     token: &ExecutionToken,
     closing: Option<&ClosingRecord>,
@@ -89,7 +87,7 @@
     }
 }
 
-/// Returns the random half of the nonce; the other half is the message authentication code.
+/// The random half of the nonce; the other half is the message authentication code.
 fn outcome_key(token: &ExecutionToken) -> String {
     let random = (token.nonce >> 64) as u64;
     format!("{random:016x}")
--- a/crates/sorrelturn-once/tests/at_most_once.rs
+++ b/crates/sorrelturn-once/tests/at_most_once.rs
@@ -363,7 +363,6 @@
     assert_eq!(nested.get(&key), None);
 }
 
-/// An event that affects the owners or the copies of requests in transit.
 #[derive(Clone, Debug)]
 enum Event {
     Issue,
--- a/crates/sorrelturn-once/tests/attempts.rs
+++ b/crates/sorrelturn-once/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Guards against an owner that reports an attempt as never arrived although it ran or will run: the sender would then
-//! retry it and it would run twice.
+//! Guards against an owner that reports an attempt as never arrived although it ran or will run: the sender's retry
+//! would then run twice.
 
 use proptest::prelude::*;
 use sorrelturn_once::AttemptRegister;
@@ -105,8 +105,8 @@
 }
 
 proptest! {
-    /// In every order of arrivals, ends and queries: an attempt that ran is never reported as never arrived, and an
-    /// attempt reported as never arrived doesn't run within a minute.
+    /// In every order of arrivals, ends and queries, an attempt that ran is never reported as never arrived, and one
+    /// reported so doesn't run within a minute.
     #[test]
     fn an_attempt_reported_as_never_arrived_did_not_run_and_does_not_run_later(steps in steps()) {
         let mut register = AttemptRegister::default();
--- a/crates/sorrelturn-protocol/src/attempt_status.rs
+++ b/crates/sorrelturn-protocol/src/attempt_status.rs
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Identifies one attempt of one call; each retry has a span of its own.
+/// One attempt of one call; each retry has its own span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The root request.
@@ -16,31 +16,30 @@
     pub span: SpanId,
 }
 
-/// The query that the sender of an attempt sends to the owner: the daemon that forwards the attempt to its backend
-/// server.
+/// The sender's query to the owner: the daemon that forwards the attempt to its backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStatusQuery {
-    /// The incarnation of the owner that the attempt was sent to; a later incarnation doesn't know the attempt.
+    /// The owner's incarnation that the attempt was sent to; a later one doesn't know it.
     pub owner: Incarnation,
     /// The attempt in question.
     pub attempt: AttemptId,
-    /// The time since the attempt was sent, in milliseconds.
+    /// Milliseconds since the attempt was sent.
     pub sent_ms_ago: u32,
 }
 
-/// The status of an attempt, as the owner reports it.
+/// An attempt's status, as the owner reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptStatus {
-    /// The attempt never arrived. The owner refuses it if it arrives later, so it has not run and never will.
+    /// It never arrived. The owner refuses it if it arrives later, so it never runs.
     NeverCame,
-    /// The attempt is in progress.
+    /// It is in progress.
     AtWork,
-    /// The attempt is finished or its status is unknown; it may have run.
+    /// It is finished or its status is unknown; it may have run.
     Over,
 }
 
 impl AttemptStatusQuery {
-    /// Encodes this value as a header value.
+    /// Encodes as a header value.
     pub fn encode(&self) -> String {
         encode(self)
     }
@@ -52,7 +51,7 @@
 }
 
 impl AttemptStatus {
-    /// Encodes this value as a header value.
+    /// Encodes as a header value.
     pub fn encode(self) -> String {
         encode(&self)
     }
--- a/crates/sorrelturn-protocol/src/backend.rs
+++ b/crates/sorrelturn-protocol/src/backend.rs
@@ -14,17 +14,17 @@
     Gone,
 }
 
-/// The state of a backend server, as it announces it.
+/// A backend server's announced state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The id of the backend server; it may stay the same over restarts.
+    /// The backend server's id; may stay the same over restarts.
     pub id: String,
-    /// The start time of the backend server, in milliseconds since the Unix epoch by its own clock. Together with `id`
-    /// it identifies an incarnation. If absent, each incarnation must have its own `id`.
+    /// Start time by the backend server's clock, in milliseconds since the Unix epoch; identifies an incarnation
+    /// together with `id`. If absent, each incarnation must have its own `id`.
     #[serde(default)]
     pub born: Option<u64>,
     /// Whether the backend server accepts requests.
     pub state: BackendState,
-    /// Increases with each announcement of an incarnation; an announcement with a lower number is stale.
+    /// Increases with each announcement of an incarnation; lower numbers are stale.
     pub sequence: u64,
 }
--- a/crates/sorrelturn-protocol/src/context.rs
+++ b/crates/sorrelturn-protocol/src/context.rs
@@ -1,4 +1,4 @@
-//! Metadata of a call and of its answer, which daemons exchange in one header each.
+//! Metadata of a call and of its answer, each sent between daemons in one header.
 
 use crate::{
     CallerId, ExecutionToken, Importance, Incarnation, Priority, Refusal, RequestFingerprints,
@@ -8,76 +8,75 @@
 use displaydoc::Display;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// The metadata that a daemon sends along with a call that it forwards.
+/// The metadata of a forwarded call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallContext {
     /// The root request.
     pub request: RequestId,
     /// The W3C trace id.
     pub trace: u128,
-    /// The span of the forwarding hop, which is the parent of the next hop's span.
+    /// The span of the forwarding hop, the parent of the next hop's span.
     pub parent: SpanId,
-    /// The name of the request kind in the bundle.
+    /// The request kind's name in the bundle.
     pub kind: String,
-    /// The target service. The receiver checks it because an address may since belong to another service.
+    /// The target service, which the receiver checks: its address may since belong to another service.
     pub service: String,
     /// The importance of the root request.
     pub importance: Importance,
-    /// The number of backend servers between the root request and this call; 0 for the root request.
+    /// The number of backend servers between the root request and this call.
     pub depth: u8,
-    /// The time until the deadline when the call was sent, in milliseconds.
+    /// Milliseconds until the deadline when the call was sent.
     pub deadline_ms: u32,
-    /// The maximum number of executions of this call and of all calls nested in it.
+    /// The maximum number of executions of this call and its nested calls.
     pub attempts: u32,
     /// The execution token, for a call that runs at most once.
     pub token: Option<ExecutionToken>,
     /// The caller of the root request.
     pub caller: CallerId,
-    /// The shedding level at which the root request was admitted, in steps of 1/256. If the parent of a nested call is
-    /// unknown, the mean level of the requests in progress at the backend server that makes the call.
+    /// The shedding level at which the root request was admitted, in steps of 1/256. If a nested call's parent is
+    /// unknown: the mean level of the requests in progress at the calling backend server.
     pub level: u16,
-    /// Whether the request may have run before, so that its nested calls may be repeats.
+    /// Whether the request may have run before, so that nested calls may be repeats.
     pub repeated: bool,
-    /// The fingerprints of the request, which identify it to the quarantine.
+    /// Identify the request to the quarantine.
     pub names: RequestFingerprints,
 }
 
 impl CallContext {
-    /// Returns the root request's priority in the shedding order, which is the same at every hop.
+    /// The root request's priority, the same at every hop.
     pub fn priority(&self) -> Priority {
         Priority::new(self.importance, self.request.shedding_bucket())
     }
 }
 
-/// The metadata that the owner of a call, the daemon beside the backend server, returns to the daemon that forwarded
-/// the call.
+/// The metadata that the owner of a call, the daemon beside the backend server, returns to the forwarding daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerContext {
     /// Whether the call may have run.
     pub verdict: Verdict,
-    /// The reason for a refusal, if the call was refused.
+    /// The reason, if the call was refused.
     pub refusal: Option<Refusal>,
-    /// The delay before a retry, in milliseconds; 0 if the call was not refused.
+    /// Milliseconds before a retry; 0 if the call was not refused.
     pub retry_after_ms: u32,
-    /// The executions of the call's budget that were not used.
+    /// The unused executions of the call's budget.
     pub attempts_left: u32,
-    /// Whether the failure occurred in a nested call and was already retried there.
+    /// Whether a nested call failed and was already retried there.
     pub already_retried: bool,
     /// The priority below which requests are shed, or the shedding level in steps of 1/256 if root requests are shed at
-    /// their entry. The maximum over the owner and the services that it calls.
+    /// their entry; the maximum over the owner and the services that it calls.
     pub threshold: Priority,
     /// Calls in flight and queued, in percent of the concurrency limit.
     pub load: u16,
-    /// The version of the bundle in force at the owner.
+    /// The owner's bundle version in force.
     pub bundle_version: u64,
-    /// The staleness of the owner's configuration: the time since it last confirmed that no higher bundle version
-    /// exists, in milliseconds. Absent if the bundle has no workspaces.
+    /// Milliseconds since the owner last confirmed that no higher bundle version exists; absent if the bundle has no
+    /// workspaces.
     pub knowledge_age_ms: Option<u32>,
     /// The owner's incarnation, which reveals a restart.
     pub incarnation: Incarnation,
     /// Whether the owner is leaving the fleet.
     pub leaving: bool,
-    /// Whether the owner has learned that requests of this kind are calls of backend servers.
+    /// Whether the owner has learned that this kind is called by backend servers.
     pub is_call: bool,
 }
 
@@ -105,7 +104,7 @@
 }
 
 impl CallContext {
-    /// Encodes this value as a header value.
+    /// Encodes as a header value.
     pub fn encode(&self) -> String {
         encode(self)
     }
@@ -117,7 +116,7 @@
 }
 
 impl AnswerContext {
-    /// Encodes this value as a header value.
+    /// Encodes as a header value.
     pub fn encode(&self) -> String {
         encode(self)
     }
--- a/crates/sorrelturn-protocol/src/crash.rs
+++ b/crates/sorrelturn-protocol/src/crash.rs
@@ -3,9 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Identifies the content of a request, independent of its request id and of the VM that handles it.
-///
-/// The value holds the leading 64 bits of a hash.
+/// The leading 64 bits of a hash of a request's content, independent of its request id and VM.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -19,13 +17,13 @@
 
 /// The fingerprints of one request.
 ///
-/// The cause of a crash may be the path, whatever the query, or one particular query of a common path. Each
-/// fingerprint is therefore assessed on its own.
+/// Each is assessed on its own: a crash may be caused by the path, whatever the query, or by one query of a common
+/// path.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestFingerprints {
-    /// The fingerprint of method, host, path, caller and body.
+    /// Covers method, host, path, caller and body.
     pub path: RequestFingerprint,
-    /// The fingerprint that also covers the query, if there is one.
+    /// Covers the query too, if there is one.
     pub with_query: Option<RequestFingerprint>,
 }
 
@@ -36,7 +34,7 @@
     }
 }
 
-/// Identifies one crash of one backend server. The daemon on the same VM chooses the id at random.
+/// The id of one crash of one backend server; chosen at random by the daemon on its VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId(pub u64);
 
@@ -45,9 +43,9 @@
 pub struct CrashReport {
     /// The crash.
     pub id: CrashId,
-    /// The age of the crash in milliseconds. It is recomputed at each hop because monotonic clocks differ between VMs.
+    /// Milliseconds since the crash, recomputed at each hop because monotonic clocks differ between VMs.
     pub age_ms: u64,
-    /// The requests in progress at the time of the crash.
+    /// The requests in progress at the crash.
     pub running: Vec<RequestFingerprint>,
 }
 
@@ -56,21 +54,21 @@
 pub struct ClearedRequest {
     /// One fingerprint of the request.
     pub request: RequestFingerprint,
-    /// The time since the completion was observed, in milliseconds.
+    /// Milliseconds since the completion was observed.
     pub age_ms: u64,
 }
 
-/// Crashes and cleared requests, which daemons exchange to find requests that crash backend servers.
+/// Crashes and cleared requests, exchanged to find requests that crash backend servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashUpdate {
     /// The reported crashes.
     pub crashes: Vec<CrashReport>,
-    /// Requests that are not the cause of a crash.
+    /// Requests that caused no crash.
     pub cleared: Vec<ClearedRequest>,
 }
 
 impl CrashUpdate {
-    /// Returns whether the update has no content.
+    /// Whether it has no content.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.cleared.is_empty()
     }
--- a/crates/sorrelturn-protocol/src/ids.rs
+++ b/crates/sorrelturn-protocol/src/ids.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Identifies one root request over all its hops. The entry daemon generates it at random.
+/// The id of one root request over all its hops; generated at random by the entry daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u128);
 
@@ -15,10 +15,8 @@
         Self(rng.u128(1..))
     }
 
-    /// Returns the bucket (0 to 255) that orders requests of one importance for load shedding. Lower buckets are shed
-    /// first.
-    ///
-    /// Every hop derives the same bucket from the same id, so all hops shed the same requests.
+    /// The bucket (0 to 255) by which requests of one importance are shed, lowest first. Every hop derives it from the
+    /// id, so all hops shed the same requests.
     pub fn shedding_bucket(self) -> u8 {
         let folded = (self.0 >> 64) as u64 ^ self.0 as u64;
         (folded.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 56) as u8
@@ -39,7 +37,7 @@
     }
 }
 
-/// Identifies one incarnation of a daemon process. It is generated at random at each start and never reused.
+/// The id of one incarnation of a daemon process; generated at random at each start and never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -59,14 +57,14 @@
     }
 }
 
-/// Identifies one hop of one request; it is sent as the parent id in the W3C `traceparent` header.
+/// One hop of one request; the parent id in the W3C `traceparent` header.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct SpanId(pub u64);
 
 impl SpanId {
-    /// Generates a random id; zero is excluded because W3C Trace Context reserves it.
+    /// Generates a random id other than zero, which W3C Trace Context reserves.
     pub fn random(rng: &mut fastrand::Rng) -> Self {
         Self(rng.u64(1..))
     }
@@ -78,9 +76,9 @@
     }
 }
 
-/// Identifies a caller by the leading 64 bits of the hash of its name in the bundle.
+/// A caller: the leading 64 bits of the hash of its name in the bundle.
 ///
-/// Recorded outcomes are bound to it, so that no caller can read another caller's answer.
+/// Recorded outcomes are bound to it, so that no caller can read another's answer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/sorrelturn-protocol/src/importance.rs
+++ b/crates/sorrelturn-protocol/src/importance.rs
@@ -24,12 +24,12 @@
     /// All importances, lowest first.
     pub const ALL: [Self; 4] = [Self::Background, Self::Normal, Self::High, Self::Critical];
 
-    /// Returns the position among all importances; 0 is shed first.
+    /// The position among all importances; 0 is shed first.
     pub fn rank(self) -> u8 {
         self as u8
     }
 
-    /// Returns the name in bundles and metrics.
+    /// The name in bundles and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Background => "background",
@@ -46,10 +46,10 @@
     }
 }
 
-/// A request's position in the shedding order: its importance, then the shedding bucket of its id.
+/// A request's position in the shedding order: importance, then shedding bucket.
 ///
-/// The type also serves as a threshold: a request is admitted if its priority is not below the threshold. Where root
-/// requests are shed at their entry, answers carry a shedding level in the same type.
+/// Also used as a threshold, which admits requests not below it, and as the shedding level in answers where root
+/// requests are shed at their entry.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -61,12 +61,12 @@
     /// The highest priority; as a threshold it admits only the highest shedding bucket of critical requests.
     pub const HIGHEST: Self = Self(0x3FF);
 
-    /// Combines an importance with a request's shedding bucket.
+    /// Combines an importance with a shedding bucket.
     pub fn new(importance: Importance, shedding_bucket: u8) -> Self {
         Self(u16::from(importance.rank()) << 8 | u16::from(shedding_bucket))
     }
 
-    /// Returns the importance part of this priority.
+    /// The importance part.
     pub fn importance(self) -> Importance {
         Importance::ALL[usize::from(self.0 >> 8).min(Importance::ALL.len() - 1)]
     }
--- a/crates/sorrelturn-protocol/src/member.rs
+++ b/crates/sorrelturn-protocol/src/member.rs
@@ -16,35 +16,35 @@
     Gone,
 }
 
-/// The record of one daemon, which it publishes itself and which peers relay.
+/// The record of one daemon, which publishes it; peers relay it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// The name of the instance, which stays the same over restarts.
+    /// The instance's name; stays the same over restarts.
     pub instance: String,
     /// The service of the backend server on this VM.
     pub service: String,
     /// The failure domain of its VM.
     pub failure_domain: String,
-    /// The incarnation of the process.
+    /// The process's incarnation.
     pub incarnation: Incarnation,
-    /// The start time of the process, in milliseconds since the Unix epoch; it orders incarnations.
+    /// Start of the process in milliseconds since the Unix epoch; orders incarnations.
     pub started_ms: u64,
-    /// Increases with each change of state within an incarnation.
+    /// Increases with each state change within an incarnation.
     pub sequence: u32,
     /// Whether the daemon accepts new calls.
     pub state: MemberState,
-    /// The address to which peers forward calls.
+    /// Where peers forward calls.
     pub peer_addr: SocketAddr,
-    /// The address to which peers send control messages.
+    /// Where peers send control messages.
     pub control_addr: SocketAddr,
-    /// The last announcement of the backend server that the daemon acknowledged, from which its next incarnation
-    /// resumes. Absent if backend servers don't announce themselves.
+    /// The backend server's last acknowledged announcement, from which the next incarnation resumes. Absent if backend
+    /// servers don't announce themselves.
     #[serde(default)]
     pub backend: Option<Announcement>,
 }
 
 impl MemberRecord {
-    /// Returns whether this record is newer than `other`, a record of the same instance.
+    /// Whether this is newer than `other`, a record of the same instance.
     pub fn supersedes(&self, other: &Self) -> bool {
         self.recency_key() > other.recency_key()
     }
--- a/crates/sorrelturn-protocol/src/refusal.rs
+++ b/crates/sorrelturn-protocol/src/refusal.rs
@@ -67,7 +67,7 @@
 }
 
 impl Refusal {
-    /// Returns the HTTP status of the response to the caller.
+    /// The HTTP status of the response to the caller.
     pub fn status(self) -> u16 {
         match self {
             Self::Malformed => 400,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns the name in metrics.
+    /// The name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Overload => "overload",
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Returns whether the load reported with this refusal reflects the load of the service. A daemon whose backend
-    /// server accepts no requests is idle even if the other instances of the service are overloaded.
+    /// Whether the load reported with this refusal is the service's: a daemon whose backend server accepts no requests
+    /// is idle even if the other instances are overloaded.
     pub fn indicates_service_load(self) -> bool {
         !matches!(
             self,
@@ -135,7 +135,7 @@
         )
     }
 
-    /// Returns whether another instance may accept a request that this one refused without running it.
+    /// Whether another instance may accept a request that this one refused without running it.
     pub fn is_retryable_elsewhere(self) -> bool {
         matches!(
             self,
--- a/crates/sorrelturn-protocol/src/token.rs
+++ b/crates/sorrelturn-protocol/src/token.rs
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, str::FromStr};
 
-/// Identifies the only process that may forward the request that carries the token.
+/// Names the only process that may forward the request that carries the token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ExecutionToken {
     /// The owner: one incarnation of a daemon process.
     pub owner: Incarnation,
-    /// The time of issue, in milliseconds since the owner's start by its monotonic clock.
+    /// Time of issue, in milliseconds since the owner's start by its monotonic clock.
     pub issued_ms: u64,
-    /// A random number that makes tokens unguessable.
+    /// Random, so that tokens are unguessable.
     pub nonce: u128,
 }
 
--- a/crates/sorrelturn-protocol/src/verdict.rs
+++ b/crates/sorrelturn-protocol/src/verdict.rs
@@ -5,27 +5,27 @@
 
 /// Whether any backend server may have run a request.
 ///
-/// Variants are ordered: the verdict over several attempts is the greatest of theirs.
+/// Ordered: the verdict over several attempts is the greatest of theirs.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Verdict {
-    /// No backend server ran the request: it was not sent to one, or was refused there before running.
+    /// It was not sent to a backend server, or was refused there before running.
     NotRun,
-    /// A backend server may have run the request, and its outcome is unknown.
+    /// It may have run; the outcome is unknown.
     #[default]
     MayHaveRun,
-    /// A backend server ran the request and answered it.
+    /// A backend server ran and answered it.
     Ran,
 }
 
 impl Verdict {
-    /// Returns the verdict over two attempts of one request.
+    /// The verdict over two attempts of one request.
     pub fn combine(self, other: Self) -> Self {
         self.max(other)
     }
 
-    /// Returns the value of the `sorrelturn-verdict` header.
+    /// The value of the `sorrelturn-verdict` header.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/sorrelturn-quota/src/allocator.rs
+++ b/crates/sorrelturn-quota/src/allocator.rs
@@ -7,30 +7,25 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The number of pools at which idle pools are evicted.
 const POOL_EVICTION_THRESHOLD: usize = 20_000;
-/// The minimum Retry-After time for a caller that is over its quota.
+/// For a caller over its quota.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The maximum Retry-After time for a caller that is over its quota.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// The time constant with which the backlog of refused requests decays.
+/// The time constant of the decay of the refused requests' backlog.
 const BACKLOG_DECAY_TIME: Duration = Duration::from_secs(5);
 
-/// A quota client that leases shares to this allocator.
 #[derive(Clone, Debug)]
 struct Lessor {
     members: u32,
     leases: [LeasePeriod; SHARD_COUNT],
 }
 
-/// The period of a share's lease.
 #[derive(Clone, Copy, Debug, Default)]
 struct LeasePeriod {
     since: Now,
     until: Now,
 }
 
-/// The remaining quota of a workspace.
 #[derive(Clone, Copy, Debug)]
 struct Pool {
     tokens: f64,
@@ -41,25 +36,24 @@
     last_refusal: Now,
 }
 
-/// The part of a daemon that grants requests of its shards' workspaces, in proportion to the shares leased to it.
+/// Grants requests of its shards' workspaces, in proportion to the shares leased to it.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     incarnation: Incarnation,
     validity: ValidityConfig,
     lessors: BTreeMap<Incarnation, Lessor>,
-    /// The number of members among which the quotas are divided, and the time before which it can't decrease.
+    /// The number of members that share the quotas, and the time before which it can't decrease.
     quota_divisor: (u32, Now),
-    /// For each shard, the sum of share times lease time over all leases, in seconds.
+    /// Per shard, the sum of share times lease time over all leases.
     leased_share_seconds: [f64; SHARD_COUNT],
-    /// For each shard, the fraction of the shares that is currently leased.
     leased_fraction: [f64; SHARD_COUNT],
-    /// The time up to which `leased_share_seconds` and `leased_fraction` are computed.
+    /// `leased_share_seconds` and `leased_fraction` are computed up to here.
     counted_until: Now,
     pools: BTreeMap<CallerId, Pool>,
 }
 
 impl QuotaAllocator {
-    /// Creates an allocator to which no share is leased.
+    /// Creates an allocator without leased shares.
     pub fn new(incarnation: Incarnation, validity: ValidityConfig, now: Now) -> Self {
         Self {
             incarnation,
@@ -75,8 +69,8 @@
 
     /// Processes an acquire request.
     ///
-    /// `limit` is the token bucket of the requested workspace, absent if its quota is unknown here; `members` is the
-    /// number of members that this allocator knows.
+    /// `limit` is the workspace's token bucket, absent if its quota is unknown here; `members` the number of members
+    /// known here.
     pub fn acquire(
         &mut self,
         now: Now,
@@ -100,7 +94,7 @@
         }
     }
 
-    /// Returns the fraction of a shard's shares that is leased to this allocator.
+    /// The fraction of a shard's shares leased to this allocator.
     pub fn leased_fraction(&mut self, now: Now, shard: Shard, members: u32) -> f64 {
         let now = self.monotonic(now);
         self.count_leased(now, members);
@@ -144,7 +138,7 @@
         }
     }
 
-    /// Adds the lease time up to `now` to the totals and removes lessors without a valid lease.
+    /// Adds the lease time up to `now` and removes lessors without a valid lease.
     fn count_leased(&mut self, now: Now, members: u32) {
         let previously_counted_until = self.counted_until;
         let share = 1.0 / f64::from(self.quota_divisor(now, members));
@@ -164,9 +158,8 @@
         self.lessors.retain(|_, lessor| has_lease(lessor));
     }
 
-    /// Returns the number of members among which the quotas are divided: the maximum that any daemon reports.
-    ///
-    /// It decreases only after a lease duration, because leases of departed members are valid until then.
+    /// The number of members that share the quotas: the maximum that any daemon reports. It decreases only after a
+    /// lease duration, because departed members' leases are valid until then.
     fn quota_divisor(&mut self, now: Now, members: u32) -> u32 {
         let reported = self.lessors.values().map(|lessor| lessor.members).max();
         let members = reported.unwrap_or(1).max(members).max(1);
@@ -193,7 +186,7 @@
             self.leased_share_seconds[index],
             self.leased_fraction[index],
         );
-        // A new pool is credited for all share-seconds so far; an evicted one has earned tokens in the meantime.
+        // A new pool is credited for all share-seconds so far; an evicted one has earned tokens meanwhile.
         let pool = self.pools.entry(workspace).or_insert(Pool {
             tokens: 0.0,
             credited_share_seconds: 0.0,
@@ -201,7 +194,7 @@
             last_refusal: now,
         });
         let earned = limit.rate * (leased - pool.credited_share_seconds);
-        // The capacity is at least one request. Otherwise a small fragment of the fleet would grant nothing.
+        // At least one request; otherwise a small fragment of the fleet would grant nothing.
         pool.tokens = (pool.tokens + earned).min((limit.burst * leased_fraction).max(1.0));
         pool.credited_share_seconds = leased;
         let granted = (pool.tokens.max(0.0) as u32).min(requested);
@@ -216,8 +209,8 @@
         if self.pools.len() < POOL_EVICTION_THRESHOLD {
             return;
         }
-        // An evicted pool is recreated full. A pool without requests for this many share-seconds has refilled if they
-        // earn at least its capacity.
+        // An evicted pool is recreated full. Without requests for this many share-seconds it has refilled if they earn
+        // at least its capacity.
         let leased = self.leased_share_seconds;
         let is_idle = |workspace: &CallerId, pool: &Pool| {
             leased[Shard::of(*workspace).index()] - pool.credited_share_seconds
@@ -229,7 +222,7 @@
 }
 
 impl Pool {
-    /// Records a refused request; returns the time after which the estimated backlog has probably drained.
+    /// Returns the time after which the estimated backlog has probably drained.
     fn record_refusal(&mut self, now: Now, rate: f64) -> Duration {
         let elapsed = now.saturating_sub(self.last_refusal).as_secs_f64();
         self.backlog = self.backlog * (-elapsed / BACKLOG_DECAY_TIME.as_secs_f64()).exp() + 1.0;
--- a/crates/sorrelturn-quota/src/bound.rs
+++ b/crates/sorrelturn-quota/src/bound.rs
@@ -3,30 +3,30 @@
 use crate::Limit;
 use std::time::Duration;
 
-/// The fraction of the slack that the bucket uses. The rest covers the one request that each fragment of a partitioned
+/// The part of the slack that the bucket uses. The rest covers the one request that each fragment of a partitioned
 /// fleet may grant regardless of its share.
 const SLACK_FRACTION: f64 = 0.5;
-/// The minimum fraction of the burst that the bucket can hold if the bound leaves little beyond the rate.
+/// The minimum capacity as a fraction of the burst, if the bound leaves little beyond the rate.
 const MIN_BURST_FRACTION: f64 = 0.25;
 
-/// The bound of a quota: at most `(rate * window + burst) * (1 + overage) + slack` requests in every window.
+/// At most `(rate * window + burst) * (1 + overage) + slack` requests in every window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Bound {
     /// The duration of the window.
     pub window: Duration,
-    /// The fraction by which the number of requests may exceed `rate * window + burst`.
+    /// The permitted excess over `rate * window + burst`, as a fraction.
     pub overage: f64,
-    /// The number of requests that may be admitted beyond that.
+    /// The requests permitted beyond that.
     pub slack: f64,
 }
 
 impl Bound {
-    /// Returns the token bucket that enforces the bound in every window, even if an allocator loses its state.
+    /// The token bucket that enforces the bound in every window, even if an allocator loses its state.
     ///
-    /// A workspace may use its burst again in each window, so the bucket refills at the rate plus one burst per window,
-    /// or more slowly if the bound would leave too little capacity. The capacity is the rest of the bound. A grant
-    /// issued before a window may be used in it, so the bucket refills over the window plus `grant_validity`, the time
-    /// for which an unused grant stays valid.
+    /// The burst may be used again in each window, so the bucket refills at the rate plus one burst per window, or more
+    /// slowly if the bound would leave too little capacity. The capacity is the rest of the bound. A grant issued
+    /// before a window may be used in it, so the bucket refills over the window plus `grant_validity`, for which an
+    /// unused grant stays valid.
     pub fn token_bucket(&self, quota: Limit, grant_validity: Duration) -> Limit {
         let window = self.window.as_secs_f64();
         let max_without_slack = (quota.rate * window + quota.burst) * (1.0 + self.overage);
--- a/crates/sorrelturn-quota/src/client.rs
+++ b/crates/sorrelturn-quota/src/client.rs
@@ -1,5 +1,5 @@
-//! The quota client: leases the daemon's own shares to allocators and holds the grants that it gets from them. It runs
-//! in the daemon at which a caller's request enters.
+//! The quota client, in the daemon at which a caller's request enters: leases the daemon's shares to allocators and
+//! holds the grants it gets.
 
 use crate::{
     AcquireOutcome, AcquireReply, AcquireRequest, ClockReading, Lease, Now, SHARD_COUNT, Shard,
@@ -8,26 +8,22 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::{collections::BTreeMap, time::Duration};
 
-/// The factor by which the quota client extends its leases, because an allocator's clock may be slower than its own.
+/// Extends leases, because an allocator's clock may be slower than the quota client's.
 const CLOCK_MARGIN_FACTOR: f64 = 1.05;
-/// The fraction of the lease duration after which a lease is renewed.
-///
-/// It is below one half because the clock reading of a renewal is already one renewal interval old.
+/// The fraction of the lease duration after which a lease is renewed; below one half because the clock reading of a
+/// renewal is already one renewal interval old.
 pub const RENEW_AFTER_FRACTION: f64 = 0.4;
-/// How long an allocator that didn't reply is skipped.
 const UNRESPONSIVE_SKIP_DURATION: Duration = Duration::from_secs(3);
-/// The interval between acquire requests for a workspace that is over its quota, so that it can't overload its
-/// allocator.
+/// Between acquire requests for a workspace over its quota, so that it can't overload its allocator.
 const OVER_QUOTA_INTERVAL: Duration = Duration::from_millis(100);
-/// The number of grant balances at which expired ones are evicted.
 const BALANCE_EVICTION_THRESHOLD: usize = 20_000;
 
-/// The allocator that an acquire request goes to, and the lease sent with it.
+/// Where an acquire request goes, and the lease sent with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AcquireTarget {
-    /// The incarnation of the allocator.
+    /// The allocator's incarnation.
     pub allocator: Incarnation,
-    /// The lease that is sent with the request.
+    /// The lease sent with the request.
     pub lease: Option<Lease>,
 }
 
@@ -40,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReading {
     clock_reading: ClockReading,
-    /// The time of receipt by the quota client's clock.
+    /// By the quota client's clock.
     received_at: Now,
 }
 
@@ -48,29 +44,27 @@
 struct GrantBalance {
     grants: u32,
     expires_at: Now,
-    /// If the workspace is over its quota: the time of the next acquire request, and the Retry-After time.
+    /// If over its quota: the time of the next acquire request, and the Retry-After time.
     over_quota: Option<(Now, Duration)>,
 }
 
-/// The part of a daemon that leases its shares to allocators and requests grants from them.
+/// Leases the daemon's shares to allocators and requests grants from them.
 #[derive(Clone, Debug)]
 pub struct QuotaClient {
     incarnation: Incarnation,
     started: Now,
-    /// The lease duration. It only increases, as more members become known.
+    /// Only increases, as more members become known.
     lease_duration: Duration,
     validity: ValidityConfig,
     preferred_allocators: [Option<Incarnation>; SHARD_COUNT],
-    /// The last lease of each shard's share.
     leased: [Option<LeasedShare>; SHARD_COUNT],
     readings: BTreeMap<Incarnation, ReceivedReading>,
-    /// The time until which each unresponsive allocator is skipped.
     unresponsive_until: BTreeMap<Incarnation, Now>,
     balances: BTreeMap<CallerId, GrantBalance>,
 }
 
 impl QuotaClient {
-    /// Creates the state of an incarnation that starts at `now`.
+    /// The state of an incarnation that starts at `now`.
     pub fn new(incarnation: Incarnation, validity: ValidityConfig, now: Now) -> Self {
         Self {
             incarnation,
@@ -85,7 +79,7 @@
         }
     }
 
-    /// Sets the preferred allocator of each shard and the number of members.
+    /// Sets each shard's preferred allocator and the number of members.
     pub fn set_preferred(&mut self, members: u32, of_shard: impl Fn(Shard) -> Option<Incarnation>) {
         self.lease_duration = self
             .lease_duration
@@ -95,12 +89,12 @@
         }
     }
 
-    /// Returns the lease duration.
+    /// The lease duration.
     pub fn lease_duration(&self) -> Duration {
         self.lease_duration
     }
 
-    /// Whether an allocator is skipped because it recently didn't reply.
+    /// Whether an allocator is skipped because it didn't reply.
     pub fn is_unresponsive(&self, now: Now, allocator: Incarnation) -> bool {
         let until = self.unresponsive_until.get(&allocator);
         until.is_some_and(|until| now < *until)
@@ -113,7 +107,7 @@
             .insert(allocator, now + UNRESPONSIVE_SKIP_DURATION);
     }
 
-    /// Uses one grant of a workspace; returns `false` if there is no valid one.
+    /// Uses one grant; returns `false` if none is valid.
     pub fn use_grant(&mut self, now: Now, workspace: CallerId) -> bool {
         match self.balances.get_mut(&workspace) {
             Some(balance) if now < balance.expires_at && balance.grants > 0 => {
@@ -124,18 +118,16 @@
         }
     }
 
-    /// Returns the Retry-After time of a workspace that was over its quota very recently, in which case no acquire
-    /// request is needed.
+    /// The Retry-After time of a workspace over its quota very recently, for which no acquire request is needed.
     pub fn retry_after(&self, now: Now, workspace: CallerId) -> Option<Duration> {
         let (until, retry_after) = self.balances.get(&workspace)?.over_quota?;
         (now < until).then_some(retry_after)
     }
 
-    /// Selects the allocator for an acquire request and the lease to send with it. From this call on the shares count
-    /// as leased.
+    /// Selects the allocator for an acquire request and the lease to send; from then on the shares count as leased.
     ///
-    /// A share is leased to one allocator at a time. While a lease to an allocator other than the preferred one may be
-    /// valid, the request goes to that allocator without a lease, unless it is unresponsive.
+    /// A share is leased to one allocator at a time. While a lease to another than the preferred one may be valid, the
+    /// request goes there without a lease, unless it is unresponsive.
     pub fn target(&mut self, now: Now, shard: Shard) -> Option<AcquireTarget> {
         let preferred = self.preferred_allocators[shard.index()]?;
         let other_lessee = self.other_lessee_of(now, shard, preferred);
@@ -151,7 +143,7 @@
         }
     }
 
-    /// Returns one shard for each allocator whose lease is due for renewal or not yet established.
+    /// One shard for each allocator whose lease is due for renewal or not yet established.
     pub fn due_renewals(&self, now: Now) -> Vec<Shard> {
         let renew_after = self.lease_duration.mul_f64(RENEW_AFTER_FRACTION);
         let mut due: Vec<Shard> = Vec::new();
@@ -187,7 +179,7 @@
         }
     }
 
-    /// Processes the reply to an acquire request sent at `sent`; returns whether the client request may run.
+    /// Processes the reply to a request sent at `sent`; returns whether the client request may run.
     pub fn accept_reply(
         &mut self,
         now: Now,
@@ -251,7 +243,7 @@
         );
     }
 
-    /// Returns the fraction of shards whose shares are leased.
+    /// The fraction of shards whose shares are leased.
     pub fn leased_fraction(&self, now: Now) -> f64 {
         let leased = self
             .leased
@@ -261,7 +253,6 @@
         leased.count() as f64 / SHARD_COUNT as f64
     }
 
-    /// Returns the allocator other than `allocator` to which the share is leased.
     fn other_lessee_of(
         &self,
         now: Now,
--- a/crates/sorrelturn-quota/src/shard.rs
+++ b/crates/sorrelturn-quota/src/shard.rs
@@ -4,9 +4,8 @@
 use sorrelturn_protocol::{CallerId, Incarnation};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The number of shards, which is also the maximum number of allocators that a quota client prefers at a time.
-///
-/// More shards distribute the load over more allocators but cost each quota client more messages.
+/// Also the maximum number of allocators that a quota client prefers at a time. More shards spread the load over more
+/// allocators but cost each quota client more messages.
 pub const SHARD_COUNT: usize = 8;
 
 /// The number of a shard.
@@ -14,7 +13,7 @@
 pub struct Shard(pub u8);
 
 impl Shard {
-    /// Returns the shard of a workspace.
+    /// The shard of a workspace.
     pub fn of(workspace: CallerId) -> Self {
         Self((workspace.0 % SHARD_COUNT as u64) as u8)
     }
@@ -65,10 +64,8 @@
     }
 }
 
-/// Selects a shard's allocator by rendezvous hashing.
-///
-/// Quota clients with the same member list select the same allocator. When a member joins or leaves, only its own
-/// shards move.
+/// Selects a shard's allocator by rendezvous hashing: clients with the same members select the same one, and a joining
+/// or leaving member moves only its own shards.
 pub fn preferred_allocator<'a>(
     shard: Shard,
     members: impl Iterator<Item = (&'a str, Incarnation)>,
--- a/crates/sorrelturn-quota/tests/allocator.rs
+++ b/crates/sorrelturn-quota/tests/allocator.rs
@@ -22,7 +22,7 @@
     Duration::from_millis(ms)
 }
 
-/// Builds an acquire request that leases the share of the workspace's shard, with a clock reading of `now`.
+/// Leases the share of the workspace's shard, with a clock reading of `now`.
 fn request(from: u64, now: Now, requested: u32) -> AcquireRequest {
     let shards: ShardSet = [Shard::of(WORKSPACE)].into_iter().collect();
     let clock_reading = ClockReading {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Lets all `lessors` acquire as many grants as possible every 10 ms; returns the number granted.
+/// All `lessors` acquire as many grants as possible every 10 ms; returns the number granted.
 fn acquire_in_steps(
     allocator: &mut QuotaAllocator,
     lessors: &[u64],
@@ -158,8 +158,7 @@
     assert_eq!(reply.outcome, AcquireOutcome::Granted(2));
 }
 
-/// A thread may be delayed between its clock reading and its call of the allocator, for instance while its VM is
-/// suspended.
+/// A thread may be delayed between reading its clock and calling the allocator, for instance while its VM is suspended.
 #[test]
 fn an_out_of_order_clock_reading_counts_no_time_twice() {
     let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
@@ -178,7 +177,7 @@
     );
 }
 
-/// While the settings of a fleet change, lessors and allocators may use different ones.
+/// While a fleet's settings change, lessors and allocators may use different ones.
 #[test]
 fn a_lease_expires_no_later_than_its_lessor_assumes() {
     let mut allocator = QuotaAllocator::new(INCARNATION, VALIDITY, Now::ZERO);
--- a/crates/sorrelturn-quota/tests/leases.rs
+++ b/crates/sorrelturn-quota/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Simulates daemons that lease their shares to one allocator over a network with delays. Guards against shares that
-//! stay unleased long after a fleet starts, and against too many renewals.
+//! Simulates daemons that lease shares to one allocator over a network with delays. Guards against shares that stay
+//! unleased long after a start, and against too many renewals.
 
 use sorrelturn_protocol::Incarnation;
 use sorrelturn_quota::{
@@ -15,14 +15,13 @@
 const SHARD: Shard = Shard(0);
 const STEP: Duration = Duration::from_millis(5);
 const SIMULATED_DURATION: Duration = Duration::from_secs(10);
-/// The time after which the startup phase is over for every lease duration.
+/// Ends the startup phase for every lease duration.
 const STARTUP_DURATION: Duration = Duration::from_secs(4);
 const LEASE_DURATIONS_MS: [u64; 3] = [1_000, 500, 250];
-/// One-way network delays between neighbouring failure domains and between continents.
+/// Between neighbouring failure domains and between continents.
 const NEAR_ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 const FAR_ONE_WAY_DELAY: Duration = Duration::from_millis(80);
 
-/// The result of a simulation.
 #[derive(Debug)]
 struct Played {
     /// The time from the start until nearly all shares are leased.
@@ -36,7 +35,7 @@
 
 struct Daemon {
     client: QuotaClient,
-    /// The reply to a renewal in transit, with its arrival time.
+    /// With its arrival time.
     reply_in_transit: Option<(Now, AcquireReply)>,
 }
 
--- a/crates/sorrelturn-quota/tests/model_check.rs
+++ b/crates/sorrelturn-quota/tests/model_check.rs
@@ -26,9 +26,9 @@
     rate: 2.0,
     burst: 2.0,
 };
-/// The last tick of the search: enough for a lease to expire and for a lease to another allocator.
+/// Enough for a lease to expire and for a lease to another allocator.
 const MAX_TICKS: u32 = FIRST_TICK + 2;
-/// The tick in which the search starts. By then both daemons lease their shares to the first one.
+/// By this tick both daemons lease their shares to the first one.
 const FIRST_TICK: u32 = 8;
 const MAX_MESSAGES: usize = 2;
 const MAX_RESTARTS: u32 = 1;
@@ -128,7 +128,6 @@
         }
     }
 
-    /// Notifies all daemons of changed preferences and new incarnations.
     fn update_preferred(&mut self) {
         let incarnations: Vec<Incarnation> = self
             .daemons
@@ -264,8 +263,7 @@
         }
     }
 
-    /// Checks the invariants: at most all shares are leased, and no window has more requests than the limit allows.
-    /// Returns a description of a violation.
+    /// Checks that at most all shares are leased and that no window exceeds the limit; describes a violation.
     fn violation(&self) -> Option<String> {
         let now = self.now();
         let mut daemons = self.daemons.clone();
@@ -283,8 +281,7 @@
         for from in 0..=self.ticks {
             let ran = self.ran.iter().filter(|tick| **tick >= from).count();
             let window = TICK * (self.ticks - from) + VALIDITY.grant_validity;
-            // Each fragment of the fleet beyond the first can grant one request, however small its share of the burst
-            // is.
+            // Each fragment of the fleet beyond the first can grant one request, however small its share of the burst.
             let extra_fragments = DAEMONS as f64 - 1.0;
             let allowed = LIMIT.rate * window.as_secs_f64() + LIMIT.burst + extra_fragments;
             if ran as f64 > allowed {
@@ -321,8 +318,8 @@
         hasher.finish()
     }
 
-    /// Whether requests of both daemons run eventually after all pending messages are lost, if all later ones are
-    /// delivered and nothing else happens.
+    /// Whether requests of both daemons run eventually if all pending messages are lost, all later ones are delivered
+    /// and nothing else happens.
     fn makes_progress(&self) -> bool {
         const MAX_PROGRESS_TICKS: u32 = 12;
         let mut state = self.clone();
@@ -361,7 +358,6 @@
     }
 }
 
-/// The result of a search.
 struct SearchResult {
     states: usize,
     /// The shortest trace to a state that violates an invariant, with the violation.
@@ -418,7 +414,7 @@
     trace
 }
 
-/// The number of states from which on the search adds no successors.
+/// From this number of states on, the search adds no successors.
 const MAX_STATES: usize = 150_000;
 
 #[test]
--- a/crates/sorrelturn-quota/tests/random_schedules.rs
+++ b/crates/sorrelturn-quota/tests/random_schedules.rs
@@ -1,5 +1,5 @@
 //! Long random schedules of three daemons with faulty networks, restarts and clock drift. Guards against leasing right
-//! after a restart and against leases without a clock margin; `model_check.rs` searches short schedules systematically.
+//! after a restart and without a clock margin; `model_check.rs` searches short schedules systematically.
 
 use proptest::{prelude::*, sample::Index};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
@@ -20,15 +20,11 @@
     rate: 20.0,
     burst: 2.0,
 };
-/// The window in which accepted requests are counted.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The rate of each daemon's clock in percent. The clock margin tolerates a difference of 5 percent between
-/// two clocks.
+/// Per daemon; the clock margin tolerates a difference of 5 percent between two clocks.
 const CLOCK_RATE_PERCENT: [u32; DAEMONS as usize] = [100, 102, 98];
-/// The number of steps in a schedule.
 const STEPS: usize = 600;
 
-/// One step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
     AdvanceMs(u64),
@@ -38,7 +34,7 @@
     Deliver(Index),
     DeliverTwice(Index),
     Lose(Index),
-    /// The daemon and the index of the daemon that it prefers from now on.
+    /// The daemon and the index of the one that it prefers from now on.
     SetPreferred(usize, usize),
     Restart(usize),
 }
@@ -90,7 +86,6 @@
     incarnation: Incarnation,
     client: QuotaClient,
     allocator: QuotaAllocator,
-    /// The index of the daemon that this one prefers as the allocator.
     preferred: usize,
     clock_rate_percent: u32,
 }
@@ -110,7 +105,6 @@
         daemon
     }
 
-    /// Returns the time by this daemon's clock.
     fn clock_time(&self, now: Duration) -> Now {
         now * self.clock_rate_percent / 100
     }
@@ -121,7 +115,6 @@
     daemons: Vec<Daemon>,
     messages: Vec<Message>,
     last_incarnation: u64,
-    /// The times at which requests ran.
     ran: Vec<Duration>,
 }
 
--- a/crates/sorrelturn-quota/tests/schemes.rs
+++ b/crates/sorrelturn-quota/tests/schemes.rs
@@ -10,18 +10,16 @@
 
 const DAEMONS: usize = 68;
 const WORKSPACES: usize = 76;
-/// The usual load of all workspaces, in requests per second.
+/// Of all workspaces, in requests per second.
 const USUAL_RATE: f64 = 2_100.0;
-/// The rate limit of a workspace as a multiple of its usual rate.
 const LIMIT_PER_USUAL_RATE: f64 = 1.6;
-/// The simulated time after the warm-up, in seconds.
+/// After the warm-up.
 const MEASURED_SECONDS: u64 = 16;
 const STEP: Duration = Duration::from_millis(10);
 const VALIDITY: ValidityConfig = ValidityConfig {
     min_lease_duration: Duration::from_secs(1),
     grant_validity: Duration::from_millis(150),
 };
-/// The window of `BOUND` in steps.
 const WINDOW_STEPS: usize = 500;
 const BOUND: Bound = Bound {
     window: Duration::from_secs(5),
@@ -41,13 +39,11 @@
     HotAndPartitioned,
 }
 
-/// Decides whether a request of a workspace that arrives at a daemon may run.
 trait QuotaScheme {
     fn advance(&mut self, now: Now, is_partitioned: bool);
     fn try_accept(&mut self, now: Now, daemon: usize, workspace: usize) -> bool;
 }
 
-/// A token bucket.
 #[derive(Clone, Copy)]
 struct Bucket {
     limit: Limit,
@@ -78,7 +74,7 @@
     }
 }
 
-/// Returns the usual rate of a workspace. The rates follow Zipf's law: a few large workspaces and many small ones.
+/// By Zipf's law: a few large workspaces and many small ones.
 fn usual_rate(workspace: usize) -> f64 {
     let weights: f64 = (1..=WORKSPACES).map(|rank| 1.0 / rank as f64).sum();
     USUAL_RATE / (workspace + 1) as f64 / weights
@@ -93,7 +89,7 @@
     BOUND.token_bucket(limit(workspace), VALIDITY.grant_validity)
 }
 
-/// Tracks which requests of a workspace are within its limit: in every window its rate plus its burst.
+/// Tracks which requests are within the limit: in every window the rate plus the burst.
 struct LimitTracker {
     steps: VecDeque<u32>,
     in_window: u32,
@@ -153,11 +149,11 @@
     }
 }
 
-/// Daemons accept what remains after the last report and report five times a second. Each side of a partition counts
+/// Daemons accept what remains after the last report; they report five times a second. Each side of a partition counts
 /// separately.
 struct ReportedCounts {
     buckets: [Vec<Bucket>; 2],
-    /// The tokens that remained at the last report.
+    /// As of the last report.
     remaining: [Vec<f64>; 2],
     accepted_since_report: Vec<Vec<f64>>,
     reported_at: Now,
@@ -319,7 +315,6 @@
     daemon.is_multiple_of(3)
 }
 
-/// The result of a simulation.
 struct SimulationResult {
     /// The fraction of requests within the limits that was refused.
     refused: f64,
--- a/crates/sorrelturn-telemetry/src/event.rs
+++ b/crates/sorrelturn-telemetry/src/event.rs
@@ -18,17 +18,17 @@
     pub text: &'static str,
 }
 
-/// A name and value that describe an event, such as an input of a decision.
+/// A named value of an event, such as an input of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Field {
-    /// The name; a literal in most cases, which avoids an allocation per request.
+    /// The name; mostly a literal, which avoids an allocation per request.
     pub name: Cow<'static, str>,
-    /// The value, formatted as text.
+    /// The value as text.
     pub value: String,
 }
 
 impl Field {
-    /// Creates a field from any value that implements `Display`.
+    /// Formats any value that implements `Display`.
     pub fn new(name: &'static str, value: impl fmt::Display) -> Self {
         Self {
             name: Cow::Borrowed(name),
@@ -38,7 +38,7 @@
 }
 
 impl fmt::Display for Field {
-    /// Escapes control characters, so that a value from a backend server or peer can't inject a line into the log.
+    /// Escapes control characters, so that a value from a backend server or peer can't inject a log line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}=", self.name)?;
         if !self.value.contains(char::is_control) {
@@ -58,32 +58,31 @@
 /// One recorded event.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventRecord {
-    /// The time in milliseconds since the Unix epoch.
+    /// Milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The instance whose daemon recorded the event.
+    /// The recording daemon's instance.
     pub instance: String,
-    /// The number of the event kind.
+    /// The event kind's number.
     pub number: u16,
-    /// The name of the event kind.
+    /// The event kind's name.
     pub name: String,
-    /// The description of the event kind.
+    /// The event kind's description.
     pub text: String,
-    /// The id of the root request that the event concerns, if any.
+    /// The root request's id, if the event concerns one.
     pub request: Option<String>,
-    /// The fields, such as the inputs of a decision.
+    /// Fields, such as the inputs of a decision.
     pub fields: Vec<Field>,
 }
 
 impl EventRecord {
-    /// Returns whether the event concerns `request`.
+    /// Whether the event concerns `request`.
     pub fn concerns(&self, request: RequestId) -> bool {
         self.request
             .as_ref()
             .is_some_and(|id| *id == request.to_string())
     }
 
-    /// Parses a log line that [`crate::EventRing`] wrote: the level, the time, the instance and the record.
-    /// Returns `None` for any other line.
+    /// Parses a log line of [`crate::EventRing`]; `None` for any other line.
     pub fn from_log_line(line: &str) -> Option<Self> {
         let mut words = line.split_whitespace().skip(1).peekable();
         let at_ms = words.next()?.parse().ok()?;
@@ -121,7 +120,7 @@
         })
     }
 
-    /// Returns the value of the field with this name.
+    /// The value of the named field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .iter()
--- a/crates/sorrelturn-telemetry/src/metrics.rs
+++ b/crates/sorrelturn-telemetry/src/metrics.rs
@@ -16,7 +16,7 @@
 pub struct Metric {
     /// The name without the prefix `sorrelturn`.
     pub name: &'static str,
-    /// The type of the metric.
+    /// Its type.
     pub kind: MetricKind,
 }
 
--- a/crates/sorrelturn-telemetry/src/ring.rs
+++ b/crates/sorrelturn-telemetry/src/ring.rs
@@ -17,7 +17,7 @@
     events: Mutex<VecDeque<BufferedEvent>>,
 }
 
-/// An event in the buffer; the texts of its kind are added when it is read.
+/// The texts of its kind are added when it is read.
 #[derive(Debug)]
 struct BufferedEvent {
     at_ms: u64,
@@ -40,7 +40,7 @@
 }
 
 impl EventRing {
-    /// Creates a buffer that retains up to `capacity` events of the daemon of `instance`.
+    /// Retains up to `capacity` events.
     pub fn new(instance: &str, capacity: usize) -> Self {
         Self {
             instance: instance.to_owned(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Logs an event and adds it to the buffer.
+    /// Logs and retains an event.
     pub fn record(&self, kind: &'static EventKind, request: Option<RequestId>, fields: Vec<Field>) {
         let event = BufferedEvent {
             at_ms: unix_ms(),
@@ -66,7 +66,7 @@
         events.push_back(event);
     }
 
-    /// Returns the retained events of one request, oldest first.
+    /// The retained events of one request, oldest first.
     pub fn request_events(&self, request: RequestId) -> Vec<EventRecord> {
         self.lock()
             .iter()
@@ -75,7 +75,7 @@
             .collect()
     }
 
-    /// Returns the retained events that concern no single request, oldest first.
+    /// The retained events that concern no single request, oldest first.
     pub fn fleet_events(&self) -> Vec<EventRecord> {
         self.lock()
             .iter()
--- a/crates/sorrelturn-telemetry/src/span.rs
+++ b/crates/sorrelturn-telemetry/src/span.rs
@@ -29,19 +29,19 @@
     pub trace: u128,
     /// The id of this span.
     pub id: SpanId,
-    /// The parent span; `None` for a root span.
+    /// `None` for a root span.
     pub parent: Option<SpanId>,
-    /// The name of the request kind.
+    /// The request kind's name.
     pub name: String,
     /// The side of the call.
     pub kind: SpanKind,
-    /// The start time, in nanoseconds since the Unix epoch.
+    /// Nanoseconds since the Unix epoch.
     pub start_ns: u64,
-    /// The end time, in nanoseconds since the Unix epoch.
+    /// Nanoseconds since the Unix epoch.
     pub end_ns: u64,
     /// Whether the call failed.
     pub failed: bool,
-    /// Further attributes of the span.
+    /// Further attributes.
     pub attributes: Vec<Field>,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl SpanBuffer {
-    /// Creates a buffer for `capacity` spans; 0 disables it.
+    /// `capacity` is in spans; 0 disables the buffer.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -63,12 +63,12 @@
         }
     }
 
-    /// Returns whether spans are collected.
+    /// Whether spans are collected.
     pub fn is_enabled(&self) -> bool {
         self.capacity > 0
     }
 
-    /// Adds a span, or drops it if the buffer is full. It never blocks a request.
+    /// Adds a span, or drops it if the buffer is full; never blocks a request.
     pub fn add(&self, span: Span) {
         if !self.is_enabled() {
             return;
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Removes and returns all buffered spans.
+    /// Removes and returns all spans.
     pub fn take(&self) -> Vec<Span> {
         std::mem::take(&mut *self.lock())
     }
 
-    /// Returns the number of spans dropped since the previous call.
+    /// The number of spans dropped since the previous call.
     pub fn take_dropped(&self) -> u64 {
         self.dropped.swap(0, Ordering::Relaxed)
     }
--- a/crates/sorrelturn-telemetry/src/trace_context.rs
+++ b/crates/sorrelturn-telemetry/src/trace_context.rs
@@ -3,12 +3,10 @@
 use sorrelturn_protocol::SpanId;
 use std::{fmt, str::FromStr};
 
-/// The content of a `traceparent` header.
-///
-/// Headers of later versions are parsed too; it is formatted as version 00.
+/// A `traceparent` header. Later versions are parsed too; it is formatted as version 00.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
-    /// The trace id, which is never zero.
+    /// Never zero.
     pub trace: u128,
     /// The caller's span.
     pub parent: SpanId,
