--- a/crates/sorrelturn-bench/src/backend.rs
+++ b/crates/sorrelturn-bench/src/backend.rs
@@ -28,7 +28,6 @@
 
 type Body = BoxBody<Bytes, io::Error>;
 
-/// The size of the chunks in which answers are sent.
 const CHUNK_BYTES: usize = 64 << 10;
 
 /// A fake backend server. Clones share their state.
@@ -232,7 +231,7 @@
     }
 }
 
-/// Makes the nested calls of a kind with the headers of the request; returns whether all succeeded.
+/// Forwards the headers of the request; returns whether all calls succeeded.
 async fn make_nested_calls(
     client: Option<&Client>,
     kind: &KindPlan,
--- a/crates/sorrelturn-bench/src/capacity.rs
+++ b/crates/sorrelturn-bench/src/capacity.rs
@@ -13,11 +13,8 @@
 
 /// The slots of a fleet and the execution times at its backend servers.
 pub struct Capacity<'a> {
-    /// The bundle.
     pub bundle: &'a Bundle,
-    /// The number of instances of each service.
     pub instances: &'a BTreeMap<String, usize>,
-    /// The execution time of each kind, in milliseconds.
     pub work_ms: &'a BTreeMap<String, f64>,
     /// A service and its slowdown factor.
     pub slow: (&'a str, f64),
@@ -85,7 +82,7 @@
         f64::from(slots) * instances as f64
     }
 
-    /// Adds the slots that a kind uses at `rate`. Returns the time that one request holds its slot, in seconds.
+    /// Returns the time that one request holds its slot, in seconds.
     fn add_slot_usage(&self, kind: &str, rate: f64, usage: &mut SlotUsage) -> f64 {
         let Some(entry) = self.bundle.kind(kind) else {
             return 0.0;
--- a/crates/sorrelturn-bench/src/commands/experiment.rs
+++ b/crates/sorrelturn-bench/src/commands/experiment.rs
@@ -124,7 +124,7 @@
     Ok(())
 }
 
-/// The variants to simulate: the file, the one to compare with, and the file without each given mechanism.
+/// The file, the one to compare with, and the file without each given mechanism.
 fn variants(args: &ArgMatches) -> Result<Vec<(String, Experiment)>, String> {
     let read = |path: &Path| Experiment::read(path).map_err(|error| error.to_string());
     let path = args.get_one::<PathBuf>("file").expect("clap requires it");
--- a/crates/sorrelturn-bench/src/commands/fleet.rs
+++ b/crates/sorrelturn-bench/src/commands/fleet.rs
@@ -17,11 +17,10 @@
     run,
 };
 
-/// Publications with the platform up, and as many during an outage.
+/// With the platform up, and as many during an outage.
 const PUBLICATION_COUNT: u32 = 5;
-/// How long a ready fleet runs before it is measured.
+/// The wait before a ready fleet is measured.
 const SETTLE_DURATION: Duration = Duration::from_secs(5);
-/// How long an idle fleet is measured.
 const IDLE_MEASUREMENT_DURATION: Duration = Duration::from_secs(12);
 
 fn signature() -> Command {
--- a/crates/sorrelturn-bench/src/commands/latency.rs
+++ b/crates/sorrelturn-bench/src/commands/latency.rs
@@ -51,7 +51,6 @@
         )
 }
 
-/// The results of one path.
 struct Row {
     path: &'static str,
     latencies: Histogram<u64>,
--- a/crates/sorrelturn-bench/src/commands/overload.rs
+++ b/crates/sorrelturn-bench/src/commands/overload.rs
@@ -17,7 +17,6 @@
     run,
 };
 
-/// The systems that are compared.
 pub(super) const SYSTEMS: [System; 3] = [
     System::Sorrelturn,
     System::Baseline(BaselineKind::FixedLimits),
--- a/crates/sorrelturn-bench/src/commands/returns.rs
+++ b/crates/sorrelturn-bench/src/commands/returns.rs
@@ -31,7 +31,6 @@
         )
 }
 
-/// The policies that are compared.
 const RETRY_POLICIES: &[RetryPolicy] = &[
     RetryPolicy {
         name: "fixed Retry-After of about 1 s",
--- a/crates/sorrelturn-bench/src/commands/soak.rs
+++ b/crates/sorrelturn-bench/src/commands/soak.rs
@@ -15,7 +15,7 @@
 /// Each daemon has its own address, whose last byte is its number plus one.
 const MAX_INSTANCES: i64 = 200;
 
-/// Returns the arguments and the help of the command.
+/// The arguments and the help of the command.
 pub fn signature() -> Command {
     Command::new("soak")
         .about("Injects faults into real daemons and checks what callers and backend servers observe")
--- a/crates/sorrelturn-bench/src/decisions.rs
+++ b/crates/sorrelturn-bench/src/decisions.rs
@@ -13,11 +13,9 @@
 
 /// A decision with its limit on instructions.
 pub struct Decision {
-    /// Its name in the table.
     pub name: &'static str,
     /// The maximum number of instructions of one round.
     pub max_instructions: u64,
-    /// Makes the decision in `rounds` rounds.
     pub run: fn(rounds: u64),
 }
 
@@ -110,7 +108,6 @@
     black_box(gate.queued());
 }
 
-/// An instance is chosen and answers.
 fn choose_instance(rounds: u64) {
     let start = Duration::ZERO;
     let instance = |id| Instance::new(Incarnation(id), id % 3 == 0, Duration::ZERO, start);
@@ -137,7 +134,6 @@
     }
 }
 
-/// The next step after a failed attempt is decided.
 fn decide_next_step(rounds: u64) {
     for round in 0..rounds {
         let attempt = Attempt {
--- a/crates/sorrelturn-bench/src/exchanges.rs
+++ b/crates/sorrelturn-bench/src/exchanges.rs
@@ -9,7 +9,6 @@
 
 /// The number of requests after which each backend server switches to its next fault.
 const REQUESTS_PER_FAULT: u32 = 200;
-/// The faults that each backend server cycles through.
 const FAULTS: [Fault; 5] = [
     Fault::None,
     Fault::None,
@@ -21,7 +20,6 @@
 const DISCONNECT_EVERY: u32 = 5;
 /// Callers that disconnect do so after less than this.
 const DISCONNECT_TIMEOUT_BOUND_MS: u32 = 7;
-/// The minimum size that is requested for a body.
 const MIN_BODY_BYTES: usize = 10;
 /// The difference between the body sizes of successive requests, before it wraps around.
 const BODY_SIZE_STEP_BYTES: usize = 37;
--- a/crates/sorrelturn-bench/src/experiment/daemon.rs
+++ b/crates/sorrelturn-bench/src/experiment/daemon.rs
@@ -1,4 +1,4 @@
-//! A simulated daemon. Its decisions are made by the product's policy code.
+//! A simulated daemon, which decides by the product's policy code.
 
 use super::file::{Experiment, Mechanism};
 use fastrand::Rng;
@@ -23,7 +23,6 @@
 /// The slack is divided by at least this number of daemons.
 const MIN_SHARING_DAEMONS: usize = 12;
 
-/// A daemon's state for one kind of request.
 struct KindState {
     threshold: LearnedThreshold,
     retry_detector: RetryDetector,
@@ -36,13 +35,11 @@
 /// Deadlines this close count as the same one, since they are sent in whole milliseconds.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(4);
 
-/// A request in progress at the backend server.
 struct RunningRequest {
     kind: usize,
     deadline: Now,
 }
 
-/// A daemon's statistics of one instance.
 struct InstanceState {
     stats: Instance,
 }
@@ -50,21 +47,18 @@
 /// A daemon with the gate in front of its backend server.
 pub(super) struct Daemon {
     kinds: Vec<KindState>,
-    /// The instances, by service index.
     instances_by_service: Vec<Vec<InstanceState>>,
-    /// The retry windows, by service index.
+    /// By service index.
     retries: Vec<RetryWindow>,
     pub(super) gate: Gate,
     processor_free_at: Now,
-    /// The totals of the requests in progress at the backend server.
     pub(super) in_progress: InProgressRequests,
-    /// The requests in progress, by run id.
+    /// By run id.
     running_requests: BTreeMap<u64, RunningRequest>,
     graph: CallGraph,
     origins: RequestOrigins,
 }
 
-/// The instances of all services and their failure domains.
 pub(super) struct Topology {
     /// For each service, the failure domain of each instance.
     pub(super) domains: Vec<Vec<usize>>,
@@ -134,7 +128,6 @@
         }
     }
 
-    /// Records that the backend server starts a request.
     pub(super) fn begin_execution(
         &mut self,
         run: u64,
@@ -148,7 +141,6 @@
             .insert(run, RunningRequest { kind, deadline });
     }
 
-    /// Records that the backend server has finished a request.
     pub(super) fn end_execution(&mut self, run: u64, level: u16, repeated: bool) {
         self.in_progress.end(level, repeated);
         self.running_requests.remove(&run);
@@ -159,17 +151,15 @@
         self.graph.record_end(name, took);
     }
 
-    /// The kinds that a kind is known to call.
     pub(super) fn known_calls(&self, name: &str) -> &[String] {
         self.graph.calls(name)
     }
 
-    /// Whether a kind is known to make no calls.
     pub(super) fn is_leaf(&self, name: &str) -> bool {
         self.graph.is_leaf(name)
     }
 
-    /// Records a nested call of the backend server, with the requests in progress that may have made it.
+    /// Records a nested call and the requests in progress that may have made it.
     pub(super) fn record_call(&mut self, names: &[String], child: usize, deadline: Now) {
         let mut groups: BTreeMap<(usize, bool), u32> = BTreeMap::new();
         for running in self.running_requests.values() {
@@ -189,7 +179,7 @@
         self.graph.record_call(&names[child], &candidates);
     }
 
-    /// Records that a request of a kind arrived from a VM of a service.
+    /// Records that a request arrived from a VM of a service.
     pub(super) fn record_origin(&mut self, name: &str, service: &str) {
         self.origins.record(name, service);
     }
@@ -200,13 +190,12 @@
         self.origins.are_calls(name, shares.len(), share_of)
     }
 
-    /// Whether answers reported requests of a kind as nested calls.
     pub(super) fn is_reported_as_call(&self, kind: usize) -> bool {
         self.kinds[kind].is_call
     }
 
-    /// Among the importances of answered root requests: how many are lower than that of `kind`, and how many
-    /// there are.
+    /// Among the importances of answered root requests: how many are lower than that of `kind`, and how many there
+    /// are.
     pub(super) fn known_rank(&self, importances: &[Importance], kind: usize) -> (usize, usize) {
         let known = self.kinds.iter().zip(importances);
         let root_importances: Vec<Importance> = known
@@ -216,7 +205,7 @@
         rank_of(importances[kind], &root_importances)
     }
 
-    /// Occupies the processor for one side of a hop. Returns the time at which it is done.
+    /// Occupies the processor for one side of a hop; returns when it is done.
     pub(super) fn occupy_processor(&mut self, now: Now, duration: Duration) -> Now {
         let lag = self.processor_free_at.saturating_sub(now);
         if !duration.is_zero() {
@@ -226,12 +215,11 @@
         self.processor_free_at
     }
 
-    /// The shedding level learned for a kind, including the kinds that it calls.
+    /// The learned shedding level, including the kinds that it calls.
     pub(super) fn shedding_level(&self, now: Now, kind: usize) -> u16 {
         self.kinds[kind].threshold.current(now).0
     }
 
-    /// The highest learned shedding level of `kinds`.
     pub(super) fn max_shedding_level(&self, now: Now, kinds: &[usize]) -> Priority {
         let levels = kinds
             .iter()
@@ -239,7 +227,7 @@
         levels.max().unwrap_or_default()
     }
 
-    /// Whether a root request is refused. `left` is the time that its caller will still wait.
+    /// `left` is the time that the caller will still wait.
     pub(super) fn refuses_request(
         &mut self,
         experiment: &Experiment,
@@ -264,7 +252,6 @@
         refuses(level, rank.0, rank.1, bucket)
     }
 
-    /// The Retry-After time for a refused caller.
     pub(super) fn retry_after(
         &mut self,
         experiment: &Experiment,
@@ -278,7 +265,7 @@
         RetryAfter::compute(None, rng)
     }
 
-    /// Chooses an instance of a service that isn't in `tried`.
+    /// Chooses an instance that isn't in `tried`.
     pub(super) fn choose_instance(
         &self,
         experiment: &Experiment,
@@ -298,19 +285,16 @@
         rng.choice(untried)
     }
 
-    /// Records that a call is sent to an instance.
     pub(super) fn begin_call(&self, service: usize, index: usize) {
         self.instances_by_service[service][index].stats.started();
     }
 
-    /// Records the end of a call to an instance.
     pub(super) fn end_call(&self, now: Now, service: usize, index: usize, report: InstanceReport) {
         self.instances_by_service[service][index]
             .stats
             .finished(now, report);
     }
 
-    /// Learns from the metadata of an answer.
     pub(super) fn record_answer(&mut self, now: Now, kind: usize, context: &AnswerContext) {
         let state = &mut self.kinds[kind];
         state.threshold.observe(now, context.threshold);
@@ -318,13 +302,12 @@
         state.was_answered = true;
     }
 
-    /// Records the first attempt of a call to a service. `repeated` is the fraction of its possible parents that
-    /// are retries.
+    /// `repeated` is the fraction of the call's possible parents that are retries.
     pub(super) fn record_first_attempt(&mut self, now: Now, service: usize, repeated: f64) {
         self.retries[service].record_call_of_repeat(now, repeated);
     }
 
-    /// Whether the retry limit allows another attempt at a service. If so, the attempt is counted.
+    /// Counts another attempt if the retry limit allows it; returns whether it does.
     pub(super) fn try_retry(&mut self, now: Now, service: usize) -> bool {
         self.retries[service].try_retry(now)
     }
--- a/crates/sorrelturn-bench/src/experiment/file.rs
+++ b/crates/sorrelturn-bench/src/experiment/file.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// A description, printed above the tables.
+    /// Printed above the tables.
     pub about: String,
     /// How long callers send new requests, in seconds.
     pub seconds: f64,
@@ -51,13 +51,11 @@
     pub without: Vec<Mechanism>,
 }
 
-/// A service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// The number of instances.
     pub instances: usize,
-    /// The number of requests that each instance runs concurrently.
+    /// Requests that each instance runs concurrently.
     pub slots: u32,
     /// Relative speeds, assigned to the instances in turn; 1 if empty.
     #[serde(default)]
@@ -74,33 +72,28 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindSpec {
-    /// The service that runs it.
     pub service: String,
     /// The rate at which callers send it, in requests per second.
     #[serde(default)]
     pub per_second: f64,
-    /// Its importance.
     #[serde(default = "default_importance")]
     pub importance: Importance,
-    /// The mean execution time in milliseconds, without nested calls.
+    /// The mean execution time without nested calls.
     pub work_ms: f64,
     /// The standard deviation of the execution time, as a fraction of the mean.
     #[serde(default = "default_spread")]
     pub spread: f64,
-    /// An answer within this time, in milliseconds, earns `worth`; a later one earns `late_worth`.
+    /// An answer within this time earns `worth`, a later one `late_worth`.
     #[serde(default = "default_target_ms")]
     pub target_ms: f64,
-    /// How long its callers wait, in milliseconds.
+    /// How long its callers wait.
     pub deadline_ms: f64,
-    /// The timeout of one attempt in milliseconds; without it, `deadline_ms`.
+    /// The timeout of one attempt; without it, `deadline_ms`.
     pub timeout_ms: Option<f64>,
-    /// Whether it may run more than once.
     #[serde(default)]
     pub repeatable: bool,
-    /// The value of an answer within the target time.
     #[serde(default)]
     pub worth: f64,
-    /// The value of a late answer.
     #[serde(default)]
     pub late_worth: f64,
     /// The maximum number of retries of a caller.
@@ -115,9 +108,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallSpec {
-    /// The kind that is called.
     pub kind: String,
-    /// The number of calls.
     #[serde(default = "default_calls")]
     pub times: u32,
 }
@@ -126,11 +117,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadSpec {
-    /// Start, in seconds.
     pub from_s: f64,
-    /// End, in seconds.
     pub to_s: f64,
-    /// The load as a multiple of the normal load.
+    /// A multiple of the normal load.
     pub times: f64,
     /// The number of requests that arrive at the same moment.
     #[serde(default = "default_calls")]
@@ -143,46 +132,34 @@
 pub enum FaultSpec {
     /// Backend servers refuse requests although they have free slots.
     TurnsAway {
-        /// The service.
         service: String,
-        /// The share of requests that is refused.
         share: f64,
-        /// Start, in seconds.
         from_s: f64,
-        /// End, in seconds.
         to_s: f64,
     },
     /// Instances slow down.
     Slow {
-        /// The service.
         service: String,
-        /// The number of affected instances.
         instances: usize,
         /// The slowdown factor.
         times: f64,
-        /// Start, in seconds.
         from_s: f64,
-        /// End, in seconds.
         to_s: f64,
     },
     /// Instances are down, together with their daemons.
     Lost {
-        /// The service.
         service: String,
-        /// The number of affected instances.
         instances: usize,
-        /// Start, in seconds.
         from_s: f64,
-        /// End, in seconds.
         to_s: f64,
     },
     /// All daemons restart and lose their requests in flight.
     RestartAll {
-        /// When they stop, in seconds.
+        /// When they stop.
         at_s: f64,
-        /// How long no requests are accepted, in seconds.
+        /// How long no requests are accepted.
         for_s: f64,
-        /// How long backend servers are slow after that, in seconds.
+        /// How long backend servers are slow after that.
         #[serde(default)]
         cold_s: f64,
         /// The slowdown factor of cold backend servers.
@@ -191,26 +168,19 @@
     },
     /// A request that crashes each backend server that runs it is sent repeatedly to random VMs.
     Crashes {
-        /// Its kind.
         kind: String,
-        /// The rate at which it is sent, in requests per second.
         per_second: f64,
-        /// How long a backend server is down after a crash, in seconds.
+        /// How long a backend server is down after a crash.
         away_s: f64,
-        /// Start, in seconds.
         from_s: f64,
-        /// End, in seconds.
         to_s: f64,
     },
     /// Some callers ignore Retry-After and retry more often.
     Repeats {
-        /// The share of such callers.
         share: f64,
         /// The number of additional attempts.
         tries: u32,
-        /// Start, in seconds.
         from_s: f64,
-        /// End, in seconds.
         to_s: f64,
     },
 }
@@ -407,7 +377,6 @@
         ))
     }
 
-    /// Rejects kinds that call themselves, directly or through other kinds.
     fn check_calls_are_acyclic(&self) -> Result<(), String> {
         for name in self.kinds.keys() {
             let mut descendants: Vec<&str> = vec![name];
--- a/crates/sorrelturn-bench/src/experiment/outcome.rs
+++ b/crates/sorrelturn-bench/src/experiment/outcome.rs
@@ -59,20 +59,16 @@
     }
 }
 
-/// The results of one service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceOutcome {
-    /// Its name.
     pub service: String,
     /// The fraction of its slots in use, sampled at a fixed rate.
     pub slot_usage: Vec<f64>,
-    /// Requests that arrived.
     pub arrived: u64,
     /// Arrivals of repeated attempts.
     pub repeated: u64,
     /// Arrivals from another failure domain.
     pub cross_domain: u64,
-    /// Crashes of its backend servers.
     pub crashes: u64,
 }
 
--- a/crates/sorrelturn-bench/src/experiment/plot.rs
+++ b/crates/sorrelturn-bench/src/experiment/plot.rs
@@ -13,7 +13,6 @@
     ("failed", "#d43", |counts| counts.failed),
 ];
 
-/// Selects the count that a series shows.
 type CountSelector = fn(&Counts) -> u32;
 
 /// Returns an SVG with one row for each kind of each outcome. Each outcome comes with its title.
--- a/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/callers.rs
@@ -57,7 +57,6 @@
         }
     }
 
-    /// Handles an attempt of a caller at a random daemon.
     pub(super) fn handle_root_request(&mut self, kind: usize, mut caller: Caller) {
         caller.attempts += 1;
         // Each attempt has its own request id, and so its own shedding bucket.
@@ -104,7 +103,6 @@
         self.forward(call);
     }
 
-    /// Counts a refused request that isn't retried.
     fn count_final_refusal(&mut self, kind: usize, caller: Caller) {
         self.count(kind, &caller, |counts| {
             counts.refused += 1;
@@ -112,7 +110,7 @@
         });
     }
 
-    /// Schedules a retry of a refused request, if the caller has attempts left.
+    /// Schedules a retry if the caller has attempts left.
     pub(super) fn retry_refused(&mut self, kind: usize, caller: Caller, retry_after: Duration) {
         if caller.attempts >= caller.max_attempts {
             return self.count_final_refusal(kind, caller);
@@ -126,7 +124,7 @@
         self.schedule_after(wait, Event::RootRequest(kind, caller));
     }
 
-    /// Schedules a retry of a failed request if it is repeatable and the caller has attempts left.
+    /// Schedules a retry if the kind is repeatable and the caller has attempts left.
     pub(super) fn retry_failed(&mut self, kind: usize, caller: Caller) {
         if caller.attempts >= caller.max_attempts || !self.kinds[kind].repeatable {
             return self.count(kind, &caller, |counts| counts.failed += 1);
--- a/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/crashes.rs
@@ -11,7 +11,7 @@
 const MAX_CRASHING_FINGERPRINT: u64 = u64::MAX;
 
 impl Simulation<'_> {
-    /// Sends the crashing request of a fault from a new caller, and schedules the next one.
+    /// Sends it from a new caller and schedules the next one.
     pub(super) fn send_crashing_request(&mut self, number: usize) {
         let Some(FaultSpec::Crashes {
             kind,
@@ -41,7 +41,6 @@
         self.handle_root_request(kind, caller);
     }
 
-    /// Whether a request is quarantined at the daemons.
     pub(super) fn is_quarantined(&self, request: RequestFingerprint) -> bool {
         self.experiment.is_enabled(Mechanism::Quarantine) && self.quarantine.is_quarantined(request)
     }
@@ -50,7 +49,6 @@
         self.now < self.backend_down_until[daemon]
     }
 
-    /// Crashes a backend server with all its requests in progress.
     pub(super) fn crash_backend(&mut self, daemon: usize) {
         let down_duration = self.experiment.faults.iter().find_map(|fault| match fault {
             FaultSpec::Crashes { away_s, .. } => Some(seconds(*away_s)),
--- a/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/forwarder.rs
@@ -7,7 +7,7 @@
 use sorrelturn_protocol::{Refusal, Verdict};
 
 impl Simulation<'_> {
-    /// The rank of a kind among the importances of root requests, as far as the daemon knows them.
+    /// The rank among the importances of root requests that the daemon knows.
     pub(super) fn rank(&self, daemon: usize, kind: usize) -> (usize, usize) {
         if self.experiment.learns_calls {
             self.daemons[daemon].known_rank(&self.importances, kind)
@@ -71,7 +71,6 @@
         self.schedule_at(sent + hop, Event::CallArrival(id));
     }
 
-    /// Handles an answer at the daemon that forwarded the call.
     pub(super) fn handle_answer(
         &mut self,
         id: u64,
--- a/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/mod.rs
@@ -22,11 +22,10 @@
 
 /// Callers wait for Retry-After, but at most for their remaining time divided by this.
 const MAX_WAIT_DIVISOR: u32 = 3;
-/// The time that a backend server takes to refuse a request.
 const BACKEND_REFUSAL_DURATION: Duration = Duration::from_micros(500);
 /// The time until a connection to a lost VM fails.
 const CONNECT_FAILURE_DURATION: Duration = Duration::from_millis(1);
-/// The maximum number of executions of one call.
+/// Per call.
 const MAX_EXECUTIONS: u32 = 3;
 /// How long the simulation continues after the last new request.
 const DRAIN_DURATION: Duration = Duration::from_secs(10);
@@ -38,7 +37,7 @@
     simulation.outcome
 }
 
-/// A kind of request, with names resolved to indexes.
+/// With names resolved to indexes.
 struct Kind {
     service: usize,
     importance: Importance,
@@ -52,11 +51,10 @@
     /// Whether it runs at most once while other root requests of its importance are repeatable.
     at_most_once_among_repeatable: bool,
     max_retries: u32,
-    /// The kinds of its nested calls, in order, one entry for each call.
+    /// In order, one entry for each call.
     calls: Vec<usize>,
-    /// The kinds of its nested calls without duplicates.
     distinct_calls: Vec<usize>,
-    /// The index of its outcome, if callers send it.
+    /// `None` if callers don't send it.
     outcome_index: Option<usize>,
 }
 
@@ -64,11 +62,9 @@
 #[derive(Clone)]
 struct Call {
     kind: usize,
-    /// The daemon that forwards the call.
     forwarder: usize,
     /// The run that makes the call; `None` for a root request.
     parent: Option<u64>,
-    /// The caller of the root request.
     caller: Caller,
     bucket: u8,
     /// The shedding level at which its root request was admitted, as far as known.
@@ -81,7 +77,6 @@
     attempts: AttemptState,
 }
 
-/// The state of a call's attempts.
 #[derive(Clone)]
 struct AttemptState {
     tried: Vec<Incarnation>,
@@ -112,7 +107,6 @@
     }
 }
 
-/// The caller of a root request.
 #[derive(Clone, Copy)]
 struct Caller {
     first_sent: Now,
@@ -120,7 +114,6 @@
     max_attempts: u32,
     is_impatient: bool,
     request: RequestFingerprint,
-    /// Whether its request crashes backend servers.
     crashes_backends: bool,
 }
 
@@ -136,15 +129,12 @@
     sample: TuningSample,
 }
 
-/// How an attempt ended at its instance.
 #[derive(Clone, Copy)]
 enum CallResult {
     Answered,
-    /// The backend server failed the request because a nested call failed.
     NestedCallFailed,
     NotRun(Refusal),
     DeadlineExceeded,
-    /// The backend server crashed while it ran the request.
     Crashed,
 }
 
@@ -172,9 +162,8 @@
     importances: Vec<Importance>,
     kinds: Vec<Kind>,
     topology: Topology,
-    /// The index of the first daemon of each service.
+    /// By service.
     first_daemons: Vec<usize>,
-    /// The index of the service of each daemon.
     service_by_daemon: Vec<usize>,
     daemons: Vec<Daemon>,
     rng: Rng,
@@ -185,9 +174,8 @@
     runs: HashMap<u64, Run>,
     next_id: u64,
     accepts_from: Now,
-    /// Until when the backend server of each daemon is down after a crash.
     backend_down_until: Vec<Now>,
-    /// The quarantine state; all daemons share one.
+    /// All daemons share one.
     quarantine: Quarantine,
     outcome: Outcome,
 }
@@ -387,7 +375,7 @@
         }
     }
 
-    /// Occupies a daemon's processor for one side of a hop. Returns the time at which it is done.
+    /// Occupies a daemon's processor for one side of a hop; returns when it is done.
     fn occupy_processor(&mut self, daemon: usize) -> Now {
         let us = self.experiment.hop_side_us / self.experiment.cores;
         self.daemons[daemon].occupy_processor(self.now, Duration::from_nanos((us * 1_000.0) as u64))
@@ -398,8 +386,7 @@
         self.topology.domains[service][daemon - self.first_daemons[service]]
     }
 
-    /// Samples the fraction of slots in use of each service. Only slots within the tuned limits of the instances
-    /// that aren't lost count.
+    /// Samples the fraction of slots in use by service, within the tuned limits of the instances that aren't lost.
     fn sample(&mut self) {
         for service in 0..self.service_names.len() {
             let (mut used, mut slots) = (0.0, 0.0);
--- a/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
+++ b/crates/sorrelturn-bench/src/experiment/simulation/owner.rs
@@ -8,7 +8,6 @@
 use std::time::Duration;
 
 impl Simulation<'_> {
-    /// Handles the arrival of a call at its owner.
     pub(super) fn handle_arrival(&mut self, id: u64) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -184,7 +183,6 @@
         self.forward_nested(nested_call);
     }
 
-    /// Ends a run and releases its slot.
     pub(super) fn finish_run(&mut self, id: u64, result: CallResult) {
         let Some(run) = self.runs.remove(&id) else {
             return;
@@ -221,7 +219,7 @@
         }
     }
 
-    /// The kinds that a kind calls, as far as its owner knows.
+    /// The calls of a kind that its owner knows.
     pub(super) fn known_calls(&self, daemon: usize, kind: usize) -> Vec<usize> {
         if !self.experiment.learns_calls {
             return self.kinds[kind].distinct_calls.clone();
@@ -233,7 +231,6 @@
         indexes.collect()
     }
 
-    /// Sends the owner's answer back to the forwarder.
     pub(super) fn send_answer(&mut self, id: u64, result: CallResult) {
         let Some((owner, _)) = self.owner_and_arrival(id) else {
             return;
--- a/crates/sorrelturn-bench/src/fleet.rs
+++ b/crates/sorrelturn-bench/src/fleet.rs
@@ -23,7 +23,7 @@
 
 /// The operator whose key signs bundles in tests and measurements.
 const OPERATOR: &str = "bench";
-/// The time limit for all daemons to discover one another and put the bundle in force.
+/// For all daemons to discover one another and put the bundle in force.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A fixed operator key for tests and measurements. It is not secret.
--- a/crates/sorrelturn-bench/src/idle_fleet.rs
+++ b/crates/sorrelturn-bench/src/idle_fleet.rs
@@ -21,7 +21,6 @@
 /// The number of services in the bundle, as in a fleet of the target size.
 const SERVICE_COUNT: usize = 75;
 const DOMAIN_COUNT: usize = 5;
-/// The time limit for each request and each state that is waited for.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A bundle of the target size. Each `revision` changes one service.
@@ -68,13 +67,12 @@
 
 /// The resources that all daemons have used up to one moment.
 pub(crate) struct UsageSnapshot {
-    /// Bytes of control traffic of each daemon.
+    /// Control traffic by daemon.
     pub(crate) bytes: Vec<f64>,
-    /// CPU seconds of each daemon.
+    /// By daemon.
     pub(crate) cpu_s: Vec<f64>,
-    /// The call counters of the store.
+    /// The store's call counters.
     pub(crate) counters: Counters,
-    /// When the values were read.
     pub(crate) at: Instant,
 }
 
@@ -133,7 +131,6 @@
         }
     }
 
-    /// Reads the resource usage of each daemon and the counters of the store.
     pub(crate) async fn usage(&self) -> UsageSnapshot {
         let mut bytes = Vec::new();
         for (_, addresses) in &self.daemons {
@@ -156,8 +153,8 @@
 
     /// Publishes a bundle and returns, for each daemon, the milliseconds until it was in force.
     ///
-    /// With `outage`, the platform goes down right after accepting the bundle, and the bundle is
-    /// uploaded to one daemon instead, as the operator's command does.
+    /// With `outage`, the platform goes down right after accepting the bundle, and the bundle is uploaded to one
+    /// daemon instead, as the operator's command does.
     pub(crate) async fn publish(&self, version: u64, outage: bool) -> Vec<u64> {
         let source = bundle(version as u32);
         let manifest = publish_bundle(&Platform::new(self.platform, TIMEOUT), &source).await;
--- a/crates/sorrelturn-bench/src/load.rs
+++ b/crates/sorrelturn-bench/src/load.rs
@@ -13,7 +13,6 @@
     time::{Duration, Instant},
 };
 
-/// How long a caller waits for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Answers that take longer do not count as good, and the caller stops retrying.
 const MAX_USEFUL_LATENCY: Duration = Duration::from_secs(2);
--- a/crates/sorrelturn-bench/src/plan.rs
+++ b/crates/sorrelturn-bench/src/plan.rs
@@ -70,7 +70,7 @@
     pub path: String,
 }
 
-/// Returns the plan for a service of a bundle. `work_ms` holds the execution time of each kind, 1 ms by default.
+/// The plan for a service of a bundle. `work_ms` holds the execution time of each kind, 1 ms by default.
 pub fn plan_for(bundle: &Bundle, service: &str, work_ms: &BTreeMap<String, f64>) -> Plan {
     let Some(source) = bundle.service(service) else {
         return Plan::default();
--- a/crates/sorrelturn-bench/src/processes.rs
+++ b/crates/sorrelturn-bench/src/processes.rs
@@ -22,10 +22,10 @@
     time::{Duration, Instant},
 };
 
-/// The timeout for anything that a test waits for; long enough for a busy machine.
+/// Long enough for a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Returns the path of one of the workspace's programs, which is built beside the running test or bench.
+/// The path of a workspace program, which is built beside the running test or bench.
 pub fn binary(name: &str) -> PathBuf {
     let own_path = std::env::current_exe().expect("the running program has a path");
     let folder = own_path.parent().expect("a program lies in a folder");
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Starts a program whose output and log are written to a file; doesn't wait for a line.
+    /// Starts a program that writes its output and log to a file; doesn't wait for a line.
     pub(crate) fn start_logged(name: &str, args: &[&str], log: &Path) -> io::Result<Self> {
         let log = File::create(log)?;
         let child = command(binary(name), args, "sorrelturn=info")
@@ -86,12 +86,11 @@
         })
     }
 
-    /// Returns the exit status if the process has exited.
     pub(crate) fn try_exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Returns the process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -104,8 +103,8 @@
         assert!(status.is_ok_and(|status| status.success()), "signal {name}");
     }
 
-    /// Suspends the process. On a busy machine its threads stop some milliseconds after the signal; all of them have
-    /// stopped when this returns.
+    /// Suspends the process; returns once all its threads have stopped, which takes some milliseconds on a busy
+    /// machine.
     pub async fn freeze(&self) {
         self.signal("STOP");
         let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -289,7 +288,7 @@
         put(self.backend_addr, "/fake/plan", body).await;
     }
 
-    /// Returns the daemon's status report, or `None` if it doesn't respond.
+    /// The daemon's status report, or `None` if it doesn't respond.
     pub async fn status(&self) -> Option<StatusReport> {
         let req = Request::get("/status").body(Bytes::new()).ok()?;
         let res = exchange(self.addresses.admin, req, WAIT_TIMEOUT)
@@ -341,7 +340,7 @@
         serde_json::from_slice(res.body()).expect("members")
     }
 
-    /// Returns how often the backend server began each request with `x-execution-key`.
+    /// How often the backend server began each request with `x-execution-key`.
     pub async fn execution_counts(&self) -> std::collections::HashMap<String, u32> {
         let req = Request::get("/fake/ran")
             .body(Bytes::new())
@@ -353,7 +352,7 @@
     }
 }
 
-/// Returns the processor time that a process has used; zero if it doesn't exist.
+/// The processor time that a process has used; zero if it doesn't exist.
 pub fn cpu_time(pid: u32) -> Duration {
     /// The kernel's clock ticks per second (`USER_HZ`).
     const TICKS_PER_SECOND: u64 = 100;
@@ -369,7 +368,7 @@
     Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
 
-/// Returns the resident memory of a process in bytes; zero if it doesn't exist.
+/// The resident memory of a process in bytes; zero if it doesn't exist.
 pub fn memory(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
@@ -377,7 +376,6 @@
     kilobytes.unwrap_or(0) * 1024
 }
 
-/// Sets the faults of the stand-in at `platform`.
 pub(crate) async fn play_faults(platform: SocketAddr, faults: &Faults) {
     let body = serde_json::to_vec(faults).expect("faults are JSON");
     put(platform, "/stand-in/faults", body).await;
--- a/crates/sorrelturn-bench/src/relay.rs
+++ b/crates/sorrelturn-bench/src/relay.rs
@@ -17,7 +17,6 @@
 
 /// The interval at which held bytes check whether the path is healed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The maximum number of bytes per read.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// A proxy whose target is set once it is known.
@@ -31,7 +30,6 @@
 #[derive(Default)]
 struct State {
     cut: AtomicBool,
-    /// The number of connections opened so far.
     opened_count: AtomicUsize,
     /// Connections with a lower number are silent.
     first_live_connection: AtomicUsize,
@@ -75,7 +73,7 @@
             .store(opened_count, Ordering::Relaxed);
     }
 
-    /// Returns the number of connections opened so far.
+    /// The number of connections opened so far.
     pub fn opened_count(&self) -> usize {
         self.state.opened_count.load(Ordering::Relaxed)
     }
--- a/crates/sorrelturn-bench/src/retry_simulation.rs
+++ b/crates/sorrelturn-bench/src/retry_simulation.rs
@@ -162,8 +162,7 @@
     retry_bucket: bucket_for_retry,
 };
 
-/// The results of the requests of one kind that were first sent during the overload or in the two
-/// seconds after it.
+/// The results of one kind's requests that were first sent during the overload or within two seconds after it.
 #[derive(Clone, Debug, Default)]
 pub struct RetryStats {
     /// First attempts.
--- a/crates/sorrelturn-bench/src/routed_backend.rs
+++ b/crates/sorrelturn-bench/src/routed_backend.rs
@@ -23,46 +23,46 @@
 /// What a fake backend server does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Script {
-    /// It responds at once.
+    /// Responds at once.
     #[default]
     Answers,
-    /// It reports that it did not execute the request.
+    /// Reports that it did not execute the request.
     SaysNotRun,
-    /// It responds with the id of another request.
+    /// Responds with the id of another request.
     AnswersAnother,
-    /// It executes the request and closes the connection without a response.
+    /// Executes the request and closes the connection without a response.
     BreaksOff,
-    /// It closes the connection after half of the body.
+    /// Closes the connection after half of the body.
     CutsBody,
-    /// It responds without a length, and closes the connection after the body.
+    /// Responds without a length, and closes the connection after the body.
     AnswersUnframed,
-    /// It sends the response twice.
+    /// Sends the response twice.
     AnswersTwice,
-    /// It responds with status 500.
+    /// Responds with status 500.
     Fails,
-    /// It responds when the time left for the request has passed, or at once if none is given.
+    /// Responds when the time left for the request has passed, or at once if none is given.
     AnswersInTheEnd,
-    /// It responds after a short delay, in which a test can make nested calls.
+    /// Responds after a short delay, in which a test can make nested calls.
     AnswersSoon,
-    /// It responds after a delay.
+    /// Responds after a delay.
     AnswersLate,
-    /// It responds after a delay that is longer than a silent connection is tolerated.
+    /// Responds after a delay that is longer than a silent connection is tolerated.
     AnswersVeryLate,
-    /// It never responds.
+    /// Never responds.
     Hangs,
-    /// It begins its response after half of `ms` and completes it after all of it; the body belongs to the
+    /// Begins its response after half of `ms` and completes it after all of it; the body belongs to the
     /// request's id.
     Works {
-        /// The total processing time in milliseconds.
+        /// The total processing time.
         ms: u64,
-        /// The minimum length of the body in bytes, without its checksum.
+        /// The minimum length of the body, without its checksum.
         bytes: usize,
     },
-    /// It sends half of its response and never the rest.
+    /// Sends half of its response and never the rest.
     Rests,
-    /// It sends a body that exceeds the buffers of sockets and daemons.
+    /// Sends a body that exceeds the buffers of sockets and daemons.
     AnswersLarge,
-    /// It calls [`CALL_PATH`] through its own daemon, and responds when the call has ended.
+    /// Calls [`CALL_PATH`] through its own daemon, and responds when the call has ended.
     Calls,
 }
 
@@ -86,8 +86,7 @@
     pub body: Vec<u8>,
 }
 
-/// Called before the response with each request that is meant for this incarnation of the backend server, and with
-/// the script for it.
+/// Called before the response with each request for this incarnation, and with the script for it.
 pub(crate) type Observer = Arc<dyn Fn(&ReceivedRequest, Script) + Send + Sync>;
 
 /// A fake backend server; clones share their state.
@@ -123,19 +122,15 @@
 pub const BODY: &str = "the whole answer of the backend server";
 /// The announced idle timeout of connections, in seconds.
 pub const IDLE_TIMEOUT_S: u64 = 1;
-/// The delay of [`Script::AnswersSoon`].
 const SOON_DELAY: Duration = Duration::from_millis(100);
 /// The path of the nested call of [`Script::Calls`].
 pub const CALL_PATH: &str = "/call/1";
 /// The default execution time of a request that crashes the backend server.
 const DEFAULT_CRASH_DELAY: Duration = Duration::from_millis(60);
-/// The body length of [`Script::AnswersLarge`].
 const LARGE_BODY_BYTES: usize = 50_000_000;
 /// The time for which scripts that never respond keep the connection open.
 const HANG_DURATION: Duration = Duration::from_secs(60);
-/// The delay of [`Script::AnswersLate`].
 const LATE_DELAY: Duration = Duration::from_millis(300);
-/// The delay of [`Script::AnswersVeryLate`].
 const VERY_LATE_DELAY: Duration = Duration::from_secs(3);
 /// The header that marks responses of a backend server.
 pub const SIGNATURE: &str = "x-signature";
@@ -166,7 +161,7 @@
         }
     }
 
-    /// Creates a backend server that reports all requests to `observer` and stores none, so that it can run for long.
+    /// As [`RoutedBackend::new`], but reports requests to `observer` and stores none, so that it can run for long.
     pub(crate) fn with_observer(names: &HeaderNames, id: &str, observer: Observer) -> Self {
         Self {
             observer: Some(observer),
@@ -252,12 +247,12 @@
         self.lock().crash_delay = delay;
     }
 
-    /// Returns the number of crashes.
+    /// The number of crashes.
     pub fn crashes(&self) -> usize {
         self.lock().crash_count
     }
 
-    /// Returns whether the backend server is running.
+    /// Whether the backend server is running.
     pub fn is_up(&self) -> bool {
         self.lock().running_tx.is_some()
     }
@@ -285,27 +280,27 @@
         self.lock().id = id.to_owned();
     }
 
-    /// Returns the id.
+    /// The id.
     pub fn id(&self) -> String {
         self.lock().id.clone()
     }
 
-    /// Returns all received requests.
+    /// All received requests.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.lock().received_requests.clone()
     }
 
-    /// Returns the number of open connections.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.lock().connection_count
     }
 
-    /// Returns the requests whose execution began.
+    /// The requests whose execution began.
     pub fn executed_requests(&self) -> Vec<ReceivedRequest> {
         self.lock().executed_requests.clone()
     }
 
-    /// Returns the requests that were dropped because their connections were closed.
+    /// The requests that were dropped because their connections were closed.
     pub fn cancelled(&self) -> Vec<Cancelled> {
         self.lock().cancelled.clone()
     }
@@ -358,7 +353,7 @@
         Ok(())
     }
 
-    /// Responds to a request; returns whether the connection stays open.
+    /// Returns whether the connection stays open.
     async fn respond(
         &self,
         tcp: &mut BufReader<TcpStream>,
--- a/crates/sorrelturn-bench/src/routed_fleet.rs
+++ b/crates/sorrelturn-bench/src/routed_fleet.rs
@@ -19,17 +19,15 @@
     time::{Duration, Instant},
 };
 
-/// The timeout for anything that a test waits for; long enough for a busy machine.
+/// Long enough for a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Enough for all retries of a test; the retry budget has its own tests.
 const RETRY_SLACK: u32 = 1_000;
-/// The maximum time for which a revoked credential may still be honoured, in milliseconds.
+/// How long a revoked credential may still be honoured.
 const REVOCATION_MS: u64 = 5_000;
-/// How long a stopping daemon continues to serve by default.
+/// How long a stopping daemon continues to serve.
 const DEFAULT_LINGER: Duration = Duration::from_millis(50);
-/// The program of the daemon that reads route tables.
 const DAEMON_PROGRAM: &str = "sorrelturn-adapted";
-/// The store's key of the route table.
 const ROUTE_TABLE_KEY: &str = "config/main";
 
 /// An instance: a daemon with a scripted backend server.
@@ -75,7 +73,7 @@
         }
     }
 
-    /// Changes the settings of a daemon so that it and its peers use these paths.
+    /// Makes a daemon and its peers use these paths.
     fn apply_to(&self, settings: &mut Settings) {
         self.backend.set_target(settings.backend.address);
         self.platform.set_target(settings.platform.address);
@@ -100,9 +98,7 @@
     pub stopping: StopSettings,
     /// The instances.
     pub instances: Vec<RoutedInstance>,
-    /// Whether instances reach each other over [`Paths`].
     has_paths: bool,
-    /// The clock that daemons read.
     read_time: fn() -> Duration,
 }
 
@@ -258,7 +254,7 @@
         written.expect("the store accepts the route table");
     }
 
-    /// Returns how often each call of the store was received.
+    /// How often each call of the store was received.
     pub async fn store_calls(&self) -> Counters {
         let req = Request::get("/stand-in/counters").body(Bytes::new());
         let res = send(self.platform, req.expect("a request")).await;
@@ -307,8 +303,8 @@
         self.instances[at].daemon = Some(daemon);
     }
 
-    /// Replaces the daemon of one instance by a process with the same settings, and waits until it is ready; the settings
-    /// file is written to `folder`.
+    /// Replaces an instance's daemon by a process with the same settings, which are written to `folder`, and waits
+    /// until it is ready.
     pub async fn replace_with_process(&mut self, at: usize, folder: &Path) {
         if let Some(daemon) = self.instances[at].daemon.take() {
             daemon.stop().await;
@@ -379,7 +375,7 @@
         send(addr, req.expect("a request")).await.status().as_u16()
     }
 
-    /// Returns whether the daemon reports that it is ready.
+    /// Whether the daemon reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let req = Request::get("/ready").body(Bytes::new());
         let addr = self.addresses.ready.expect("it listens");
--- a/crates/sorrelturn-bench/src/scenario.rs
+++ b/crates/sorrelturn-bench/src/scenario.rs
@@ -132,7 +132,6 @@
     }
 }
 
-/// Whether the phase at an index is an overload phase.
 fn is_overload(at: usize) -> bool {
     at % 2 == 1
 }
@@ -251,7 +250,6 @@
     )
 }
 
-/// A running system with its entries and backend servers.
 struct RunningSystem {
     entries: Vec<Client>,
     backends: Vec<(String, FakeBackend)>,
--- a/crates/sorrelturn-bench/src/soak/caller.rs
+++ b/crates/sorrelturn-bench/src/soak/caller.rs
@@ -10,7 +10,6 @@
 };
 use std::{io, net::SocketAddr, str::FromStr, time::Duration};
 
-/// The maximum number of bytes per read.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 
 /// A connection to a daemon.
@@ -20,15 +19,12 @@
     unread: Vec<u8>,
 }
 
-/// A request of a caller.
 pub(super) struct CallerRequest<'a> {
     pub(super) path: &'a str,
     pub(super) host: &'a str,
     pub(super) id: &'a str,
-    /// The name of the header that carries the id.
     pub(super) id_header: &'a str,
     pub(super) credential: &'a str,
-    /// The name of the header that carries the credential.
     pub(super) credential_header: &'a str,
 }
 
--- a/crates/sorrelturn-bench/src/soak/checker.rs
+++ b/crates/sorrelturn-bench/src/soak/checker.rs
@@ -1,23 +1,22 @@
-//! Checks the promises against what callers and backend servers observed. The checker takes the time as an argument
-//! and opens no socket, so that a test can feed it a breach of each promise.
+//! Checks the promises against what callers and backend servers observed. Takes the time as an argument and opens no
+//! socket, so that a test can feed it breaches.
 
 use super::workspaces::{CredentialKind, WorkspaceObservations};
 use std::{collections::HashMap, time::Duration};
 
 /// The time after a fault from which the platform's rules consider a machine undisturbed again.
 const UNDISTURBED_AFTER: Duration = Duration::from_secs(3);
-/// The maximum time between sending a request and a close that crosses it; the connection may then be closed without
-/// a response.
+/// The maximum time between sending a request and a close that crosses it, which may leave it without a response.
 const CLOSE_RACE_WINDOW: Duration = Duration::from_secs(1);
 /// The time within which a stopping daemon has to report that it isn't ready: one readiness check of the platform.
 const NOT_READY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The tolerated delay of an exit after the stop timeout.
 const EXIT_SLACK: Duration = Duration::from_secs(1);
-/// The number of crashes that a request may cause, and of further crashes which daemons could have prevented because
-/// they come later than [`UNDISTURBED_AFTER`] after those.
+/// The limit on crashes by a request, and on further ones that come later than [`UNDISTURBED_AFTER`] after those, so
+/// that daemons could have prevented them.
 const TOLERATED_CRASHES: usize = 3;
-/// The number of connections that a daemon may close without a byte because a response was cut off behind a fault
-/// before its head was written. The platform's rules allow a machine three.
+/// Connections that a daemon may close without a byte because a fault cut a response off before its head was written.
+/// The platform's rules allow a machine three.
 const MAX_BROKEN_HEADS: u32 = 3;
 /// The statuses which state that the request was not and will not be executed.
 const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
@@ -157,38 +156,34 @@
     is_overdue: bool,
     /// The time and code of an exit that reports cut-off requests.
     cut_exit: Option<(Duration, Option<i32>)>,
-    /// Whether a request was cut off for a reason that the promises exempt.
+    /// Whether a request was cut off for an exempt reason.
     has_excused_cut: bool,
 }
 
 #[derive(Default)]
 struct DaemonObservations {
     incarnations: Vec<Incarnation>,
-    /// The periods of faults on the path to it.
     path_faulted: Vec<(Duration, Duration)>,
-    /// When the leave of its backend server was acknowledged.
     leave_acknowledged_at: Option<Duration>,
-    /// When it was killed.
     killed: Vec<Duration>,
     /// When its backend server began to execute a request that crashes it.
     crashed: Vec<Duration>,
-    /// How often it closed a caller's connection without a byte because of a fault behind it.
+    /// Connections closed without a byte because of a fault behind it.
     broken_heads: u32,
 }
 
 /// Checks the promises of a soak from reported observations.
 pub struct Checker {
     stop_timeout: Duration,
-    /// The maximum delay of the soak itself, which all time limits are extended by.
+    /// The maximum delay of the soak itself, which extends all time limits.
     lag: Duration,
     daemons: Vec<DaemonObservations>,
     requests: HashMap<String, Request>,
     newest_published: u64,
-    /// The periods of faults of the store.
     store_faulted: Vec<(Duration, Duration)>,
-    /// When backend servers began to execute the request that crashes them.
+    /// When backend servers began to execute the crashing request.
     crashes: Vec<Duration>,
-    /// How many of these crashes undisturbed daemons could have prevented.
+    /// Of these crashes, those that undisturbed daemons could have prevented.
     avoidable_crashes: usize,
     workspaces: WorkspaceObservations,
     breaches: Vec<Breach>,
@@ -215,12 +210,12 @@
         }
     }
 
-    /// Returns the breaches so far.
+    /// The breaches so far.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    /// Returns the totals so far.
+    /// The totals so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -230,7 +225,7 @@
         self.lag = self.lag.max(lag);
     }
 
-    /// Returns the maximum delay of the soak itself.
+    /// The maximum delay of the soak itself.
     pub fn lag(&self) -> Duration {
         self.lag
     }
@@ -247,7 +242,7 @@
         self.last_incarnation(daemon).up_since = at;
     }
 
-    /// Returns the number of a daemon's last incarnation.
+    /// The number of a daemon's last incarnation.
     pub fn current_incarnation(&self, daemon: usize) -> usize {
         self.daemons[daemon].incarnations.len().saturating_sub(1)
     }
@@ -315,7 +310,7 @@
         }
     }
 
-    /// Returns whether a daemon has run undisturbed for [`UNDISTURBED_AFTER`].
+    /// Whether a daemon has run undisturbed for [`UNDISTURBED_AFTER`].
     fn was_in_touch(&self, daemon: usize, at: Duration) -> bool {
         let observed = &self.daemons[daemon];
         let since = at.saturating_sub(UNDISTURBED_AFTER);
@@ -685,7 +680,6 @@
             .any(|(start, end)| *start <= until && end.is_none_or(|end| end >= from))
     }
 
-    /// Returns for how long it was suspended within a period.
     fn paused_duration(&self, from: Duration, until: Duration) -> Duration {
         self.paused
             .iter()
@@ -698,7 +692,7 @@
 }
 
 impl DaemonObservations {
-    /// Returns whether requests at its backend server may have been cut off.
+    /// Whether requests at its backend server may have been cut off.
     fn may_break_off(&self, from: Duration, until: Duration) -> bool {
         let crashed = self.crashed.iter().any(|at| *at >= from && *at <= until);
         crashed || self.was_disturbed(from, until)
--- a/crates/sorrelturn-bench/src/soak/harness.rs
+++ b/crates/sorrelturn-bench/src/soak/harness.rs
@@ -25,22 +25,19 @@
     time::{Duration, Instant},
 };
 
-/// The timeout for starting all processes and for recovery after the faults; long enough for a busy machine.
+/// For the start of all processes and the recovery after the faults; long enough for a busy machine.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long stopping daemons continue to serve, in milliseconds.
+/// How long stopping daemons continue to serve.
 const LINGER_MS: u64 = 800;
-/// The timeout of a caller: the routes' deadline, and several seconds in which the daemon has to report that the
-/// deadline has passed.
+/// The routes' deadline, plus several seconds in which the daemon has to report that it has passed.
 pub(super) const RESPONSE_TIMEOUT: Duration =
     Duration::from_millis(SoakTarget::DEADLINE_MS + 5_000);
 /// Callers per daemon that keep their connection open, and callers that open one for each request.
 const PERSISTENT_CALLERS: usize = 3;
 const ONE_SHOT_CALLERS: usize = 1;
-/// The script of backend servers without a fault: their processing time and the minimum length of their responses.
+/// The script of backend servers without a fault.
 pub(super) const NORMAL_SCRIPT: Script = Script::Works { ms: 15, bytes: 800 };
-/// The interval of the backend servers' heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// The interval of the readiness checks of each daemon.
 const READINESS_INTERVAL: Duration = Duration::from_millis(100);
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const RESTART_DELAY: Duration = Duration::from_millis(300);
@@ -49,16 +46,15 @@
 /// The path of the request that crashes backend servers.
 pub(super) const CRASHING_PATH: &str = "/safe/deadly";
 const BACKEND_RESTART_DELAY: Duration = Duration::from_secs(1);
-/// Malformed or foreign records that others write to the announce port and to the members in the store.
+/// Malformed or foreign records that others write to the announce port and to the store's members.
 pub(super) const FOREIGN_RECORDS: [&str; 4] = [
     "{",
     "[]",
     r#"{"service":"nobody","state":"ready","sequence":1,"slots":4,"born":1793099500000}"#,
     r#"{"service":"a","state":"asleep","sequence":"1","born":1.5}"#,
 ];
-/// The store's key of the route table.
 pub(super) const ROUTE_TABLE_KEY: &str = "config/main";
-/// The services: the first serves repeatable and versioned routes, the second at-most-once routes.
+/// The first serves repeatable and versioned routes, the second at-most-once routes.
 const SERVICES: [&str; 2] = ["a", "b"];
 
 /// The daemons under test: their program, dialect and route tables, which the soak itself doesn't know.
@@ -70,15 +66,15 @@
     pub dialect: Dialect,
     /// The host of all routes.
     pub host: &'static str,
-    /// Returns the route table of a version: `/safe/` leads to service `a` and is repeatable, `/once/` leads to `b` and
-    /// is at-most-once, `/version/N/`, where N is the table's own version, is like `/safe/`. All have the deadline
-    /// [`SoakTarget::DEADLINE_MS`]. Three workspaces hold the credentials of [`CredentialKind`]; the last one has the
-    /// quota of [`SoakTarget::RATE`] and [`SoakTarget::BURST`].
+    /// The route table of version N: `/safe/` leads to service `a` and is repeatable, `/once/` leads to `b`
+    /// and is at-most-once, `/version/N/` is like `/safe/`. All have the deadline [`SoakTarget::DEADLINE_MS`]. Three
+    /// workspaces hold the credentials of [`CredentialKind`]; the last one has the quota of [`SoakTarget::RATE`] and
+    /// [`SoakTarget::BURST`].
     pub table: fn(u64) -> String,
 }
 
 impl SoakTarget {
-    /// The deadline of all routes, in milliseconds.
+    /// The deadline of all routes.
     pub const DEADLINE_MS: u64 = 3_000;
     /// The quota of the limited workspace, in requests per second.
     pub const RATE: u32 = RATE;
@@ -106,16 +102,15 @@
     pub(super) checker: Arc<Mutex<Checker>>,
     pub(super) platform: SocketAddr,
     pub(super) daemons: Vec<Member>,
-    /// Whether [`CRASHING_PATH`] is sent.
     has_crashing_request: bool,
     pub(super) version: AtomicU64,
     pub(super) next_id: AtomicU64,
     pub(super) unconfirmed_tables: AtomicU64,
-    /// Set once all actions are done, which ends the tasks.
+    /// Set once all actions are done; ends the tasks.
     pub(super) is_over: AtomicBool,
 }
 
-/// Executes a plan and returns its result; the settings and logs of the daemons are written to `folder`.
+/// Executes a plan; writes the settings and logs of the daemons to `folder`.
 pub async fn soak(
     ex: Arc<Executor<'static>>,
     target: &SoakTarget,
@@ -186,7 +181,7 @@
         harness
     }
 
-    /// Writes malformed member records to the store, which daemons have to ignore.
+    /// Daemons have to ignore these.
     async fn write_foreign_records(&self) {
         let platform = Platform::new(self.platform, START_TIMEOUT);
         for (number, value) in FOREIGN_RECORDS.iter().enumerate() {
@@ -327,7 +322,6 @@
         }
     }
 
-    /// Restarts a daemon whenever it has exited.
     async fn keep_daemon_running(&self, number: usize) {
         let member = &self.daemons[number];
         let mut incarnations = 1;
@@ -403,7 +397,6 @@
         }
     }
 
-    /// Restarts a backend server whenever it has crashed.
     async fn keep_backend_running(&self, number: usize) {
         let member = &self.daemons[number];
         while !self.is_over() {
--- a/crates/sorrelturn-bench/src/soak/member.rs
+++ b/crates/sorrelturn-bench/src/soak/member.rs
@@ -21,12 +21,12 @@
     time::Instant,
 };
 
-/// The announced start time of each backend server's first incarnation, in milliseconds since the Unix epoch; each
-/// further incarnation announces a second more.
+/// The announced start of each backend server's first incarnation since the Unix epoch; each further one announces a
+/// second more.
 const FIRST_START_MS: u64 = 1_793_099_500_000;
 /// The number of restarts after which a backend server changes its id.
 const RESTARTS_PER_ID: u64 = 3;
-/// The slots that a backend server announces: more than all callers use together.
+/// More than all callers use together.
 const ANNOUNCED_SLOTS: u32 = 64;
 
 /// A daemon with its backend server.
@@ -40,16 +40,13 @@
     pub(super) path: FaultyPath,
     pub(super) backend: RoutedBackend,
     pub(super) process: Mutex<Option<Process>>,
-    /// Whether the backend server is leaving.
     pub(super) is_leaving: AtomicBool,
-    /// Held while an announcement is built and while the incarnation changes, so that no announcement mixes the state
-    /// of two incarnations.
+    /// Held while an announcement is built and while the incarnation changes, so that none mixes two incarnations.
     pub(super) announce_lock: Mutex<()>,
     pub(super) sequence: AtomicU64,
     pub(super) backend_restarts: AtomicU64,
 }
 
-/// One incarnation of a backend server.
 pub(super) struct BackendIncarnation {
     pub(super) id: String,
     pub(super) started_ms: u64,
@@ -100,7 +97,6 @@
         previous
     }
 
-    /// Returns the current incarnation of the backend server.
     fn current_incarnation(&self) -> BackendIncarnation {
         let restarts = self.backend_restarts.load(Ordering::Relaxed);
         BackendIncarnation {
@@ -109,7 +105,7 @@
         }
     }
 
-    /// Sends a heartbeat of the backend server; returns the status of the response.
+    /// Sends a heartbeat; returns the status of the response.
     pub(super) async fn announce(&self) -> Result<u16, io::Error> {
         let (incarnation, body) = {
             let _guard = lock(&self.announce_lock);
@@ -141,7 +137,7 @@
     }
 }
 
-/// Returns the addresses that a daemon printed into the file, which also holds its log.
+/// The addresses that a daemon printed into the file, which also holds its log.
 fn addresses_in(log: &Path) -> Option<ListenSettings> {
     let text = std::fs::read_to_string(log).ok()?;
     let mut lines = text.lines().filter(|line| line.starts_with('{'));
--- a/crates/sorrelturn-bench/src/soak/path.rs
+++ b/crates/sorrelturn-bench/src/soak/path.rs
@@ -21,7 +21,6 @@
 
 /// The interval at which held bytes check whether they may pass.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The maximum number of bytes per read.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
 /// The delay of each chunk: near the timeouts between daemons.
 const DELAY_MS: u64 = 150;
@@ -43,14 +42,12 @@
     open_connections: Mutex<Vec<OpenConnection>>,
 }
 
-/// An open connection.
 struct OpenConnection {
     is_silent: Arc<AtomicBool>,
     /// Dropped to reset the connection.
     reset_tx: Sender<()>,
 }
 
-/// One direction of a connection.
 struct Direction<'a> {
     is_held: &'a AtomicBool,
     delay_ms: &'a AtomicU64,
@@ -68,7 +65,6 @@
         Ok(Self { addr, state })
     }
 
-    /// Sets the address of the daemon.
     pub(super) fn set_target(&self, target: SocketAddr) {
         *lock(&self.state.target) = Some(target);
     }
--- a/crates/sorrelturn-bench/src/soak/plan.rs
+++ b/crates/sorrelturn-bench/src/soak/plan.rs
@@ -1,7 +1,7 @@
 //! The timed actions of a soak, generated from a seed.
 //!
-//! A seed gives the same plan on every machine. Thread scheduling still varies, so a seed that failed once may
-//! need several runs to fail again.
+//! A seed gives the same plan on every machine. Thread scheduling varies, so a failed seed may need several runs to
+//! fail again.
 
 use crate::Script;
 use fastrand::Rng;
@@ -11,10 +11,9 @@
 const FIRST_ACTION_MS: u64 = 1_000;
 /// The maximum pause between two bursts of actions.
 const MAX_PAUSE_MS: u64 = 2_500;
-/// The maximum duration of one action.
 const MAX_ACTION_MS: u64 = 4_000;
-/// The stop timeouts a plan chooses from. The first equals the deadline of the routes, so a daemon can't wait for
-/// requests that it accepts late; the second is the deployment's.
+/// The first equals the deadline of the routes, so a daemon can't wait for requests that it accepts late; the second
+/// is the deployment's.
 const STOP_TIMEOUTS_MS: [u64; 2] = [3_000, 5_700];
 
 /// A fault of the platform's store.
@@ -83,9 +82,9 @@
     Stop {
         /// The daemon's number.
         daemon: usize,
-        /// Delay until a second stop signal, in milliseconds.
+        /// Delay until a second stop signal.
         again_ms: Option<u64>,
-        /// Delay until the daemon is killed, in milliseconds.
+        /// Delay until the daemon is killed.
         kill_ms: Option<u64>,
     },
     /// Kills and restarts a daemon.
@@ -97,7 +96,7 @@
     Pause {
         /// The daemon's number.
         daemon: usize,
-        /// Duration in milliseconds.
+        /// The duration.
         ms: u64,
     },
     /// Makes a daemon reload its settings.
@@ -114,7 +113,7 @@
     Store {
         /// The fault.
         trouble: StoreFault,
-        /// Duration in milliseconds.
+        /// The duration.
         ms: u64,
     },
     /// Injects a fault into the path to a daemon.
@@ -123,23 +122,23 @@
         daemon: usize,
         /// The fault.
         harm: PathFault,
-        /// Duration in milliseconds.
+        /// The duration.
         ms: u64,
     },
     /// A backend server leaves and returns as another incarnation.
     Leave {
-        /// The number of the daemon that it belongs to.
+        /// Its daemon's number.
         daemon: usize,
-        /// Duration of its absence in milliseconds.
+        /// The duration of its absence.
         ms: u64,
     },
     /// Makes a backend server misbehave.
     Misbehave {
-        /// The number of the daemon that it belongs to.
+        /// Its daemon's number.
         daemon: usize,
         /// The script that it plays.
         script: Script,
-        /// Duration in milliseconds.
+        /// The duration.
         ms: u64,
     },
 }
@@ -147,7 +146,7 @@
 /// An action and its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedAction {
-    /// The time since the start of the plan, in milliseconds.
+    /// The time since the start of the plan.
     pub at_ms: u64,
     /// The action.
     pub action: Action,
@@ -158,11 +157,11 @@
 pub struct SoakPlan {
     /// The seed that the plan was generated from.
     pub seed: u64,
-    /// The period in which actions begin, in seconds.
+    /// The period in which actions begin.
     pub seconds: u64,
     /// The number of daemons.
     pub instances: usize,
-    /// The stop timeout of the daemons, in milliseconds.
+    /// The stop timeout of the daemons.
     pub stop_timeout_ms: u64,
     /// The actions, ordered by time.
     pub actions: Vec<TimedAction>,
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Returns the same plan with a request that crashes backend servers.
+    /// The same plan with a request that crashes backend servers.
     pub fn with_crashes(self) -> Self {
         Self {
             has_crashing_request: true,
--- a/crates/sorrelturn-bench/src/soak/traffic.rs
+++ b/crates/sorrelturn-bench/src/soak/traffic.rs
@@ -12,12 +12,12 @@
     time::{Duration, Instant},
 };
 
-/// The maximum pause of a caller between two requests.
+/// Between two requests of a caller.
 const MAX_PAUSE_MS: u64 = 50;
 const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Harness {
-    /// Repeatedly sends the request that crashes backend servers to one daemon.
+    /// Repeatedly sends the crashing request to one daemon.
     pub(super) async fn send_crashing_requests(&self, number: usize) {
         let addr = self.daemons[number].addresses.routed.expect("it listens");
         let interval = CRASHING_REQUEST_INTERVAL * self.daemons.len() as u32;
@@ -118,7 +118,7 @@
         format!("{:016x}", self.next_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Sends a request for a path to an incarnation of a daemon, as [`Harness::send_request`] does.
+    /// As [`Harness::send_request`], for a path and an incarnation of a daemon.
     async fn send_request_to(
         &self,
         caller: &mut Caller,
--- a/crates/sorrelturn-bench/src/soak/workspaces.rs
+++ b/crates/sorrelturn-bench/src/soak/workspaces.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-/// The maximum time for which a revoked credential may still be honoured, in milliseconds.
+/// How long a revoked credential may still be honoured.
 pub(super) const REVOCATION_MS: u64 = 5_000;
 /// The quota of the limited workspace: requests per second, and the burst on top of them.
 pub(super) const RATE: u32 = 20;
@@ -12,7 +12,7 @@
 pub(super) const WINDOW_S: u64 = 5;
 pub(super) const OVERAGE_FRACTION: f64 = 0.1;
 pub(super) const SLACK_REQUESTS: f64 = 20.0;
-/// The duration of the leases of quota shares, in milliseconds, as on the users' platform.
+/// The duration of the leases of quota shares, as on the users' platform.
 pub(super) const LEASE_MS: u64 = 250;
 
 /// The credential that a request shows.
@@ -27,7 +27,7 @@
 }
 
 impl CredentialKind {
-    /// Returns the credential as the route tables of [`super::SoakTarget`] hold it.
+    /// The credential as the route tables of [`super::SoakTarget`] hold it.
     pub fn credential(self) -> String {
         match self {
             Self::Steady => "steady".to_owned(),
@@ -45,7 +45,7 @@
 /// What was observed of revoked credentials and of the quota.
 #[derive(Default)]
 pub(super) struct WorkspaceObservations {
-    /// The versions of the route tables that the store confirmed, and when.
+    /// The versions of the route table that the store confirmed, and when.
     table_confirmed: Vec<(u64, Duration)>,
     /// When each recent request of the limited workspace was sent and executed.
     limited_runs: VecDeque<(Duration, Duration)>,
--- a/crates/sorrelturn-bench/src/summary.rs
+++ b/crates/sorrelturn-bench/src/summary.rs
@@ -65,20 +65,17 @@
 
 /// The input of the summary besides the records.
 pub struct SummaryInput<'a> {
-    /// The name of the system.
     pub system: &'a str,
     /// The time ranges of the overloads, since the start of the load.
     pub overloads: &'a [Range<Duration>],
-    /// The maximum good answers per second that the slots allow during the overload, by importance, if more
-    /// important requests go first.
+    /// The maximum good answers per second that the slots allow during the overload, if more important requests go
+    /// first.
     pub max_goodput: BTreeMap<Importance, f64>,
-    /// Executions at all backend servers.
     pub executions: u64,
     /// Executions by key and kind.
     pub executions_by_key: &'a HashMap<String, u32>,
     /// The minimum number of executions for a good answer, by kind.
     pub min_executions: &'a HashMap<String, u32>,
-    /// The kinds that run at most once.
     pub at_most_once_kinds: &'a [String],
 }
 
@@ -150,7 +147,6 @@
         .collect()
 }
 
-/// The longest recovery time after an overload.
 fn worst_recovery(records: &[Record], input: &SummaryInput) -> Duration {
     let recoveries = input.overloads.iter().enumerate().map(|(at, overload)| {
         let next = input.overloads.get(at + 1);
@@ -160,7 +156,7 @@
     recoveries.max().unwrap_or(Duration::ZERO)
 }
 
-/// The time from the start of a normal phase to the end of its last window that hadn't recovered.
+/// From the start of a normal phase to the end of its last window that hadn't recovered.
 fn recovery(records: &[Record], normal: Range<Duration>) -> Duration {
     let end = normal.start;
     let mut windows: BTreeMap<u32, Goodput> = BTreeMap::new();
--- a/crates/sorrelturn-command/src/publication.rs
+++ b/crates/sorrelturn-command/src/publication.rs
@@ -96,7 +96,7 @@
     }))
 }
 
-/// Returns all accepted manifests, the newest first.
+/// All accepted manifests, the newest first.
 pub async fn history(platform: &Platform) -> Result<Vec<Manifest>, Failure> {
     let earlier = platform.list(&keys::history_prefix()).await?;
     let mut manifests = Vec::new();
@@ -166,7 +166,7 @@
     create_immutable(platform, &key, &value).await
 }
 
-/// Creates an immutable object. Returns whether it is new.
+/// Returns whether the object is new.
 async fn create_immutable(platform: &Platform, key: &str, value: &str) -> Result<bool, Failure> {
     let created = platform.put_resolved(key, value, Expected::Absent, |stored| stored == value);
     match created.await {
